--- a/crates/cardamomwinch_coordination/examples/membership_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/membership_cost.rs
@@ -88,10 +88,10 @@
 fn measure<P: MembershipPolicy>(way: &str, hosts: usize, loss: f64) {
     let plan = MeasurementPlan::new(hosts);
     let mut network = Network::<P>::new(NetworkOptions::new(hosts, loss, SEED));
-    let known = network.run_until(START_LIMIT, Network::all_see_all);
+    let known = network.run_until(START_LIMIT, Network::all_reach_all);
     // Rumours of the start die down before anything is measured.
     network.run(time::Duration::from_secs(20));
-    network.forget_traffic();
+    network.reset_traffic_counts();
     let begun = network.now;
     network.run(plan.steady);
     let deaths = network.changes_to(Reachability::Dead, begun).len();
@@ -132,9 +132,9 @@
 /// Cuts one failure domain off for a minute.
 fn measure_cut(hosts: usize, loss: f64) {
     let mut network = Network::<PeerMembership>::new(NetworkOptions::new(hosts, loss, SEED));
-    network.run_until(START_LIMIT, Network::all_see_all);
+    network.run_until(START_LIMIT, Network::all_reach_all);
     network.run(time::Duration::from_secs(20));
-    network.forget_traffic();
+    network.reset_traffic_counts();
     let begun = network.now;
     let cut = membership_network::domain(1);
     network.cut = vec![cut];
@@ -151,7 +151,7 @@
     });
     network.run(time::Duration::from_secs(60));
     network.cut.clear();
-    let healed = network.run_until(CUT_LIMIT, Network::all_see_all);
+    let healed = network.run_until(CUT_LIMIT, Network::all_reach_all);
     network.run(time::Duration::from_secs(20));
     let seconds = network.now.since(begun).as_secs_f64();
     let bytes = network.hosts.iter().map(|host| host.sent_bytes).max();
--- a/crates/cardamomwinch_coordination/src/control/decision_records.rs
+++ b/crates/cardamomwinch_coordination/src/control/decision_records.rs
@@ -1,4 +1,4 @@
-//! What the engine records of its decisions.
+//! Builds the records of control decisions for the decision log.
 
 use cardamomwinch_state::prelude::Timestamp;
 
--- a/crates/cardamomwinch_coordination/src/control/effect.rs
+++ b/crates/cardamomwinch_coordination/src/control/effect.rs
@@ -1,4 +1,4 @@
-//! What a control engine wants done.
+//! The effects of a control engine.
 
 use std::net;
 use std::sync;
@@ -14,14 +14,14 @@
 use crate::decision::DecisionRecord;
 use crate::snapshot::RoutingSnapshot;
 
-/// Something that the control thread is to do.
+/// An action for the control thread to carry out.
 #[derive(Debug, Clone)]
 pub enum ControlEffect {
     /// Send a control message to another host.
     ToPeer {
         /// The host.
         host: HostId,
-        /// Where it takes control messages.
+        /// Its address for control messages.
         address: net::SocketAddr,
         /// The message.
         envelope: PeerEnvelope,
@@ -32,46 +32,47 @@
     AskLoad {
         /// The server.
         backend: BackendId,
-        /// Where the endpoint is.
+        /// The address of the endpoint.
         address: net::SocketAddr,
     },
-    /// Give traffic threads a new snapshot.
+    /// Publish a new snapshot to the traffic threads.
     Publish(sync::Arc<RoutingSnapshot>),
-    /// Tell the traffic thread of the shard to freeze it and to give out what
-    /// it knows, as [`crate::traffic::event::TrafficEvent::ReleaseShard`].
+    /// Make the traffic thread of the shard freeze and export it, by
+    /// [`crate::traffic::event::TrafficEvent::ReleaseShard`].
     ReleaseShard {
         /// The hand-over.
         hand_over: HandOverId,
-        /// When the shard thaws.
+        /// The shard stays frozen until this time.
         frozen_until: Timestamp,
     },
-    /// Tell the traffic thread of the shard that the hand-over is broken off.
+    /// Notify the traffic thread of the shard that the hand-over was aborted.
     ThawShard {
         /// The shard.
         shard: ShardId,
     },
-    /// Tell the traffic thread of the shard that it is handed over.
+    /// Notify the traffic thread of the shard that the hand-over is complete.
     ForgetShard {
         /// The shard.
         shard: ShardId,
     },
-    /// Tell the traffic thread of the shard to take the chunk in.
+    /// Make the traffic thread of the shard import the chunk.
     TakeOver {
-        /// What to take in.
+        /// The chunk to import.
         chunk: HandOverChunk,
     },
-    /// The host was told to stop and holds nothing any more: the process may exit.
+    /// The host was stopped and is no longer home of any shard: the process may
+    /// exit.
     Drained,
     /// Log a decision.
     Decide(DecisionRecord),
-    /// Log that a published document is refused, and why. What was in force
-    /// under its key before stays in force.
+    /// Log that a published document was refused, and why. The earlier document
+    /// of its key stays in force.
     Refused(RefusedDocument),
-    /// Count something.
+    /// Increment a counter.
     Count(Counter),
 }
 
-/// Takes the effects of a control engine.
+/// Receives the effects of a control engine.
 pub trait ControlSink {
     /// Carries out `effect`.
     fn emit(&mut self, effect: ControlEffect);
--- a/crates/cardamomwinch_coordination/src/control/event.rs
+++ b/crates/cardamomwinch_coordination/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What a control engine is told.
+//! The events that a control engine handles.
 
 use std::fmt;
 use std::time;
@@ -13,9 +13,9 @@
 /// A key of the platform's configuration service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PlatformKey {
-    /// The root document: which preset is in force and which fragments belong to it.
+    /// The root document: the preset in force and the list of fragments.
     Root,
-    /// The lagging list of live and leaving hosts.
+    /// The list of live and leaving hosts, which can lag behind reality.
     Hosts,
     /// The fragment of the team with this name.
     Team(String),
@@ -31,18 +31,18 @@
     }
 }
 
-/// A call to the platform. It only ever reads.
+/// A read or a watch of a platform key. Nothing is ever written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformRequest {
     /// The key to read.
     pub key: PlatformKey,
-    /// Set for a watch: the call waits for a revision above this one.
+    /// Set for a watch: the call waits for a revision newer than this one.
     pub after: Option<u64>,
-    /// The longest time that a watch waits.
+    /// The maximum time that a watch waits.
     pub wait: time::Duration,
 }
 
-/// What the platform answered.
+/// The answer of the platform to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformAnswer {
     /// The value of the key.
@@ -52,22 +52,22 @@
         /// The document.
         text: String,
     },
-    /// No newer revision came up while the watch waited.
+    /// No newer revision was published while the watch waited.
     Unchanged,
-    /// There is no such key.
+    /// The key does not exist.
     Missing,
 }
 
-/// The call failed; the transport has logged why.
+/// A call to the platform failed; the transport has logged why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformFailure;
 
-/// How a call to the platform ended.
+/// The outcome of a call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformOutcome {
     /// The call.
     pub request: PlatformRequest,
-    /// What came of it.
+    /// The answer, or the failure of the call.
     pub result: Result<PlatformAnswer, PlatformFailure>,
 }
 
@@ -75,42 +75,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadFailure;
 
-/// The traffic thread has taken a chunk of a hand-over in.
+/// Reports that the traffic thread has imported a chunk of a hand-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeOverReport {
     /// The hand-over.
     pub hand_over: HandOverId,
-    /// The chunk.
+    /// The position of the chunk.
     pub position: u16,
-    /// Set where something did not fit: what may have been sent before this
-    /// point is not fully known.
+    /// Set if some records could not be imported: requests sent before this time
+    /// may be unknown here.
     pub records_since: Option<Timestamp>,
 }
 
-/// Something that control has to decide about.
+/// An event for the control engine.
 #[derive(Debug, Clone)]
 pub enum ControlEvent {
     /// The process has started.
     Start,
-    /// Time has passed. To be sent about every 100 ms.
+    /// Periodic event, to be sent about every 100 ms.
     Tick,
     /// Another host sent a control message. The transport has authenticated it.
     Peer(PeerEnvelope),
     /// A call to the platform ended.
     Platform(PlatformOutcome),
-    /// The load endpoint of a backend server was asked.
+    /// A request to the load endpoint of a backend server ended.
     Load {
         /// The server.
         backend: BackendId,
-        /// What it answered.
+        /// The load report, or the failure of the request.
         result: Result<LoadReport, LoadFailure>,
     },
-    /// Traffic threads saw this of backend servers.
+    /// Observations of backend servers by a traffic thread.
     Observed(Vec<BackendObservation>),
-    /// A traffic thread gave out a part of what it knows of a shard.
+    /// A traffic thread exported a chunk of the state of a shard.
     HandOver(HandOverChunk),
-    /// A traffic thread took a chunk in.
+    /// A traffic thread imported a chunk.
     TookOver(TakeOverReport),
-    /// The host is to stop gracefully.
+    /// Stop the host gracefully.
     Stop,
 }
--- a/crates/cardamomwinch_coordination/src/control/home_dispatch.rs
+++ b/crates/cardamomwinch_coordination/src/control/home_dispatch.rs
@@ -1,4 +1,4 @@
-//! Brings events to the home table and carries out what it wants done.
+//! Passes events to the home table and carries out the resulting actions.
 
 use cardamomwinch_protocol::peer::hand_over::HandOverChunk;
 use cardamomwinch_protocol::peer::homes::HomeMessage;
@@ -13,11 +13,11 @@
 use crate::counter::Counter;
 use crate::decision::{DecisionReason, DecisionRecord};
 
-/// The home table with all that it is decided by. A macro, because a method
-/// would borrow the whole engine.
-macro_rules! homes_and_world {
+/// Borrows the home table together with the state that its decisions depend on.
+/// A macro, because a method would borrow the whole engine.
+macro_rules! homes_and_context {
     ($engine:ident) => {{
-        let world = HomeWorld {
+        let context = HomeWorld {
             identity: $engine.identity,
             phase: $engine.phase,
             adopted: $engine.adoption.version() > ConfigurationVersion::ZERO,
@@ -25,20 +25,20 @@
             hosts: $engine.adoption.hosts(),
             membership: &$engine.membership,
         };
-        (&mut $engine.homes, world)
+        (&mut $engine.homes, context)
     }};
 }
 
 impl ControlEngine {
     pub(crate) fn note_home_event(&mut self, now: Timestamp) {
-        let (homes, world) = homes_and_world!(self);
-        homes.note_event(now, &world);
+        let (homes, context) = homes_and_context!(self);
+        homes.note_event(now, &context);
     }
 
     pub(crate) fn advance_homes<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         let mut actions = Vec::new();
-        let (homes, world) = homes_and_world!(self);
-        homes.advance(now, &world, &mut actions);
+        let (homes, context) = homes_and_context!(self);
+        homes.advance(now, &context, &mut actions);
         self.carry_out(now, actions, sink);
     }
 
@@ -47,7 +47,7 @@
         self.advance_homes(now, sink);
     }
 
-    pub(crate) fn take_home<S: ControlSink>(
+    pub(crate) fn handle_home_message<S: ControlSink>(
         &mut self,
         now: Timestamp,
         envelope: &PeerEnvelope,
@@ -56,12 +56,12 @@
     ) {
         let mut actions = Vec::new();
         let sender = CandidateLife::new(envelope.sender, envelope.incarnation);
-        let (homes, world) = homes_and_world!(self);
-        homes.take(now, &world, sender, message, &mut actions);
+        let (homes, context) = homes_and_context!(self);
+        homes.take(now, &context, sender, message, &mut actions);
         self.carry_out(now, actions, sink);
     }
 
-    pub(crate) fn take_exported<S: ControlSink>(
+    pub(crate) fn handle_exported_chunk<S: ControlSink>(
         &mut self,
         now: Timestamp,
         chunk: HandOverChunk,
@@ -72,21 +72,21 @@
         self.carry_out(now, actions, sink);
     }
 
-    pub(crate) fn take_imported<S: ControlSink>(
+    pub(crate) fn handle_import_report<S: ControlSink>(
         &mut self,
         now: Timestamp,
         report: TakeOverReport,
         sink: &mut S,
     ) {
         let mut actions = Vec::new();
-        let (homes, world) = homes_and_world!(self);
-        homes.take_imported(now, &world, report, &mut actions);
+        let (homes, context) = homes_and_context!(self);
+        homes.take_imported(now, &context, report, &mut actions);
         self.carry_out(now, actions, sink);
     }
 
     pub(crate) fn refresh_homes(&mut self, now: Timestamp) {
-        let (homes, world) = homes_and_world!(self);
-        homes.refresh(now, &world);
+        let (homes, context) = homes_and_context!(self);
+        homes.refresh(now, &context);
     }
 
     fn home_record(&self, now: Timestamp, shard: ShardId, home: HostId) -> DecisionRecord {
--- a/crates/cardamomwinch_coordination/src/control/membership/exchange.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/exchange.rs
@@ -1,6 +1,6 @@
-//! The slow exchange that repairs what rumours missed: two hosts compare
-//! hashes over blocks of the list, and one sends the claims of those that
-//! differ.
+//! The periodic exchange that repairs what rumours missed: one host sends
+//! hashes of its claims over blocks of the host list, and the other answers
+//! with its claims about the blocks whose hashes differ.
 
 use std::time;
 
@@ -10,43 +10,44 @@
 
 use crate::control::membership::jitter::JitterSource;
 
-/// How often a host that knows the fleet compares with another.
+/// The mean interval between exchanges in normal operation.
 const EXCHANGE_INTERVAL: time::Duration = time::Duration::from_secs(15);
-/// How often a host does that has started lately and misses hosts, that slept,
-/// or for which a cut ended.
+/// The mean interval between exchanges after a pause of the process, after the
+/// end of a cut, and shortly after the start while some hosts are unknown.
 const CATCH_UP_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// How long after its start a host catches up.
-const CATCH_UP_FOR: time::Duration = time::Duration::from_secs(60);
-/// Exchanges in quick succession after a cut or a sleep.
-const HURRIED_EXCHANGES: u32 = 3;
-/// The most hashes in an exchange.
-const BLOCK_LIMIT: usize = 32;
-/// Hosts to a block at least.
-const BLOCK_LENGTH: usize = 4;
-/// Claims in one answer, so that it fits into a datagram.
+/// How long after its start a host uses the shorter interval if it does not
+/// know all hosts.
+const CATCH_UP_DURATION: time::Duration = time::Duration::from_secs(60);
+/// Exchanges at the shorter interval after a cut or a pause.
+const FAST_EXCHANGES: u32 = 3;
+/// The maximum number of hashes in an exchange.
+const MAX_BLOCKS: usize = 32;
+/// The minimum number of hosts in a block.
+const MIN_BLOCK_LENGTH: usize = 4;
+/// The maximum number of claims in an answer, so that it fits into a datagram.
 pub(super) const DIFFERENCE_LIMIT: usize = 60;
 
-/// When to compare with another host, and with which.
+/// When the next exchange is due, and with which host.
 #[derive(Debug, Default)]
 pub(super) struct ExchangeSchedule {
     started: Option<Timestamp>,
     next: Timestamp,
-    hurried: u32,
+    fast_exchanges_left: u32,
     preferred: Option<HostId>,
 }
 
 impl ExchangeSchedule {
-    /// Whether an exchange is due. `missing` tells whether listed hosts were
-    /// never heard of.
+    /// Returns whether an exchange is due, and schedules the next one if so.
+    /// `missing` is whether some listed hosts are still unknown.
     pub(super) fn due(&mut self, now: Timestamp, missing: bool, jitter: &mut JitterSource) -> bool {
         let started = *self.started.get_or_insert(now);
         if now < self.next {
             return false;
         }
-        let catching_up = missing && now.since(started) < CATCH_UP_FOR;
-        let hurrying = self.hurried > 0;
-        self.hurried = self.hurried.saturating_sub(1);
-        let interval = if catching_up || hurrying {
+        let catching_up = missing && now.since(started) < CATCH_UP_DURATION;
+        let fast = self.fast_exchanges_left > 0;
+        self.fast_exchanges_left = self.fast_exchanges_left.saturating_sub(1);
+        let interval = if catching_up || fast {
             CATCH_UP_INTERVAL
         } else {
             EXCHANGE_INTERVAL
@@ -55,31 +56,31 @@
         true
     }
 
-    /// Brings the next few exchanges forward, since this host may have missed
-    /// much. The jitter keeps all hosts from doing so at once.
-    pub(super) fn hasten(&mut self, now: Timestamp, jitter: &mut JitterSource) {
+    /// Runs the next few exchanges sooner, because this host may have missed
+    /// many rumours. Jitter prevents all hosts from doing this simultaneously.
+    pub(super) fn schedule_soon(&mut self, now: Timestamp, jitter: &mut JitterSource) {
         self.next = self.next.min(now.after(jitter.around(CATCH_UP_INTERVAL)));
-        self.hurried = HURRIED_EXCHANGES;
+        self.fast_exchanges_left = FAST_EXCHANGES;
     }
 
-    /// Makes the next exchange one with `host`.
+    /// Selects `host` for the next exchange.
     pub(super) fn prefer(&mut self, host: HostId) {
         self.preferred = Some(host);
     }
 
-    /// The host to compare with next, if one is preferred.
+    /// Returns and clears the host selected by [`Self::prefer`].
     pub(super) fn take_preferred(&mut self) -> Option<HostId> {
         self.preferred.take()
     }
 }
 
-/// The blocks into which `hosts` are divided.
+/// Divides `hosts` into blocks, which depend only on their number.
 pub(super) fn blocks(hosts: &[HostId]) -> impl Iterator<Item = &[HostId]> {
-    let length = hosts.len().div_ceil(BLOCK_LIMIT).max(BLOCK_LENGTH);
+    let length = hosts.len().div_ceil(MAX_BLOCKS).max(MIN_BLOCK_LENGTH);
     hosts.chunks(length)
 }
 
-/// The hash of what is claimed of the hosts of a block.
+/// Hashes the claims about the hosts of a block.
 pub(super) fn block_hash(standings: impl Iterator<Item = Option<HostStanding>>) -> u32 {
     let hash = standings.fold(0, |hash, standing| {
         let number = standing.map_or(0, |standing| {
--- a/crates/cardamomwinch_coordination/src/control/membership/fleet_view.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/fleet_view.rs
@@ -1,23 +1,25 @@
-//! The list as one host sees it: the ring of its own failure domain, and the
-//! hosts of each other domain.
+//! The host list grouped for probing: the ring of the own failure domain and
+//! the hosts of each other domain.
 
 use cardamomwinch_state::prelude::{DomainId, HostId, HostListVersion, HostTable, SortedVector};
 
 use crate::identity::HostIdentity;
 use crate::routing::rendezvous;
 
-/// The listed hosts, arranged for choosing whom to probe.
+/// The listed hosts, grouped for choosing probe targets.
 #[derive(Debug, Default)]
 pub(super) struct FleetView {
     version: Option<HostListVersion>,
     domains: SortedVector<HostId, DomainId>,
-    /// The other hosts of the own domain, in ring order, from this host on.
+    /// The other hosts of the own domain, in ring order starting after this
+    /// host.
     ring: Vec<HostId>,
     others: SortedVector<DomainId, Vec<HostId>>,
 }
 
 impl FleetView {
-    /// Arranges `hosts` anew if the list is another; tells whether it was.
+    /// Groups `hosts` again if the version of the list has changed, and returns
+    /// whether it has.
     pub(super) fn refresh(&mut self, identity: HostIdentity, hosts: &HostTable) -> bool {
         if self.version == Some(hosts.version) {
             return false;
@@ -40,7 +42,8 @@
         self.domains.get(&host).copied()
     }
 
-    /// The other hosts of the own domain, in ring order, from this host on.
+    /// The other hosts of the own domain, in ring order starting after this
+    /// host.
     pub(super) fn ring(&self) -> &[HostId] {
         &self.ring
     }
@@ -56,13 +59,13 @@
     }
 }
 
-/// Every host of a domain derives the same ring, so that neighbours watch each
-/// other and need one exchange of messages for both.
+/// Every host of a domain derives the same ring. Two neighbours therefore probe
+/// each other, and one ping with its pong shows both that the other is alive.
 fn ring(identity: HostIdentity, hosts: &HostTable) -> Vec<HostId> {
-    let place = |host: HostId| rendezvous::score(host.get(), identity.domain.get());
-    let own = place(identity.host);
-    let mates = hosts.in_domain(identity.domain).map(|entry| entry.id);
-    let mut ring: Vec<HostId> = mates.filter(|host| *host != identity.host).collect();
-    ring.sort_by_key(|host| (place(*host).wrapping_sub(own), *host));
+    let position = |host: HostId| rendezvous::score(host.get(), identity.domain.get());
+    let own = position(identity.host);
+    let peers = hosts.in_domain(identity.domain).map(|entry| entry.id);
+    let mut ring: Vec<HostId> = peers.filter(|host| *host != identity.host).collect();
+    ring.sort_by_key(|host| (position(*host).wrapping_sub(own), *host));
     ring
 }
--- a/crates/cardamomwinch_coordination/src/control/membership/jitter.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/jitter.rs
@@ -1,5 +1,6 @@
-//! Numbers that spread what hosts do in time and over targets. They need not
-//! be unpredictable, only different on each host and the same in each replay.
+//! Pseudo-random numbers that spread the actions of hosts over time and
+//! targets. They need not be unpredictable, only different on each host and
+//! identical in every simulation with the same seed.
 
 use std::time;
 
@@ -7,10 +8,11 @@
 
 use crate::identity::HostIdentity;
 
-/// The increment of the sequence, an odd number without a pattern.
+/// The increment of the state: an odd number with irregular bits (2^64 divided
+/// by the golden ratio), as in SplitMix64.
 const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A sequence of numbers seeded by a host and its life.
+/// A sequence of pseudo-random numbers, seeded by a host and its incarnation.
 #[derive(Debug, Default)]
 pub(super) struct JitterSource {
     state: u64,
@@ -27,13 +29,13 @@
         flow::mix(self.state)
     }
 
-    /// A number below `bound`; zero where `bound` is.
+    /// A number below `bound`, or zero if `bound` is zero.
     pub(super) fn below(&mut self, bound: usize) -> usize {
         let bound = bound.max(1) as u64;
         (self.next() % bound) as usize
     }
 
-    /// A duration between three and five quarters of `mean`.
+    /// A duration between 75 % and 125 % of `mean`.
     pub(super) fn around(&mut self, mean: time::Duration) -> time::Duration {
         let percent = 75 + (self.next() % 51) as u32;
         mean * percent / 100
--- a/crates/cardamomwinch_coordination/src/control/membership/links.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/links.rs
@@ -1,5 +1,5 @@
-//! Links to the other failure domains: their hosts are probed in turn, and a
-//! domain of which nobody answers while others do is cut off.
+//! Links to the other failure domains. The hosts of a domain are probed in
+//! turn; if none of them answers while other hosts do, the domain is cut off.
 
 use std::time;
 
@@ -7,50 +7,52 @@
 
 use crate::control::membership::jitter::JitterSource;
 
-/// A link is probed this often, whichever has been silent for longest.
+/// The mean interval between probes. Each goes to the link that has been silent
+/// for longest.
 const LINK_INTERVAL: time::Duration = time::Duration::from_millis(1000);
-/// A domain that was heard of within this time needs no probe.
+/// A domain from which a message was received within this time is not probed.
 const LINK_SILENCE: time::Duration = time::Duration::from_millis(1000);
-/// How long an answer may take before other hosts of the domain are probed.
+/// How long to wait for an answer before other hosts of the domain are probed.
 const STEP_TIMEOUT: time::Duration = time::Duration::from_millis(100);
-/// Rounds without an answer after which a domain is cut off.
+/// A domain is cut off after this number of unanswered rounds.
 const CUT_ROUNDS: u32 = 6;
-/// Rounds that probe only one host. Later ones probe two, so that neither
-/// loss nor a dead host looks like a cut.
+/// The number of rounds that probe only one host. Later rounds probe two, so
+/// that packet loss or a dead host does not look like a cut.
 const SINGLE_ROUNDS: u32 = 2;
 
 #[derive(Debug, Default, Clone, Copy)]
 struct DomainLink {
-    /// When it was heard of, or a search for it ended, last.
-    last_heard: Timestamp,
-    /// When the round under way began.
+    /// When the last message from the domain was received or the last probe
+    /// ended.
+    last_received: Timestamp,
+    /// When the current round began; absent if none is in progress.
     probed: Option<Timestamp>,
     rounds: u32,
-    /// Which of the hosts is probed next.
-    turn: usize,
-    ever_heard: bool,
+    /// The position of the host to probe next.
+    next_host: usize,
+    ever_received: bool,
     cut: bool,
 }
 
-/// Pings that a link asks for.
+/// Pings to send on a link.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LinkPings {
     /// The domain whose hosts to ping.
     pub(super) domain: DomainId,
-    /// How many of them.
+    /// The number of hosts to ping.
     pub(super) count: usize,
 }
 
-/// What the links ask for.
+/// What to do for the links.
 #[derive(Debug, Default)]
 pub(super) struct LinkActions {
     /// Pings to send.
     pub(super) pings: Vec<LinkPings>,
-    /// Domains found to be cut off.
+    /// Domains that have just been found cut off.
     pub(super) cut: Vec<DomainId>,
 }
 
-/// The links by domain.
+/// The links to other failure domains, by domain.
 #[derive(Debug, Default)]
 pub(super) struct DomainLinks {
     links: SortedVector<DomainId, DomainLink>,
@@ -62,28 +64,30 @@
         self.links.get(&domain).is_some_and(|link| link.cut)
     }
 
-    /// Notes a message from `domain`; tells whether that ended a cut.
-    pub(super) fn heard(&mut self, domain: DomainId, now: Timestamp) -> bool {
+    /// Records a message from `domain`, and returns whether it ended a cut.
+    pub(super) fn record_message(&mut self, domain: DomainId, now: Timestamp) -> bool {
         let Some(link) = self.links.get_mut(&domain) else {
             return false;
         };
-        link.last_heard = now;
-        link.ever_heard = true;
+        link.last_received = now;
+        link.ever_received = true;
         link.probed = None;
         link.rounds = 0;
         std::mem::take(&mut link.cut)
     }
 
-    /// Begins anew after this host slept; what was cut off stays so until heard.
-    pub(super) fn restart(&mut self, now: Timestamp) {
+    /// Resets the probes after a pause of the process. A domain that was cut off
+    /// stays so until a message from it is received.
+    pub(super) fn reset_probes(&mut self, now: Timestamp) {
         for (_, link) in self.links.iter_mut() {
-            link.last_heard = now;
+            link.last_received = now;
             link.probed = None;
             link.rounds = 0;
         }
     }
 
-    /// Takes over the domains of a new list.
+    /// Replaces the domains by those of a new list; domains in both keep their
+    /// state.
     pub(super) fn adopt(&mut self, domains: impl Iterator<Item = DomainId>) {
         let earlier = std::mem::take(&mut self.links);
         self.links = domains
@@ -91,8 +95,9 @@
             .collect();
     }
 
-    /// Takes every link one step further. `connected` tells whether some host
-    /// outside a domain, of this one's own domain too, was heard of lately.
+    /// Advances every link whose probe is overdue, and starts a new probe if it
+    /// is time. `connected` is whether a message from a host outside the given
+    /// domain, including the own domain, was received recently.
     pub(super) fn step(
         &mut self,
         now: Timestamp,
@@ -101,32 +106,37 @@
     ) -> LinkActions {
         let mut actions = LinkActions::default();
         for (domain, link) in self.links.iter_mut() {
-            if link.is_waiting_in_vain(now) {
+            if link.is_probe_overdue(now) {
                 link.step(now, *domain, || connected(*domain), &mut actions);
             }
         }
         if now >= self.next_probe {
             self.next_probe = now.after(jitter.around(LINK_INTERVAL));
-            self.begin(now, &mut actions, jitter);
+            self.start_probe(now, &mut actions, jitter);
         }
         actions
     }
 
-    fn begin(&mut self, now: Timestamp, actions: &mut LinkActions, jitter: &mut JitterSource) {
+    fn start_probe(
+        &mut self,
+        now: Timestamp,
+        actions: &mut LinkActions,
+        jitter: &mut JitterSource,
+    ) {
         let idle = self.links.iter_mut().filter(|(_, link)| {
-            link.probed.is_none() && now.since(link.last_heard) >= LINK_SILENCE
+            link.probed.is_none() && now.since(link.last_received) >= LINK_SILENCE
         });
-        let Some((domain, link)) = idle.min_by_key(|(_, link)| link.last_heard) else {
+        let Some((domain, link)) = idle.min_by_key(|(_, link)| link.last_received) else {
             return;
         };
-        // A random place to go on from, so that hosts that started at the same
-        // time do not all probe the same one.
-        link.turn = jitter.next() as usize;
+        // Starts at a random host, so that hosts that started at the same time
+        // do not all probe the same one.
+        link.next_host = jitter.next() as usize;
         link.probe(now, *domain, actions);
     }
 
-    /// The hosts to ping next, in turn, of those for which `usable` holds, or
-    /// of all where it holds for none.
+    /// Returns the hosts to ping next, in turn, among the `usable` ones, or
+    /// among all hosts if none is usable.
     pub(super) fn choose(
         &mut self,
         pings: LinkPings,
@@ -136,7 +146,7 @@
         let Some(link) = self.links.get_mut(&pings.domain) else {
             return Vec::new();
         };
-        let start = link.turn % hosts.len().max(1);
+        let start = link.next_host % hosts.len().max(1);
         let in_turn = || (start..hosts.len()).chain(0..start);
         let mut chosen: Vec<usize> = in_turn()
             .filter(|position| usable(hosts[*position]))
@@ -145,14 +155,14 @@
         if chosen.is_empty() {
             chosen = in_turn().take(pings.count).collect();
         }
-        link.turn = chosen.last().map_or(0, |last| last + 1);
+        link.next_host = chosen.last().map_or(0, |last| last + 1);
         let chosen = chosen.into_iter();
         chosen.map(|position| hosts[position]).collect()
     }
 }
 
 impl DomainLink {
-    fn is_waiting_in_vain(&self, now: Timestamp) -> bool {
+    fn is_probe_overdue(&self, now: Timestamp) -> bool {
         let probed = self.probed;
         probed.is_some_and(|probed| now.since(probed) >= STEP_TIMEOUT)
     }
@@ -165,22 +175,21 @@
         actions: &mut LinkActions,
     ) {
         self.rounds += 1;
-        let searching = self.ever_heard && !self.cut;
+        let searching = self.ever_received && !self.cut;
         if searching && self.rounds < CUT_ROUNDS {
             return self.probe(now, domain, actions);
         }
-        // Guards against a storm when a whole domain is cut off: its hosts
-        // would each be claimed dead, and refute it afterwards. It shows as
-        // silence of all of them at once while others answer, and only the
-        // domain is marked.
+        // Only the domain is marked. If each of its hosts were claimed dead, all
+        // these claims and the refutations after the cut would cause a storm of
+        // messages.
         if searching && connected() {
             self.cut = true;
             actions.cut.push(domain);
         }
-        // Probed again in its turn, and no sooner.
+        // The next probe waits until this link is due again.
         self.probed = None;
         self.rounds = 0;
-        self.last_heard = now.before(LINK_SILENCE);
+        self.last_received = now.before(LINK_SILENCE);
     }
 
     fn probe(&mut self, now: Timestamp, domain: DomainId, actions: &mut LinkActions) {
--- a/crates/cardamomwinch_coordination/src/control/membership/named_lists.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/list_history.rs
@@ -1,20 +1,20 @@
-//! Names hosts by their position in a version of the list. The last few
-//! versions are kept, so that hosts with unequal lists still understand each
-//! other.
+//! Messages name hosts by their position in a version of the host list. The
+//! last few versions are kept, so that hosts that have accepted different
+//! versions can still decode each other's positions.
 
 use cardamomwinch_protocol::peer::membership::HostPosition;
 use cardamomwinch_state::prelude::{HostId, HostListVersion, HostTable, SortedVector};
 
-/// Versions of the list that are kept.
+/// The number of versions that are kept.
 const LIST_LIMIT: usize = 4;
 
-/// The hosts of the last few versions of the list, in the order of identifiers.
+/// The hosts of the last few versions of the list, ordered by identifier.
 #[derive(Debug, Default)]
-pub(super) struct NamedLists {
+pub(super) struct ListHistory {
     lists: SortedVector<HostListVersion, Vec<HostId>>,
 }
 
-impl NamedLists {
+impl ListHistory {
     pub(super) fn adopt(&mut self, hosts: &HostTable) {
         let ids = hosts.hosts.keys().copied().collect();
         self.lists.insert(hosts.version, ids);
@@ -26,9 +26,9 @@
         }
     }
 
-    /// The version to use towards a peer that has accepted `theirs`: the
-    /// highest that both have, or else the newest here.
-    pub(super) fn common(&self, theirs: HostListVersion) -> Option<HostListVersion> {
+    /// The version to use in a message to a peer that has accepted `theirs`:
+    /// `theirs` if it is kept here, otherwise the newest one kept here.
+    pub(super) fn common_version(&self, theirs: HostListVersion) -> Option<HostListVersion> {
         let newest = self.lists.keys().next_back().copied();
         let shared = self.lists.contains_key(&theirs).then_some(theirs);
         shared.or(newest)
@@ -44,7 +44,7 @@
         hosts.get(usize::from(position.get())).copied()
     }
 
-    /// The hosts of `list`, in order.
+    /// The hosts of `list`, ordered by identifier.
     pub(super) fn hosts(&self, list: HostListVersion) -> &[HostId] {
         self.lists.get(&list).map_or(&[], Vec::as_slice)
     }
--- a/crates/cardamomwinch_coordination/src/control/membership/members.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/members.rs
@@ -1,22 +1,22 @@
-//! What is believed of each host, and which of two claims holds.
+//! The known state of each host, and which of two claims about it wins.
 
 use cardamomwinch_protocol::peer::membership::HostStanding;
 use cardamomwinch_state::prelude::{HostId, HostTable, SortedVector};
 use serde::Serialize;
 
-/// What is believed of a host.
+/// The known reachability of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reachability {
-    /// It may be listed, but nobody has heard of it.
+    /// No message from it and no claim about it was ever received.
     Unknown,
     /// It answers.
     Alive,
-    /// It did not answer this host, neither directly nor through others, but
-    /// still has time to.
+    /// It answered neither the pings of this host nor those of the hosts asked
+    /// to help, but can still do so before it is claimed dead.
     Suspect,
-    /// A neighbour claimed that it is dead, and it has not refuted that.
+    /// A ring neighbour claimed that it is dead, and it has not refuted this.
     Dead,
 }
 
@@ -26,7 +26,7 @@
     suspect: bool,
 }
 
-/// The hosts that were ever heard of, directly or by rumour.
+/// The listed hosts that are known from their own messages or from claims.
 #[derive(Debug, Default)]
 pub(super) struct MemberTable {
     members: SortedVector<HostId, MemberState>,
@@ -58,11 +58,12 @@
         self.reachability(host) == Reachability::Alive
     }
 
-    /// Takes the greater claim, and tells whether it is news.
+    /// Keeps the greater of the known claim and `standing`, and returns whether
+    /// `standing` was new.
     ///
-    /// Guards against a host that wakes late, or a rumour that was delayed: it
-    /// brings back a claim that has been refuted since. It shows as a lower
-    /// life or refutation count, and the order of claims lets the later win.
+    /// A host that resumes after a pause or a delayed rumour can repeat a claim
+    /// that was refuted meanwhile. Such a claim has a lower incarnation or
+    /// refutation count, so it loses.
     pub(super) fn merge(&mut self, host: HostId, standing: HostStanding) -> bool {
         let known = self.members.get(&host);
         if known.is_some_and(|known| known.standing >= standing) {
@@ -73,7 +74,7 @@
         true
     }
 
-    /// Sets whether `host` is suspect, and tells whether that changed.
+    /// Sets whether `host` is suspect, and returns whether this changed.
     pub(super) fn set_suspect(&mut self, host: HostId, suspect: bool) -> bool {
         let Some(member) = self.members.get_mut(&host) else {
             return false;
--- a/crates/cardamomwinch_coordination/src/control/membership/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/mod.rs
@@ -1,20 +1,23 @@
-//! Who is reachable. The published list says who may be; probes say who is.
+//! Which hosts are reachable. The published list names the hosts that may run;
+//! probes find out which of them answer.
 //!
-//! Each host watches the two neighbours that it has on a ring of its own
-//! failure domain, and keeps a link to each other domain by probing its hosts
-//! in turn. What it learns spreads as rumours on those messages; a slow
-//! exchange repairs what rumours missed. The cost per host does not depend on
-//! the number of hosts. `docs/design/membership.md` weighs the other ways.
+//! The hosts of a failure domain form a ring, on which each host probes its two
+//! neighbours. It also probes the hosts of the other domains in turn. Changes
+//! spread as rumours, which are attached to these messages; a slower exchange
+//! of hashes repairs what rumours missed. The cost per host does not depend on
+//! the number of hosts. `docs/design/membership.md` compares this with the
+//! alternatives.
 //!
-//! Only the neighbours of a host, in its own domain, may claim that it is dead.
-//! Silence of a whole other domain is a cut, not many deaths.
+//! Only a ring neighbour may claim that a host is dead. If all hosts of another
+//! domain stop answering, the domain is marked as cut off and none of its hosts
+//! as dead.
 
 mod exchange;
 mod fleet_view;
 mod jitter;
 mod links;
+mod list_history;
 mod members;
-mod named_lists;
 mod peers;
 mod receiving;
 mod replay_window;
@@ -35,10 +38,10 @@
 use crate::control::membership::fleet_view::FleetView;
 use crate::control::membership::jitter::JitterSource;
 use crate::control::membership::links::DomainLinks;
+use crate::control::membership::list_history::ListHistory;
 use crate::control::membership::members::MemberTable;
-use crate::control::membership::named_lists::NamedLists;
 use crate::control::membership::peers::PeerTable;
-use crate::control::membership::receiving::IndirectDuties;
+use crate::control::membership::receiving::RelayedPings;
 use crate::control::membership::ring::RingProbes;
 use crate::control::membership::rumours::RumourQueue;
 use crate::identity::HostIdentity;
@@ -46,26 +49,27 @@
 pub use crate::control::membership::members::Reachability;
 pub use crate::control::membership::peers::{PeerRejection, PeerState};
 
-/// A host that hears of nobody for this long takes itself to be cut off from
-/// all others, and nobody to be reachable.
+/// A host that receives no message for this long considers itself isolated and
+/// no other host reachable.
 pub const ISOLATED_AFTER: time::Duration = time::Duration::from_millis(1200);
-/// A time without a tick from which on a host takes itself to have slept.
-pub const SLEEP_GAP: time::Duration = time::Duration::from_millis(1000);
+/// A gap between ticks of at least this length means that the process was
+/// paused.
+pub const PAUSE_GAP: time::Duration = time::Duration::from_millis(1000);
 
-/// An answer that gives no digest means the one of the ping. It is taken to be
-/// the present one if that has been so for this long.
-const DIGEST_SETTLED: time::Duration = time::Duration::from_millis(1000);
+/// A pong without a digest means that the peer has the digest of the ping. If
+/// the own digest has not changed for this long, the ping carried this digest.
+const DIGEST_STABLE_AFTER: time::Duration = time::Duration::from_millis(1000);
 
-/// What decisions about membership are taken against.
+/// The state of this host that membership decisions depend on.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipContext<'a> {
-    /// The present time.
+    /// The current time.
     pub now: Timestamp,
     /// The host that decides.
     pub identity: HostIdentity,
-    /// The published list that it has accepted.
+    /// The published list of hosts that it has accepted.
     pub hosts: &'a HostTable,
-    /// What it says of the configuration it has accepted.
+    /// The digest of the configuration that it has accepted.
     pub digest: ConfigurationDigest,
 }
 
@@ -81,23 +85,23 @@
 /// A change for the decision log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A host became this.
+    /// The reachability of a host changed.
     Host {
         /// The host.
         host: HostId,
-        /// What it is now.
+        /// Its new reachability.
         reachability: Reachability,
     },
-    /// A failure domain was cut off from this host, or is no longer.
+    /// A failure domain was cut off from this host, or is reachable again.
     Domain {
         /// The failure domain.
         domain: DomainId,
-        /// Whether it can be reached now.
+        /// Whether it is reachable now.
         reachable: bool,
     },
 }
 
-/// What a decision about membership led to.
+/// The results of a membership decision.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct MembershipOutput {
     /// Messages to send, in order.
@@ -106,7 +110,8 @@
     pub events: Vec<MembershipEvent>,
 }
 
-/// The hosts of the list and what is known about each.
+/// The membership state of one host: the listed hosts, what is known about each
+/// of them, and the probes, rumours and exchanges in progress.
 #[derive(Debug, Default)]
 pub struct PeerMembership {
     sequence: u64,
@@ -114,41 +119,45 @@
     peers: PeerTable,
     members: MemberTable,
     view: FleetView,
-    lists: NamedLists,
+    list_history: ListHistory,
     ring: RingProbes,
     links: DomainLinks,
     rumours: RumourQueue,
     exchange: ExchangeSchedule,
-    duties: IndirectDuties,
+    relayed_pings: RelayedPings,
     jitter: JitterSource,
     last_tick: Option<Timestamp>,
-    /// The sequence number of this host when it last woke from a sleep, until
-    /// a ping sent after that is answered.
-    unconfirmed: Option<u64>,
-    last_heard: Timestamp,
-    next_revival: Timestamp,
+    /// This host's sequence number at the end of the last pause of the process,
+    /// until a ping sent after the pause is answered.
+    sequence_at_resume: Option<u64>,
+    last_received: Timestamp,
+    next_lost_probe: Timestamp,
     digest: ConfigurationDigest,
     digest_since: Timestamp,
     events: Vec<MembershipEvent>,
 }
 
 impl PeerMembership {
-    /// The next sequence number of this host's own messages.
+    /// Returns the sequence number for the next message of this host.
     pub fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Takes any message of a peer as a sign of life.
+    /// Checks a message of any kind for replay and records that its sender is
+    /// alive.
     ///
     /// # Errors
-    /// Guards against replayed messages: one of an earlier life, or whose
-    /// sequence number was taken before or lies too far back to tell, is
-    /// refused.
-    pub fn note(&mut self, now: Timestamp, envelope: &PeerEnvelope) -> Result<(), PeerRejection> {
-        self.observe_time(now);
-        self.peers.note(now, envelope)?;
-        self.last_heard = now;
+    /// Rejects a message of an earlier incarnation, and one whose sequence
+    /// number was received before or is too old to know.
+    pub fn accept_message(
+        &mut self,
+        now: Timestamp,
+        envelope: &PeerEnvelope,
+    ) -> Result<(), PeerRejection> {
+        self.detect_pause(now);
+        self.peers.accept_message(now, envelope)?;
+        self.last_received = now;
         let host = envelope.sender;
         let refutation = match &envelope.message {
             PeerMessage::Membership(message) => message.header.refutation,
@@ -159,42 +168,43 @@
             refutation,
             dead: false,
         };
-        self.learn(host, standing);
+        self.merge_claim(host, standing);
         if !self.members.is_dead(host) {
             self.set_suspect(host, false);
         }
         if let Some(domain) = self.view.domain_of(host)
-            && self.links.heard(domain, now)
+            && self.links.record_message(domain, now)
         {
             self.events.push(MembershipEvent::Domain {
                 domain,
                 reachable: true,
             });
-            self.exchange.hasten(now, &mut self.jitter);
+            self.exchange.schedule_soon(now, &mut self.jitter);
             self.exchange.prefer(host);
         }
         Ok(())
     }
 
-    /// What `host` itself has said, if it was heard of directly.
+    /// What is known from the messages of `host` itself, if any were received.
     pub fn get(&self, host: HostId) -> Option<&PeerState> {
         self.peers.get(host)
     }
 
-    /// What is believed of `host`. Of a domain that is cut off, and while this
-    /// host hears of nobody, it is what was believed last.
+    /// The last known reachability of `host`. It does not change while the
+    /// domain of `host` is cut off or this host is isolated.
     pub fn reachability(&self, host: HostId) -> Reachability {
         self.members.reachability(host)
     }
 
-    /// The life of `host` that was heard of last, from itself or from others.
+    /// The latest known incarnation of `host`, from its own messages or from
+    /// those of others.
     pub fn incarnation(&self, host: HostId) -> Option<Incarnation> {
         let standing = self.members.standing(host);
         standing.map(|standing| standing.incarnation)
     }
 
-    /// Whether `host` answers, as far as is known: it is alive or only suspect,
-    /// its failure domain is not cut off from here, and neither is this host.
+    /// Whether `host` is considered reachable: it is alive or suspect, its
+    /// failure domain is not cut off, and this host is not isolated.
     pub fn is_reachable(&self, now: Timestamp, host: HostId) -> bool {
         let domain = self.view.domain_of(host);
         let state = self.members.reachability(host);
@@ -203,18 +213,20 @@
             && !self.is_isolated(now)
     }
 
-    /// Whether all hosts of `domain` are silent while others answer.
+    /// Whether no host of `domain` answers while hosts of other domains do.
     pub fn is_cut_off(&self, domain: DomainId) -> bool {
         self.links.is_cut(domain)
     }
 
-    /// Whether nobody was heard of lately, or not since this host slept.
+    /// Whether this host has received no message recently, or no answer since
+    /// its process was paused.
     pub fn is_isolated(&self, now: Timestamp) -> bool {
-        self.unconfirmed.is_some() || now.since(self.last_heard) >= ISOLATED_AFTER
+        self.sequence_at_resume.is_some() || now.since(self.last_received) >= ISOLATED_AFTER
     }
 
-    /// Merges a claim about another host, and spreads it where it is news.
-    fn learn(&mut self, host: HostId, standing: HostStanding) -> bool {
+    /// Merges a claim about another host and, if it is new, queues it as a
+    /// rumour. Returns whether it was new.
+    fn merge_claim(&mut self, host: HostId, standing: HostStanding) -> bool {
         let before = self.members.reachability(host);
         if !self.members.merge(host, standing) {
             return false;
@@ -236,46 +248,51 @@
         }
     }
 
-    fn observe_digest(&mut self, context: &MembershipContext<'_>) {
+    fn track_digest(&mut self, context: &MembershipContext<'_>) {
         if self.digest != context.digest {
             self.digest = context.digest;
             self.digest_since = context.now;
         }
     }
 
-    /// Takes the digest of a peer that answered a ping without giving one.
-    fn note_same_digest(&mut self, now: Timestamp, host: HostId) {
-        if now.since(self.digest_since) >= DIGEST_SETTLED {
+    /// Records the own digest as that of a peer whose pong omitted it.
+    fn record_same_digest(&mut self, now: Timestamp, host: HostId) {
+        if now.since(self.digest_since) >= DIGEST_STABLE_AFTER {
             self.peers.set_digest(host, self.digest);
         }
     }
 
-    /// Guards against a process that was paused: its probes would all have run
-    /// out in its sleep, so that it would claim its neighbours dead, and it
-    /// would spread rumours that are long refuted. It shows as a time without a
-    /// tick. Everything on its way is dropped, and nobody is reachable until a
-    /// ping sent after the sleep is answered: what the socket held meanwhile
-    /// says nothing about the present.
-    fn observe_time(&mut self, now: Timestamp) {
-        let slept = |tick: Timestamp| now.since(tick) >= SLEEP_GAP;
-        if !self.last_tick.is_some_and(slept) {
+    /// Detects a pause of the process by a gap between ticks and resets what is
+    /// in progress.
+    ///
+    /// Otherwise all probes would have timed out during the pause, so that this
+    /// host would claim that its neighbours are dead, and it would spread
+    /// rumours that were refuted long ago. No host is reachable until a ping
+    /// sent after the pause is answered, since messages buffered by the socket
+    /// during the pause do not show the current state.
+    fn detect_pause(&mut self, now: Timestamp) {
+        let paused = |tick: Timestamp| now.since(tick) >= PAUSE_GAP;
+        if !self.last_tick.is_some_and(paused) {
             return;
         }
-        self.unconfirmed = Some(self.sequence);
+        self.sequence_at_resume = Some(self.sequence);
         self.ring.clear();
         self.rumours.clear();
-        self.duties.clear();
-        self.links.restart(now);
-        self.exchange.hasten(now, &mut self.jitter);
+        self.relayed_pings.clear();
+        self.links.reset_probes(now);
+        self.exchange.schedule_soon(now, &mut self.jitter);
         for host in self.members.suspects() {
             self.set_suspect(host, false);
         }
     }
 
-    /// Takes the answer to the ping numbered `sequence`.
-    fn confirm(&mut self, sequence: u64) {
-        if self.unconfirmed.is_some_and(|woken| sequence > woken) {
-            self.unconfirmed = None;
+    /// Handles the answer to the ping with number `sequence`.
+    fn handle_pong(&mut self, sequence: u64) {
+        if self
+            .sequence_at_resume
+            .is_some_and(|resumed| sequence > resumed)
+        {
+            self.sequence_at_resume = None;
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/membership/peers.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/peers.rs
@@ -1,4 +1,4 @@
-//! What peers said themselves.
+//! What is known of peers from their own messages.
 
 use std::time;
 
@@ -8,30 +8,31 @@
 
 use crate::control::membership::replay_window::ReplayWindow;
 
-/// How long a host that is no longer listed is remembered.
-const REMEMBERED_FOR: time::Duration = time::Duration::from_secs(3600);
+/// How long the state of a host is kept after its last message if it is no
+/// longer listed.
+const PEER_RETENTION: time::Duration = time::Duration::from_secs(3600);
 
 /// What is known about a peer from its own messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerState {
-    /// The highest life heard of.
+    /// The latest incarnation from which a message was accepted.
     pub incarnation: Incarnation,
-    /// The sequence numbers taken of that life.
+    /// The sequence numbers received from this incarnation.
     pub window: ReplayWindow,
-    /// When the last message came.
-    pub last_heard: Timestamp,
-    /// What the peer has accepted.
+    /// When the last message was accepted.
+    pub last_received: Timestamp,
+    /// The digest of the configuration that the peer has accepted.
     pub digest: ConfigurationDigest,
 }
 
-/// Why a control message was not taken.
+/// Why a control message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRejection {
-    /// It is from an earlier life, or was taken already.
+    /// It is from an earlier incarnation or was received before.
     Replayed,
 }
 
-/// The peers that were heard of.
+/// The peers from which a message was received.
 #[derive(Debug, Default)]
 pub(super) struct PeerTable {
     peers: SortedVector<HostId, PeerState>,
@@ -42,25 +43,25 @@
         self.peers.get(&host)
     }
 
-    /// When `host` was heard of last.
-    pub(super) fn last_heard(&self, host: HostId) -> Timestamp {
+    /// When the last message from `host` was accepted; zero if there was none.
+    pub(super) fn last_received(&self, host: HostId) -> Timestamp {
         let state = self.peers.get(&host);
-        state.map_or(Timestamp::ZERO, |state| state.last_heard)
+        state.map_or(Timestamp::ZERO, |state| state.last_received)
     }
 
-    /// When any host other than `host` was heard of last.
-    pub(super) fn last_heard_besides(&self, host: HostId) -> Timestamp {
-        self.last_heard_where(|other| other != host)
+    /// When the last message from any host except `host` was accepted.
+    pub(super) fn last_received_except(&self, host: HostId) -> Timestamp {
+        self.last_received_where(|other| other != host)
     }
 
-    /// When any host for which `counts` holds was heard of last.
-    pub(super) fn last_heard_where(&self, counts: impl Fn(HostId) -> bool) -> Timestamp {
+    /// When the last message from any host that matches `counts` was accepted.
+    pub(super) fn last_received_where(&self, counts: impl Fn(HostId) -> bool) -> Timestamp {
         let peers = self.peers.iter().filter(|(host, _)| counts(**host));
-        let heard = peers.map(|(_, peer)| peer.last_heard);
-        heard.max().unwrap_or(Timestamp::ZERO)
+        let times = peers.map(|(_, peer)| peer.last_received);
+        times.max().unwrap_or(Timestamp::ZERO)
     }
 
-    pub(super) fn note(
+    pub(super) fn accept_message(
         &mut self,
         now: Timestamp,
         envelope: &PeerEnvelope,
@@ -68,7 +69,7 @@
         let fresh = || PeerState {
             incarnation: envelope.incarnation,
             window: ReplayWindow::default(),
-            last_heard: now,
+            last_received: now,
             digest: ConfigurationDigest::default(),
         };
         let state = self.peers.get_or_insert_with(envelope.sender, fresh);
@@ -78,10 +79,10 @@
         if envelope.incarnation > state.incarnation {
             *state = fresh();
         }
-        if !state.window.take(envelope.sequence) {
+        if !state.window.record(envelope.sequence) {
             return Err(PeerRejection::Replayed);
         }
-        state.last_heard = now;
+        state.last_received = now;
         if let PeerMessage::Membership(message) = &envelope.message
             && let Some(digest) = message.digest()
         {
@@ -96,11 +97,12 @@
         }
     }
 
-    /// Forgets hosts that are not in `hosts`, but for those heard of lately:
-    /// one that is listed again must not be taken in by messages from before.
+    /// Removes hosts that are not in `hosts` and sent nothing recently. The
+    /// others are kept, so that old messages of a host that is listed again are
+    /// still recognised as replayed.
     pub(super) fn retain_listed(&mut self, now: Timestamp, hosts: &HostTable) {
         self.peers.retain(|host, state| {
-            hosts.get(*host).is_some() || now.since(state.last_heard) < REMEMBERED_FOR
+            hosts.get(*host).is_some() || now.since(state.last_received) < PEER_RETENTION
         });
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/membership/receiving.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/receiving.rs
@@ -1,4 +1,4 @@
-//! What a host does about messages of others.
+//! Handles membership messages of other hosts.
 
 use std::time;
 
@@ -14,57 +14,60 @@
     MembershipContext, MembershipOutput, MembershipSend, PeerMembership,
 };
 
-/// How long a host waits for an answer on behalf of another.
-const DUTY_TIME: time::Duration = time::Duration::from_millis(400);
-/// Hosts on whose behalf one waits at the same time, at most.
-const DUTY_LIMIT: usize = 64;
+/// How long this host waits for a message from a host that it pings on behalf
+/// of another.
+const RELAYED_PING_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+/// The maximum number of pings on behalf of others at the same time.
+const RELAYED_PING_LIMIT: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
-struct IndirectDuty {
-    asker: HostId,
+struct RelayedPing {
+    requester: HostId,
     target: HostId,
     until: Timestamp,
 }
 
-/// The indirect pings that this host makes for others.
+/// The pings that this host sends on behalf of others that could not reach the
+/// target.
 #[derive(Debug, Default)]
-pub(super) struct IndirectDuties {
-    duties: Vec<IndirectDuty>,
+pub(super) struct RelayedPings {
+    pings: Vec<RelayedPing>,
 }
 
-impl IndirectDuties {
+impl RelayedPings {
     pub(super) fn clear(&mut self) {
-        self.duties.clear();
+        self.pings.clear();
     }
 
-    fn add(&mut self, now: Timestamp, asker: HostId, target: HostId) {
-        self.duties
-            .retain(|duty| duty.until > now && (duty.asker, duty.target) != (asker, target));
-        if self.duties.len() < DUTY_LIMIT {
-            let until = now.after(DUTY_TIME);
-            self.duties.push(IndirectDuty {
-                asker,
+    fn add(&mut self, now: Timestamp, requester: HostId, target: HostId) {
+        self.pings.retain(|ping| {
+            ping.until > now && (ping.requester, ping.target) != (requester, target)
+        });
+        if self.pings.len() < RELAYED_PING_LIMIT {
+            let until = now.after(RELAYED_PING_TIMEOUT);
+            self.pings.push(RelayedPing {
+                requester,
                 target,
                 until,
             });
         }
     }
 
-    /// The hosts that wait to hear of `target`.
-    fn answered(&mut self, now: Timestamp, target: HostId) -> Vec<HostId> {
-        let (answered, rest) = std::mem::take(&mut self.duties)
+    /// Removes the pings of `target`, and returns the hosts that requested them.
+    fn take_requesters(&mut self, now: Timestamp, target: HostId) -> Vec<HostId> {
+        let (answered, rest) = std::mem::take(&mut self.pings)
             .into_iter()
-            .filter(|duty| duty.until > now)
-            .partition(|duty| duty.target == target);
-        self.duties = rest;
-        let answered: Vec<IndirectDuty> = answered;
-        answered.into_iter().map(|duty| duty.asker).collect()
+            .filter(|ping| ping.until > now)
+            .partition(|ping| ping.target == target);
+        self.pings = rest;
+        let answered: Vec<RelayedPing> = answered;
+        answered.into_iter().map(|ping| ping.requester).collect()
     }
 }
 
 impl PeerMembership {
-    /// Decides about a message that [`PeerMembership::note`] has taken.
-    pub fn take(
+    /// Handles a membership message that [`PeerMembership::note`] has accepted.
+    pub fn handle_message(
         &mut self,
         context: &MembershipContext<'_>,
         envelope: &PeerEnvelope,
@@ -73,19 +76,19 @@
     ) {
         self.refresh(context);
         let sender = envelope.sender;
-        // Guards against a host that wakes late: until it has refuted its own
-        // death it does not know how much it missed, so nothing it claims of
-        // others is taken. Its ping is answered with the claim about itself.
-        let believed = !self.members.is_dead(sender);
-        if believed && let Some(batch) = &message.header.rumours {
+        // A host that is considered dead may have been paused and its claims
+        // about others be outdated, so they are ignored until it has refuted the
+        // claim about itself. The answer to its ping contains this claim.
+        let trusted = !self.members.is_dead(sender);
+        if trusted && let Some(batch) = &message.header.rumours {
             let repair = message.content == MembershipContent::Difference;
-            self.take_rumours(context, batch, repair);
+            self.apply_rumours(context, batch, repair);
         } else if let Some(batch) = &message.header.rumours {
-            self.take_own_obituary(context, batch);
+            self.apply_rumours_about_self(context, batch);
         }
-        self.answer(context, envelope, message, believed, output);
-        if believed {
-            self.fulfil_duties(context, envelope, message.header.refutation, output);
+        self.answer(context, envelope, message, trusted, output);
+        if trusted {
+            self.report_relayed_pings(context, envelope, message.header.refutation, output);
         }
         self.push_news(context, output);
         output.events.append(&mut self.events);
@@ -96,7 +99,7 @@
         context: &MembershipContext<'_>,
         envelope: &PeerEnvelope,
         message: &MembershipMessage,
-        believed: bool,
+        trusted: bool,
         output: &mut MembershipOutput,
     ) {
         let sender = envelope.sender;
@@ -113,17 +116,17 @@
                 output.sends.push(MembershipSend { host, message });
             }
             MembershipContent::Pong { sequence } => {
-                self.confirm(*sequence);
+                self.handle_pong(*sequence);
                 if message.digest().is_none() {
-                    self.note_same_digest(context.now, sender);
+                    self.record_same_digest(context.now, sender);
                 }
             }
-            MembershipContent::IndirectPing { target } if believed => {
-                self.duties.add(context.now, sender, *target);
+            MembershipContent::IndirectPing { target } if trusted => {
+                self.relayed_pings.add(context.now, sender, *target);
                 self.send(context, *target, MembershipContent::Ping, output);
             }
-            MembershipContent::IndirectPong { target, standing } if believed => {
-                self.learn(*target, *standing);
+            MembershipContent::IndirectPong { target, standing } if trusted => {
+                self.merge_claim(*target, *standing);
                 self.ring.confirm(*target);
             }
             MembershipContent::Exchange { list, hashes } => {
@@ -133,7 +136,7 @@
         }
     }
 
-    fn fulfil_duties(
+    fn report_relayed_pings(
         &mut self,
         context: &MembershipContext<'_>,
         envelope: &PeerEnvelope,
@@ -146,41 +149,47 @@
             refutation,
             dead: false,
         };
-        for asker in self.duties.answered(context.now, target) {
+        for requester in self.relayed_pings.take_requesters(context.now, target) {
             let content = MembershipContent::IndirectPong { target, standing };
-            self.send(context, asker, content, output);
+            self.send(context, requester, content, output);
         }
     }
 
-    fn take_rumours(&mut self, context: &MembershipContext<'_>, batch: &RumourBatch, repair: bool) {
+    fn apply_rumours(
+        &mut self,
+        context: &MembershipContext<'_>,
+        batch: &RumourBatch,
+        repair: bool,
+    ) {
         for rumour in &batch.rumours {
-            let Some(host) = self.lists.host(batch.list, rumour.position) else {
+            let Some(host) = self.list_history.host(batch.list, rumour.position) else {
                 continue;
             };
             if host == context.identity.host {
                 self.refute(context, rumour.standing);
             } else if context.hosts.get(host).is_some() {
-                // A claim that came by way of repair has made its rounds.
-                if self.learn(host, rumour.standing) && repair {
+                // A claim from an exchange has already spread as a rumour.
+                if self.merge_claim(host, rumour.standing) && repair {
                     self.rumours.withdraw(host);
                 }
             }
         }
     }
 
-    fn take_own_obituary(&mut self, context: &MembershipContext<'_>, batch: &RumourBatch) {
+    fn apply_rumours_about_self(&mut self, context: &MembershipContext<'_>, batch: &RumourBatch) {
         for rumour in &batch.rumours {
-            let host = self.lists.host(batch.list, rumour.position);
+            let host = self.list_history.host(batch.list, rumour.position);
             if host == Some(context.identity.host) {
                 self.refute(context, rumour.standing);
             }
         }
     }
 
-    /// Contradicts the claim that this host is dead in its present life.
+    /// Refutes a claim that this host is dead, if it is about the current
+    /// incarnation, by raising the refutation count above that of the claim.
     fn refute(&mut self, context: &MembershipContext<'_>, standing: HostStanding) {
-        let mine = context.identity.incarnation;
-        if standing.dead && standing.incarnation == mine && standing.refutation >= self.refutation {
+        let own = context.identity.incarnation;
+        if standing.dead && standing.incarnation == own && standing.refutation >= self.refutation {
             let next = RefutationCount::new(1);
             self.refutation = standing.refutation.saturating_add(next);
             self.rumours.push(context.identity.host);
@@ -199,9 +208,9 @@
         if hashes.len() != theirs.len() {
             return;
         }
-        let differing = exchange::blocks(self.lists.hosts(list))
+        let differing = exchange::blocks(self.list_history.hosts(list))
             .zip(hashes.iter().zip(theirs))
-            .filter(|(_, (mine, theirs))| mine != theirs);
+            .filter(|(_, (own, theirs))| own != theirs);
         let mut claims = Vec::new();
         for host in differing.flat_map(|(block, _)| block) {
             claims.extend(self.rumour(context, list, *host));
@@ -223,17 +232,17 @@
         context: &MembershipContext<'_>,
         list: HostListVersion,
     ) -> Vec<u32> {
-        let blocks = exchange::blocks(self.lists.hosts(list));
+        let blocks = exchange::blocks(self.list_history.hosts(list));
         blocks
             .map(|block| {
-                let standings = block.iter().map(|host| self.standing(context, *host));
+                let standings = block.iter().map(|host| self.claim_about(context, *host));
                 exchange::block_hash(standings)
             })
             .collect()
     }
 
-    /// What this host claims of `host`, which may be itself.
-    fn standing(&self, context: &MembershipContext<'_>, host: HostId) -> Option<HostStanding> {
+    /// This host's claim about `host`, which may be itself.
+    fn claim_about(&self, context: &MembershipContext<'_>, host: HostId) -> Option<HostStanding> {
         if host != context.identity.host {
             return self.members.standing(host);
         }
@@ -250,13 +259,14 @@
         list: HostListVersion,
         host: HostId,
     ) -> Option<HostRumour> {
-        let position = self.lists.position(list, host)?;
-        let standing = self.standing(context, host)?;
+        let position = self.list_history.position(list, host)?;
+        let standing = self.claim_about(context, host)?;
         Some(HostRumour { position, standing })
     }
 
-    /// The header of a message to `host`, with up to `limit` rumours. A host
-    /// that is held to be dead is told so, that it may refute it.
+    /// Builds the header of a message to `host` with up to `limit` rumours. If
+    /// `host` is considered dead, the claim is included so that it can refute
+    /// it.
     pub(super) fn header(
         &mut self,
         context: &MembershipContext<'_>,
@@ -264,7 +274,7 @@
         limit: usize,
     ) -> MembershipHeader {
         let theirs = self.peers.get(host).map(|peer| peer.digest.host_list);
-        let list = self.lists.common(theirs.unwrap_or_default());
+        let list = self.list_history.common_version(theirs.unwrap_or_default());
         let rumours = list.and_then(|list| {
             let mut about = self.rumours.take(context.now, limit);
             if self.members.is_dead(host) && !about.contains(&host) {
--- a/crates/cardamomwinch_coordination/src/control/membership/ring.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/ring.rs
@@ -1,25 +1,25 @@
-//! Probes of the neighbours on the ring of the own failure domain: directly,
-//! once more, then through others as well, then with the neighbour suspected,
-//! and only then is it claimed dead.
+//! Probes of the neighbours on the ring of the own failure domain. A neighbour
+//! that does not answer is pinged again, then also through other hosts, then
+//! marked suspect, and only then claimed dead.
 
 use std::time;
 
 use cardamomwinch_state::flow;
 use cardamomwinch_state::prelude::{HostId, SortedVector, Timestamp};
 
-/// A neighbour that was not heard of for this long is probed, give or take
-/// half of the spread.
+/// A neighbour is probed if it sent no message for this long, plus or minus half
+/// of [`RING_SPREAD`].
 pub(super) const RING_INTERVAL: time::Duration = time::Duration::from_millis(400);
-/// How far apart the times may lie at which a neighbour is probed.
+/// The width of the range over which the start of a probe is varied.
 const RING_SPREAD: time::Duration = time::Duration::from_millis(100);
-/// How long an answer may take before the next step.
+/// How long to wait for an answer before the next step.
 const STEP_TIMEOUT: time::Duration = time::Duration::from_millis(100);
-/// How long a suspect has before it is claimed dead.
-const SUSPICION: time::Duration = time::Duration::from_millis(200);
-/// A host that was never heard of and does not answer is left alone this long.
-pub(super) const REST_INTERVAL: time::Duration = time::Duration::from_secs(5);
-/// A neighbour is claimed dead only by a host that heard of another one within
-/// this time.
+/// How long a neighbour stays suspect before it is claimed dead.
+const SUSPICION_TIMEOUT: time::Duration = time::Duration::from_millis(200);
+/// The mean interval between probes of a host that is unknown or dead.
+pub(super) const RETRY_INTERVAL: time::Duration = time::Duration::from_secs(5);
+/// A host claims that a neighbour is dead only if it received a message from
+/// another host within this time.
 const EVIDENCE_WINDOW: time::Duration = time::Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     Second,
     /// Pinged through others as well.
     Indirect,
-    /// Suspected.
+    /// Marked as suspect.
     Suspect { since: Timestamp },
 }
 
@@ -42,56 +42,57 @@
     confirmed: bool,
 }
 
-/// What a neighbour is known to be at the time of a step.
+/// What is known about a neighbour at the time of a step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ProbeEvidence {
-    /// When it was heard of last.
-    pub(super) target_heard: Timestamp,
-    /// When any other host was heard of last.
-    pub(super) others_heard: Timestamp,
-    /// Whether it was ever heard of by anyone.
+    /// When its last message was received.
+    pub(super) target_received: Timestamp,
+    /// When the last message from any other host was received.
+    pub(super) others_received: Timestamp,
+    /// Whether a message from it or a claim about it was ever received.
     pub(super) known: bool,
 }
 
-/// What a step of a probe asks for.
+/// What to do in a step of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProbeAction {
-    /// Nothing yet.
+    /// Do nothing yet.
     Wait,
-    /// Ping it.
+    /// Ping the neighbour.
     Ping,
-    /// Suspect it, ping it, and have others ping it.
+    /// Mark it as suspect, ping it, and ask others to ping it.
     Suspect,
-    /// Ping it, and have others ping it.
-    AskOthers,
-    /// It answered.
+    /// Ping it, and ask others to ping it.
+    PingIndirectly,
+    /// The probe is over: the neighbour answered, or is not known at all.
     Finish,
     /// Claim that it is dead.
-    Claim,
+    ClaimDead,
 }
 
-/// The probes under way, and the neighbours not to be probed for a while.
+/// The probes in progress, and the neighbours that are not probed for a while.
 #[derive(Debug, Default)]
 pub(super) struct RingProbes {
     probes: SortedVector<HostId, RingProbe>,
-    rests: SortedVector<HostId, Timestamp>,
+    deferred: SortedVector<HostId, Timestamp>,
 }
 
 impl RingProbes {
     pub(super) fn clear(&mut self) {
         self.probes.clear();
-        self.rests.clear();
+        self.deferred.clear();
     }
 
-    /// Whether `host` was never heard of and did not answer lately.
-    pub(super) fn is_resting(&self, now: Timestamp, host: HostId) -> bool {
-        self.rests.get(&host).is_some_and(|until| now < *until)
+    /// Whether `host` is not to be probed yet, because it recently did not answer
+    /// and is unknown, or answered only others.
+    pub(super) fn is_deferred(&self, now: Timestamp, host: HostId) -> bool {
+        self.deferred.get(&host).is_some_and(|until| now < *until)
     }
 
-    /// Forgets probes and rests of hosts for which `keep` does not hold.
+    /// Keeps only the state of hosts that match `keep`.
     pub(super) fn retain(&mut self, keep: impl Fn(HostId) -> bool) {
         self.probes.retain(|host, _| keep(*host));
-        self.rests.retain(|host, _| keep(*host));
+        self.deferred.retain(|host, _| keep(*host));
     }
 
     /// The hosts that are being probed.
@@ -99,18 +100,19 @@
         self.probes.keys().copied().collect()
     }
 
-    /// Another host heard of `host` after it was asked to ping it.
+    /// Records that `host` answered another host that was asked to ping it.
     pub(super) fn confirm(&mut self, host: HostId) {
         if let Some(probe) = self.probes.get_mut(&host) {
             probe.confirmed = true;
         }
     }
 
-    /// Begins to probe `host` if it has been silent and is not being probed.
-    pub(super) fn begin(&mut self, now: Timestamp, host: HostId, heard: Timestamp) -> bool {
+    /// Starts a probe of `host` if it has been silent since `last_received` for
+    /// long enough and is not being probed. Returns whether it did.
+    pub(super) fn start(&mut self, now: Timestamp, host: HostId, last_received: Timestamp) -> bool {
         if self.probes.contains_key(&host)
-            || self.is_resting(now, host)
-            || now.since(heard) < patience(host, heard)
+            || self.is_deferred(now, host)
+            || now.since(last_received) < silence_limit(host, last_received)
         {
             return false;
         }
@@ -124,25 +126,26 @@
         true
     }
 
-    /// Takes the probe of `host` one step further.
+    /// Advances the probe of `host`. If `host` is unknown and did not answer, it
+    /// is not probed again for the duration of `retry_delay`.
     pub(super) fn step(
         &mut self,
         now: Timestamp,
         host: HostId,
         evidence: ProbeEvidence,
-        rest: time::Duration,
+        retry_delay: time::Duration,
     ) -> ProbeAction {
         let Some(probe) = self.probes.get_mut(&host) else {
             return ProbeAction::Wait;
         };
-        if evidence.target_heard >= probe.started {
+        if evidence.target_received >= probe.started {
             self.probes.remove(&host);
             return ProbeAction::Finish;
         }
         if probe.confirmed {
-            // Only the direct way is broken; others still reach it.
+            // Only the direct path is broken; other hosts still reach it.
             self.probes.remove(&host);
-            self.rests.insert(host, now.after(RING_INTERVAL));
+            self.deferred.insert(host, now.after(RING_INTERVAL));
             return ProbeAction::Finish;
         }
         if now < probe.next_step {
@@ -150,25 +153,25 @@
         }
         if !evidence.known {
             self.probes.remove(&host);
-            self.rests.insert(host, now.after(rest));
+            self.deferred.insert(host, now.after(retry_delay));
             return ProbeAction::Finish;
         }
         let action = probe.advance(now, evidence);
-        if action == ProbeAction::Claim {
+        if action == ProbeAction::ClaimDead {
             self.probes.remove(&host);
         }
         action
     }
 }
 
-/// How long `host`, which was heard of last at `heard`, may be silent.
+/// How long `host` may be silent after `last_received` before it is probed.
 ///
-/// Guards against neighbours in step: both would ping at the same moment, every
-/// time, and both answer, so that the two of them cost twice what they need
-/// to. The patience changes with every message, so that they fall out of step.
-fn patience(host: HostId, heard: Timestamp) -> time::Duration {
+/// The limit varies with every message. With a fixed one, two neighbours could
+/// synchronise: both would always ping at the same moment and both answer,
+/// which doubles the number of messages.
+fn silence_limit(host: HostId, last_received: Timestamp) -> time::Duration {
     let spread = RING_SPREAD.as_micros() as u64;
-    let offset = flow::mix(host.get() ^ heard.get()) % spread;
+    let offset = flow::mix(host.get() ^ last_received.get()) % spread;
     RING_INTERVAL - RING_SPREAD / 2 + time::Duration::from_micros(offset)
 }
 
@@ -182,22 +185,26 @@
             }
             ProbeStage::Second => {
                 self.stage = ProbeStage::Indirect;
-                ProbeAction::AskOthers
+                ProbeAction::PingIndirectly
             }
             ProbeStage::Indirect => {
                 self.stage = ProbeStage::Suspect { since: now };
                 ProbeAction::Suspect
             }
-            // Guards against a host that is itself cut off, and would claim
-            // everyone else dead as soon as it is not: it hears of nobody, and
-            // so the time that its suspects have starts anew.
-            ProbeStage::Suspect { .. } if now.since(evidence.others_heard) >= EVIDENCE_WINDOW => {
+            // If no other host has sent a message either, this host may itself
+            // be cut off. It restarts the suspicion, because it would otherwise
+            // claim that all others are dead as soon as it is connected again.
+            ProbeStage::Suspect { .. }
+                if now.since(evidence.others_received) >= EVIDENCE_WINDOW =>
+            {
                 self.stage = ProbeStage::Suspect { since: now };
                 self.next_step = now.after(RING_INTERVAL);
-                ProbeAction::AskOthers
+                ProbeAction::PingIndirectly
             }
-            ProbeStage::Suspect { since } if now.since(since) >= SUSPICION => ProbeAction::Claim,
-            ProbeStage::Suspect { .. } => ProbeAction::AskOthers,
+            ProbeStage::Suspect { since } if now.since(since) >= SUSPICION_TIMEOUT => {
+                ProbeAction::ClaimDead
+            }
+            ProbeStage::Suspect { .. } => ProbeAction::PingIndirectly,
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/membership/rumours.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/rumours.rs
@@ -1,40 +1,39 @@
-//! Claims on their way through the fleet. Each is repeated a bounded number of
-//! times, and all of them together stay within a byte rate.
+//! Claims that this host spreads through the fleet. Each is sent a limited
+//! number of times, and all of them together stay within a byte rate.
 
 use std::time;
 
 use cardamomwinch_state::prelude::{ByteCount, HostId, Timestamp};
 
-/// Repeats of a rumour beyond the logarithm of the fleet's size.
+/// How often a rumour is sent in addition to the logarithm of the fleet size.
 const EXTRA_REPEATS: u32 = 2;
-/// Rumours that wait at most. The exchange repairs what is dropped.
+/// The maximum number of queued rumours. The exchange repairs what is dropped.
 const QUEUE_LIMIT: usize = 64;
-/// Rumours that ride on one probe at most.
+/// The maximum number of rumours that are attached to a probe.
 pub(super) const PIGGYBACK_LIMIT: usize = 8;
-/// Rumours in a message sent only for their sake.
+/// The maximum number of rumours in a message that carries only rumours.
 pub(super) const PUSH_LIMIT: usize = 24;
-/// Pushes follow each other no faster than this.
+/// The minimum interval between pushes.
 const PUSH_INTERVAL: time::Duration = time::Duration::from_millis(50);
-/// The encoded size of a rumour.
+/// The encoded size of a rumour in bytes.
 const RUMOUR_COST: ByteCount = ByteCount::new(13);
-/// The size of a message that carries only rumours, without them.
+/// The size in bytes of a message that carries only rumours, without them.
 const PUSH_COST: ByteCount = ByteCount::new(90);
-/// Bytes a second that rumours may use in the long run.
-const BUDGET_RATE: u64 = 150;
-/// Bytes that rumours may use at once after a quiet time.
+/// The refill rate of the rumour budget in bytes per second.
+const BUDGET_BYTES_PER_SECOND: u64 = 150;
+/// The maximum burst of rumours in bytes.
 const BUDGET_LIMIT: ByteCount = ByteCount::new(1200);
 
 #[derive(Debug, Clone, Copy)]
 struct QueuedRumour {
     host: HostId,
-    sent: u32,
+    times_sent: u32,
 }
 
 /// A token bucket over bytes.
 ///
-/// Guards against a storm: when many hosts change at once, everyone's rumours
-/// together would exceed what control may send. It shows as an empty bucket,
-/// and rumours then wait for their turn instead of being dropped.
+/// When many hosts change at once, the rumours could exceed the rate that is
+/// allowed for control messages. Rumours that exceed the budget stay queued.
 #[derive(Debug)]
 struct ByteBudget {
     left: ByteCount,
@@ -44,7 +43,7 @@
 impl ByteBudget {
     fn refill(&mut self, now: Timestamp) {
         let elapsed = now.since(self.refilled).as_millis().min(60_000) as u64;
-        let earned = elapsed * BUDGET_RATE / 1000;
+        let earned = elapsed * BUDGET_BYTES_PER_SECOND / 1000;
         if earned > 0 {
             self.refilled = now;
             let left = self.left.saturating_add(ByteCount::new(earned));
@@ -61,13 +60,13 @@
     }
 }
 
-/// Rumours to be sent, those sent least often first.
+/// The rumours to send; those sent least often come first.
 #[derive(Debug)]
 pub(super) struct RumourQueue {
     queued: Vec<QueuedRumour>,
-    repeats: u32,
+    max_times_sent: u32,
     budget: ByteBudget,
-    unpushed: bool,
+    has_unpushed: bool,
     next_push: Timestamp,
 }
 
@@ -75,28 +74,32 @@
     fn default() -> Self {
         Self {
             queued: Vec::new(),
-            repeats: EXTRA_REPEATS,
+            max_times_sent: EXTRA_REPEATS,
             budget: ByteBudget {
                 left: BUDGET_LIMIT,
                 refilled: Timestamp::ZERO,
             },
-            unpushed: false,
+            has_unpushed: false,
             next_push: Timestamp::ZERO,
         }
     }
 }
 
 impl RumourQueue {
-    /// Bounds the repeats by the logarithm of the number of hosts.
+    /// Sets how often each rumour is sent, from the logarithm of the number of
+    /// hosts.
     pub(super) fn set_fleet_size(&mut self, hosts: usize) {
-        self.repeats = EXTRA_REPEATS + usize::BITS - hosts.leading_zeros();
+        self.max_times_sent = EXTRA_REPEATS + usize::BITS - hosts.leading_zeros();
     }
 
-    /// Queues what is believed of `host`, as news.
+    /// Queues the claim about `host` as new.
     pub(super) fn push(&mut self, host: HostId) {
         self.queued.retain(|rumour| rumour.host != host);
-        self.queued.push(QueuedRumour { host, sent: 0 });
-        self.unpushed = true;
+        self.queued.push(QueuedRumour {
+            host,
+            times_sent: 0,
+        });
+        self.has_unpushed = true;
         if self.queued.len() > QUEUE_LIMIT {
             self.drop_most_sent();
         }
@@ -104,7 +107,7 @@
 
     fn drop_most_sent(&mut self) {
         let positions = (0..self.queued.len()).rev();
-        let most = positions.max_by_key(|position| self.queued[*position].sent);
+        let most = positions.max_by_key(|position| self.queued[*position].times_sent);
         if let Some(position) = most {
             self.queued.remove(position);
         }
@@ -112,18 +115,18 @@
 
     pub(super) fn clear(&mut self) {
         self.queued.clear();
-        self.unpushed = false;
+        self.has_unpushed = false;
     }
 
-    /// Does not spread what is believed of `host` any further.
+    /// Stops spreading the claim about `host`.
     pub(super) fn withdraw(&mut self, host: HostId) {
         self.queued.retain(|rumour| rumour.host != host);
     }
 
-    /// Whether news is to be pushed now, and so many messages for it are within
-    /// the budget, which then pays for them.
+    /// Starts a push if there are new rumours, it is time, and the budget allows
+    /// the cost of `messages`, which is then deducted. Returns whether it did.
     pub(super) fn begin_push(&mut self, now: Timestamp, messages: usize) -> bool {
-        if !self.unpushed || now < self.next_push || self.queued.is_empty() {
+        if !self.has_unpushed || now < self.next_push || self.queued.is_empty() {
             return false;
         }
         self.budget.refill(now);
@@ -131,23 +134,24 @@
         if !self.budget.spend(cost) {
             return false;
         }
-        self.unpushed = false;
+        self.has_unpushed = false;
         self.next_push = now.after(PUSH_INTERVAL);
         true
     }
 
-    /// Up to `limit` hosts to tell about, counted as told.
+    /// Returns up to `limit` hosts whose claims to send, and counts them as sent.
     pub(super) fn take(&mut self, now: Timestamp, limit: usize) -> Vec<HostId> {
         self.budget.refill(now);
-        let repeats = self.repeats;
-        self.queued.retain(|rumour| rumour.sent < repeats);
-        self.queued.sort_by_key(|rumour| rumour.sent);
+        let max_times_sent = self.max_times_sent;
+        self.queued
+            .retain(|rumour| rumour.times_sent < max_times_sent);
+        self.queued.sort_by_key(|rumour| rumour.times_sent);
         let mut taken = Vec::new();
         for rumour in self.queued.iter_mut().take(limit) {
             if !self.budget.spend(RUMOUR_COST) {
                 break;
             }
-            rumour.sent += 1;
+            rumour.times_sent += 1;
             taken.push(rumour.host);
         }
         taken
--- a/crates/cardamomwinch_coordination/src/control/membership/ticking.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/ticking.rs
@@ -1,49 +1,49 @@
-//! What a host does as time passes.
+//! Periodic work: probes, exchanges and pushes of rumours.
 
 use cardamomwinch_protocol::peer::membership::{
     HostStanding, MembershipContent, MembershipMessage,
 };
 use cardamomwinch_state::prelude::{DomainId, HostId};
 
-use crate::control::membership::ring::{ProbeAction, ProbeEvidence, REST_INTERVAL};
+use crate::control::membership::ring::{ProbeAction, ProbeEvidence, RETRY_INTERVAL};
 use crate::control::membership::rumours::PUSH_LIMIT;
 use crate::control::membership::{
     ISOLATED_AFTER, MembershipContext, MembershipEvent, MembershipOutput, MembershipSend,
     PeerMembership,
 };
 
-/// Others that are asked to ping a host that does not answer.
+/// How many other hosts are asked to ping a host that does not answer.
 const HELPER_COUNT: usize = 2;
-/// Hosts of the own domain that news is pushed to.
-const NEAR_PUSHES: usize = 2;
-/// Hosts of other domains that news is pushed to.
-const FAR_PUSHES: usize = 1;
-/// One in so many exchanges is with a host of another domain.
-const FAR_EXCHANGE: usize = 2;
+/// How many hosts of the own domain new rumours are pushed to.
+const DOMAIN_PUSHES: usize = 2;
+/// How many hosts of other domains new rumours are pushed to.
+const OTHER_DOMAIN_PUSHES: usize = 1;
+/// On average, one exchange in this number is with a host of another domain.
+const OTHER_DOMAIN_EXCHANGE_PERIOD: usize = 2;
 
 impl PeerMembership {
-    /// Decides what is due. To be called about every 100 ms.
+    /// Runs all periodic work that is due. To be called about every 100 ms.
     pub fn tick(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput) {
-        self.observe_time(context.now);
+        self.detect_pause(context.now);
         self.last_tick = Some(context.now);
         self.refresh(context);
         self.probe_ring(context, output);
         self.probe_links(context, output);
-        self.revive(context, output);
-        self.compare(context, output);
+        self.probe_lost_host(context, output);
+        self.start_exchange(context, output);
         self.push_news(context, output);
         output.events.append(&mut self.events);
     }
 
-    /// Takes over a list that was adopted since the last call.
+    /// Applies the current digest and, if it has changed, the current host list.
     pub(super) fn refresh(&mut self, context: &MembershipContext<'_>) {
-        self.observe_digest(context);
+        self.track_digest(context);
         if !self.view.refresh(context.identity, context.hosts) {
             return;
         }
         let hosts = context.hosts;
         self.jitter.seed(context.identity);
-        self.lists.adopt(hosts);
+        self.list_history.adopt(hosts);
         self.members.retain_listed(hosts);
         self.peers.retain_listed(context.now, hosts);
         self.ring.retain(|host| hosts.get(host).is_some());
@@ -53,7 +53,7 @@
 
     fn neighbours(&self, context: &MembershipContext<'_>) -> Vec<HostId> {
         let usable = |host: &&HostId| {
-            !self.members.is_dead(**host) && !self.ring.is_resting(context.now, **host)
+            !self.members.is_dead(**host) && !self.ring.is_deferred(context.now, **host)
         };
         let ring = self.view.ring();
         let next = ring.iter().find(usable);
@@ -68,8 +68,8 @@
             self.step_probe(context, host, output);
         }
         for host in self.neighbours(context) {
-            let heard = self.peers.last_heard(host);
-            if self.ring.begin(context.now, host, heard) {
+            let last_received = self.peers.last_received(host);
+            if self.ring.start(context.now, host, last_received) {
                 self.send(context, host, MembershipContent::Ping, output);
             }
         }
@@ -82,28 +82,28 @@
         output: &mut MembershipOutput,
     ) {
         let evidence = ProbeEvidence {
-            target_heard: self.peers.last_heard(host),
-            others_heard: self.peers.last_heard_besides(host),
+            target_received: self.peers.last_received(host),
+            others_received: self.peers.last_received_except(host),
             known: self.members.standing(host).is_some(),
         };
-        let rest = self.jitter.around(REST_INTERVAL);
-        match self.ring.step(context.now, host, evidence, rest) {
+        let retry_delay = self.jitter.around(RETRY_INTERVAL);
+        match self.ring.step(context.now, host, evidence, retry_delay) {
             ProbeAction::Wait => {}
             ProbeAction::Ping => self.send(context, host, MembershipContent::Ping, output),
-            ProbeAction::AskOthers => self.ping_indirectly(context, host, output),
+            ProbeAction::PingIndirectly => self.ping_indirectly(context, host, output),
             ProbeAction::Suspect => {
                 self.set_suspect(host, true);
                 self.ping_indirectly(context, host, output);
             }
             ProbeAction::Finish => self.set_suspect(host, false),
-            ProbeAction::Claim => self.claim_dead(host),
+            ProbeAction::ClaimDead => self.claim_dead(host),
         }
     }
 
     fn claim_dead(&mut self, host: HostId) {
         if let Some(standing) = self.members.standing(host) {
             let dead = true;
-            self.learn(host, HostStanding { dead, ..standing });
+            self.merge_claim(host, HostStanding { dead, ..standing });
         }
     }
 
@@ -114,10 +114,10 @@
         output: &mut MembershipOutput,
     ) {
         self.send(context, target, MembershipContent::Ping, output);
-        let mut near = self.reachable_mates();
+        let mut near = self.alive_in_domain();
         near.retain(|host| *host != target);
-        let far = self.reachable_strangers();
-        // One of the own domain, and the others of other domains where they can.
+        let far = self.alive_in_other_domains();
+        // One helper of the own domain; the rest come from other domains.
         let mut helpers = self.jitter.sample(&near, 1);
         let missing = HELPER_COUNT - helpers.len();
         helpers.extend(self.jitter.sample(&far, missing));
@@ -127,14 +127,14 @@
         }
     }
 
-    /// The hosts of the own domain that answer.
-    fn reachable_mates(&self) -> Vec<HostId> {
-        let mates = self.view.ring().iter().copied();
-        mates.filter(|host| self.members.is_alive(*host)).collect()
+    /// The other hosts of the own domain that are alive.
+    fn alive_in_domain(&self) -> Vec<HostId> {
+        let peers = self.view.ring().iter().copied();
+        peers.filter(|host| self.members.is_alive(*host)).collect()
     }
 
-    /// The hosts of other domains that answer.
-    fn reachable_strangers(&self) -> Vec<HostId> {
+    /// The hosts that are alive in other domains that are not cut off.
+    fn alive_in_other_domains(&self) -> Vec<HostId> {
         let domains = self.view.others().iter();
         domains
             .filter(|(domain, _)| !self.links.is_cut(**domain))
@@ -155,7 +155,7 @@
         } = self;
         let connected = |domain: DomainId| {
             let outside = |host| view.domain_of(host).is_some_and(|of| of != domain);
-            now.since(peers.last_heard_where(outside)) < ISOLATED_AFTER
+            now.since(peers.last_received_where(outside)) < ISOLATED_AFTER
         };
         let actions = links.step(now, connected, jitter);
         for pings in actions.pings {
@@ -172,13 +172,14 @@
         }
     }
 
-    /// Pings a host now and then that is dead or was never heard of, so that
-    /// both sides of a cut within a domain find each other again.
-    fn revive(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput) {
-        if context.now < self.next_revival {
+    /// From time to time pings a host of the own domain that is dead or unknown,
+    /// so that both sides of a network partition within the domain find each
+    /// other again.
+    fn probe_lost_host(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput) {
+        if context.now < self.next_lost_probe {
             return;
         }
-        self.next_revival = context.now.after(self.jitter.around(REST_INTERVAL));
+        self.next_lost_probe = context.now.after(self.jitter.around(RETRY_INTERVAL));
         let lost = |host: &HostId| {
             let standing = self.members.standing(*host);
             standing.is_none_or(|standing| standing.dead)
@@ -190,16 +191,16 @@
         }
     }
 
-    fn compare(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput) {
+    fn start_exchange(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput) {
         let missing = self.members.len() + 1 < context.hosts.hosts.len();
         if !self.exchange.due(context.now, missing, &mut self.jitter) {
             return;
         }
-        let Some(host) = self.choose_exchange() else {
+        let Some(host) = self.choose_exchange_partner() else {
             return;
         };
         let theirs = self.peers.get(host).map(|peer| peer.digest.host_list);
-        let Some(list) = self.lists.common(theirs.unwrap_or_default()) else {
+        let Some(list) = self.list_history.common_version(theirs.unwrap_or_default()) else {
             return;
         };
         let hashes = self.block_hashes(context, list);
@@ -209,35 +210,36 @@
         output.sends.push(MembershipSend { host, message });
     }
 
-    fn choose_exchange(&mut self) -> Option<HostId> {
+    fn choose_exchange_partner(&mut self) -> Option<HostId> {
         if let Some(host) = self.exchange.take_preferred() {
             return Some(host);
         }
-        let mates = self.reachable_mates();
-        let strangers = self.reachable_strangers();
-        let far = mates.is_empty() || self.jitter.below(FAR_EXCHANGE) == 0;
-        let candidates = if far && !strangers.is_empty() {
-            strangers
+        let near = self.alive_in_domain();
+        let far = self.alive_in_other_domains();
+        let prefer_far = near.is_empty() || self.jitter.below(OTHER_DOMAIN_EXCHANGE_PERIOD) == 0;
+        let candidates = if prefer_far && !far.is_empty() {
+            far
         } else {
-            mates
+            near
         };
         self.jitter.sample(&candidates, 1).first().copied()
     }
 
-    /// Sends news at once to a few hosts instead of waiting for the next probe.
+    /// Sends new rumours to a few hosts immediately instead of waiting for the
+    /// next probe.
     pub(super) fn push_news(
         &mut self,
         context: &MembershipContext<'_>,
         output: &mut MembershipOutput,
     ) {
-        let messages = NEAR_PUSHES + FAR_PUSHES;
+        let messages = DOMAIN_PUSHES + OTHER_DOMAIN_PUSHES;
         if !self.rumours.begin_push(context.now, messages) {
             return;
         }
-        let near = self.reachable_mates();
-        let far = self.reachable_strangers();
-        let mut targets = self.jitter.sample(&near, NEAR_PUSHES);
-        targets.extend(self.jitter.sample(&far, FAR_PUSHES));
+        let near = self.alive_in_domain();
+        let far = self.alive_in_other_domains();
+        let mut targets = self.jitter.sample(&near, DOMAIN_PUSHES);
+        targets.extend(self.jitter.sample(&far, OTHER_DOMAIN_PUSHES));
         for host in targets {
             let header = self.header(context, host, PUSH_LIMIT);
             let content = MembershipContent::Rumours;
--- a/crates/cardamomwinch_coordination/src/control/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/mod.rs
@@ -1,5 +1,6 @@
-//! Decides what is in force, which hosts are reachable, and who is home of
-//! what; publishes the result as snapshots for the traffic threads.
+//! Decides which configuration is in force, which hosts are reachable and which
+//! host is the home of each shard, and publishes the result as snapshots for
+//! the traffic threads.
 
 pub mod adoption;
 mod decision_records;
@@ -35,9 +36,10 @@
 use crate::identity::HostIdentity;
 use crate::snapshot::ServingPhase;
 
-/// A host that hears nobody for this long does not act on what it believes.
-/// Peers send several times a second, so that loss alone never lasts as long.
-const CONTACT_LIMIT: time::Duration = time::Duration::from_secs(2);
+/// A host that has received nothing from peers or the platform for this long no
+/// longer acts on its state until it is confirmed. Peers send several times a
+/// second, so packet loss alone does not cause such a gap.
+const CONTACT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// The control decisions of one host.
 #[derive(Debug)]
@@ -50,20 +52,21 @@
     health: HealthTable,
     publisher: SnapshotPublisher,
     last_event: Option<Timestamp>,
-    /// When a peer or the platform was last heard.
+    /// When the last message of a peer or answer of the platform was received.
     last_contact: Timestamp,
-    /// Whether the last snapshot was published as confirmed.
+    /// Whether the configuration was confirmed when the last snapshot was
+    /// published.
     published_confirmed: bool,
     domain_names: SortedVector<DomainId, String>,
     platform: PlatformHealth,
 }
 
-/// How the platform answers.
+/// The state of calls to the platform.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformHealth {
-    /// Whether the last call was answered.
+    /// Whether the last call succeeded.
     pub reachable: bool,
-    /// Answers older than what was accepted already.
+    /// The number of answers that were older than what was already accepted.
     pub stale_answers: u64,
 }
 
@@ -86,65 +89,65 @@
         }
     }
 
-    /// Who this host is.
+    /// The identity of this host.
     pub fn identity(&self) -> HostIdentity {
         self.identity
     }
 
-    /// What is in force.
+    /// The configuration in force.
     pub fn configuration(&self) -> &InForceConfiguration {
         self.publisher.configuration()
     }
 
-    /// How the platform answers.
+    /// The state of calls to the platform.
     pub fn platform_health(&self) -> PlatformHealth {
         self.platform
     }
 
-    /// The name of a failure domain, or its identifier where no fragment names it.
+    /// The name of a failure domain, or its identifier if no fragment names it.
     pub fn domain_name(&self, domain: DomainId) -> String {
         let name = self.domain_names.get(&domain);
         name.cloned().unwrap_or_else(|| domain.to_string())
     }
 
-    /// Whether the host serves.
+    /// The serving phase of the host.
     pub fn phase(&self) -> ServingPhase {
         self.phase
     }
 
-    /// What is accepted.
+    /// The accepted documents and the state of their adoption.
     pub fn adoption(&self) -> &ConfigurationAdoption {
         &self.adoption
     }
 
-    /// Who is reachable.
+    /// The reachability of the other hosts.
     pub fn membership(&self) -> &PeerMembership {
         &self.membership
     }
 
-    /// Who is home of what.
+    /// The homes of the shards.
     pub fn homes(&self) -> &HomeTable {
         &self.homes
     }
 
-    /// Published documents that are not in force, and why.
+    /// The published documents that were refused, and why.
     pub fn refused_fragments(&self) -> Vec<RefusedDocument> {
         self.adoption.refused()
     }
 
-    /// Decides about `event` at `now` and gives the effects to `sink`.
+    /// Handles `event` at `now` and emits the effects into `sink`.
     pub fn handle<S: ControlSink>(&mut self, now: Timestamp, event: ControlEvent, sink: &mut S) {
         self.note_home_event(now);
-        self.note_gap(now, sink);
+        self.detect_pause(now, sink);
         match event {
             ControlEvent::Start => {
                 let mut effects = Vec::new();
                 self.adoption.start(now, &mut effects);
-                self.apply(now, effects, sink);
+                self.apply_adoption_effects(now, effects, sink);
             }
             ControlEvent::Tick => self.tick(now, sink),
-            ControlEvent::Peer(envelope) => self.take_peer(now, &envelope, sink),
-            ControlEvent::Platform(outcome) => self.take_platform(now, outcome, sink),
+            ControlEvent::Peer(envelope) => self.handle_peer_message(now, &envelope, sink),
+            ControlEvent::Platform(outcome) => self.handle_platform_outcome(now, outcome, sink),
             ControlEvent::Load { backend, result } => {
                 self.health.take_load(now, backend, result);
                 self.review_health(now, sink);
@@ -152,8 +155,8 @@
             ControlEvent::Observed(observations) => {
                 self.health.take_observations(now, &observations);
             }
-            ControlEvent::HandOver(chunk) => self.take_exported(now, chunk, sink),
-            ControlEvent::TookOver(report) => self.take_imported(now, report, sink),
+            ControlEvent::HandOver(chunk) => self.handle_exported_chunk(now, chunk, sink),
+            ControlEvent::TookOver(report) => self.handle_import_report(now, report, sink),
             ControlEvent::Stop => {
                 self.phase = ServingPhase::Stopping;
                 self.stop_homes(now, sink);
@@ -162,14 +165,15 @@
         }
     }
 
-    /// Guards against acting on old beliefs after the process was paused or
-    /// the control thread hung: events are further apart than ticks ever are,
-    /// so that what happened meanwhile may have been missed. Snapshots
-    /// do not count again before what is accepted was compared with others.
-    fn note_gap<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
+    /// Detects that the process was paused or the control thread hung, by a gap
+    /// between events that is longer than the interval between ticks. Changes in
+    /// this time may have been missed, so snapshots are not fresh until the
+    /// accepted state has been compared with that of other hosts or the
+    /// platform.
+    fn detect_pause<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         let last = self.last_event.replace(now);
-        let slept = last.is_some_and(|last| now.since(last) > bounds::SLEEP_GAP);
-        if slept {
+        let paused = last.is_some_and(|last| now.since(last) > bounds::SLEEP_GAP);
+        if paused {
             self.adoption.note_sleep(now);
             sink.emit(ControlEffect::Count(Counter::WokeLate));
             self.publish(now, sink);
@@ -182,18 +186,18 @@
         }
         let mut effects = Vec::new();
         self.adoption.tick(now, &self.membership, &mut effects);
-        self.apply(now, effects, sink);
+        self.apply_adoption_effects(now, effects, sink);
         let mut output = MembershipOutput::default();
         let context = peer_messages::membership_context(now, self.identity, &self.adoption);
         self.membership.tick(&context, &mut output);
         self.apply_membership(now, output, sink);
         self.advance_homes(now, sink);
-        self.ask_loads(now, sink);
+        self.probe_loads(now, sink);
         self.review_health(now, sink);
         self.publish(now, sink);
     }
 
-    fn ask_loads<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
+    fn probe_loads<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         let configuration = self.publisher.configuration();
         self.health.follow(now, configuration, self.homes.shards());
         for question in self.health.due_questions(now, configuration) {
@@ -204,7 +208,8 @@
         }
     }
 
-    /// Judges the servers anew; what changed is in force at once.
+    /// Evaluates the health of the servers again and publishes changes
+    /// immediately.
     fn review_health<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         let changes = self.health.review(now, self.publisher.configuration());
         if changes.is_empty() {
@@ -223,7 +228,7 @@
         self.publish(now, sink);
     }
 
-    fn take_platform<S: ControlSink>(
+    fn handle_platform_outcome<S: ControlSink>(
         &mut self,
         now: Timestamp,
         outcome: PlatformOutcome,
@@ -236,11 +241,11 @@
         }
         self.adoption
             .take_platform(now, outcome, &self.membership, &mut effects);
-        self.apply(now, effects, sink);
+        self.apply_adoption_effects(now, effects, sink);
     }
 
-    /// Carries out what adoption wants done, in its order.
-    fn apply<S: ControlSink>(
+    /// Carries out the effects of adoption in order.
+    fn apply_adoption_effects<S: ControlSink>(
         &mut self,
         now: Timestamp,
         effects: Vec<AdoptionEffect>,
@@ -267,7 +272,7 @@
                     self.send(host, PeerMessage::Configuration(message), sink);
                 }
                 AdoptionEffect::Earlier(tables) => {
-                    self.publisher.learn(tables);
+                    self.publisher.merge_earlier_tables(tables);
                     changed = true;
                 }
                 AdoptionEffect::Count(counter) => {
@@ -291,25 +296,29 @@
                 }
             }
         }
-        // What was awaited may have been confirmed without any change.
+        // The accepted state may have been confirmed without any change.
         if changed || self.adoption.is_confirmed() != self.published_confirmed {
             self.publish(now, sink);
         }
     }
 
-    /// Guards against a host that is cut off from every other and from the
-    /// platform: by its address table it would go on sending packets to servers
-    /// whose address has been given to another service meanwhile. It shows as
-    /// silence of all of them, and once one is heard again what is accepted is
-    /// compared first, as after a sleep. The hosts of a domain that is cut off as a whole
-    /// still hear each other and serve on; so does the only host of a domain,
-    /// since nobody else could. A host that is not listed any more is heard by
-    /// nobody, and its silence tells nothing.
+    /// How long the accepted state may be relied on without contact to peers or
+    /// the platform.
+    ///
+    /// A host that is cut off from all of them would otherwise continue to send
+    /// packets to server addresses that have been assigned to another service
+    /// meanwhile. When it has contact again, it first confirms the accepted
+    /// state, as after a pause.
+    ///
+    /// There is no limit for the only host of a domain, because no other host
+    /// could serve instead, nor for a host that is no longer listed, because
+    /// peers ignore its messages. If a whole domain is cut off, its hosts still
+    /// receive messages from each other and continue to serve.
     fn trusted_until(&self) -> Timestamp {
         let hosts = self.adoption.hosts();
         let listed = hosts.get(self.identity.host).is_some();
         match hosts.in_domain(self.identity.domain).count() {
-            2.. if listed => self.last_contact.after(CONTACT_LIMIT),
+            2.. if listed => self.last_contact.after(CONTACT_TIMEOUT),
             _ => Timestamp::MAX,
         }
     }
@@ -325,7 +334,7 @@
             self.phase = ServingPhase::Serving;
         }
         self.refresh_homes(now);
-        let mut snapshot = self.publisher.make(
+        let mut snapshot = self.publisher.make_snapshot(
             now,
             self.identity,
             self.phase,
@@ -336,9 +345,9 @@
         snapshot.backends = self.health.views(now);
         self.published_confirmed = self.adoption.is_confirmed();
         if !self.published_confirmed {
-            // Guards against routing by beliefs that went stale while the host
-            // slept: a snapshot that was never fresh makes traffic threads
-            // hand datagrams on to peers.
+            // The state may have become stale during a pause. With a snapshot
+            // that was never fresh, traffic threads relay datagrams to peers
+            // instead of routing them.
             snapshot.fresh_until = Timestamp::ZERO;
         }
         sink.emit(ControlEffect::Publish(sync::Arc::new(snapshot)));
--- a/crates/cardamomwinch_coordination/src/control/peer_messages.rs
+++ b/crates/cardamomwinch_coordination/src/control/peer_messages.rs
@@ -1,4 +1,4 @@
-//! What the engine says to other hosts, and what it makes of what they say.
+//! Sends control messages to other hosts and handles those received.
 
 use std::net;
 
@@ -47,7 +47,7 @@
         });
     }
 
-    pub(super) fn take_peer<S: ControlSink>(
+    pub(super) fn handle_peer_message<S: ControlSink>(
         &mut self,
         now: Timestamp,
         envelope: &PeerEnvelope,
@@ -55,46 +55,46 @@
     ) {
         if self.adoption.hosts().get(envelope.sender).is_none() {
             if let PeerMessage::Configuration(message) = &envelope.message {
-                // A host that starts, or whose list is old, learns from hosts
-                // that its own list does not name.
-                return self.take_configuration(now, envelope.sender, message, sink);
+                // A host that is starting or has an old list also accepts
+                // configuration from hosts that its own list does not contain.
+                return self.handle_configuration_message(now, envelope.sender, message, sink);
             }
             return sink.emit(ControlEffect::Count(Counter::PeerUnlisted));
         }
-        let life = self
+        let known = self
             .membership
             .get(envelope.sender)
             .map(|peer| peer.incarnation);
-        if self.membership.note(now, envelope).is_err() {
-            // Messages about configuration may overtake one another: merging
-            // what they say can only raise the state, whereas dropping an
-            // offer that a later heartbeat has overtaken leaves a host behind.
+        if self.membership.accept_message(now, envelope).is_err() {
+            // Configuration messages may arrive out of order: merging one never
+            // replaces newer state by older, but dropping an offer because a
+            // later heartbeat arrived first would leave this host outdated.
             if let PeerMessage::Configuration(message) = &envelope.message
-                && life.is_none_or(|life| life <= envelope.incarnation)
+                && known.is_none_or(|known| known <= envelope.incarnation)
             {
-                return self.take_configuration(now, envelope.sender, message, sink);
+                return self.handle_configuration_message(now, envelope.sender, message, sink);
             }
             return sink.emit(ControlEffect::Count(Counter::PeerReplayed));
         }
         self.last_contact = now;
         match &envelope.message {
             PeerMessage::Membership(message) => {
-                self.take_membership(now, envelope, message, sink);
+                self.handle_membership_message(now, envelope, message, sink);
                 if let Some(digest) = message.digest() {
                     let mut effects = Vec::new();
                     let sender = envelope.sender;
                     self.adoption.note_digest(now, sender, digest, &mut effects);
-                    self.apply(now, effects, sink);
+                    self.apply_adoption_effects(now, effects, sink);
                 }
             }
-            PeerMessage::Home(message) => self.take_home(now, envelope, message, sink),
+            PeerMessage::Home(message) => self.handle_home_message(now, envelope, message, sink),
             PeerMessage::Configuration(message) => {
-                self.take_configuration(now, envelope.sender, message, sink);
+                self.handle_configuration_message(now, envelope.sender, message, sink);
             }
         }
     }
 
-    pub(super) fn take_configuration<S: ControlSink>(
+    pub(super) fn handle_configuration_message<S: ControlSink>(
         &mut self,
         now: Timestamp,
         sender: HostId,
@@ -104,10 +104,10 @@
         let mut effects = Vec::new();
         self.adoption
             .take_message(now, sender, message, &mut effects);
-        self.apply(now, effects, sink);
+        self.apply_adoption_effects(now, effects, sink);
     }
 
-    pub(super) fn take_membership<S: ControlSink>(
+    pub(super) fn handle_membership_message<S: ControlSink>(
         &mut self,
         now: Timestamp,
         envelope: &PeerEnvelope,
@@ -117,7 +117,7 @@
         let mut output = MembershipOutput::default();
         let context = membership_context(now, self.identity, &self.adoption);
         self.membership
-            .take(&context, envelope, message, &mut output);
+            .handle_message(&context, envelope, message, &mut output);
         self.apply_membership(now, output, sink);
     }
 
--- a/crates/cardamomwinch_coordination/src/control/publication.rs
+++ b/crates/cardamomwinch_coordination/src/control/publication.rs
@@ -1,4 +1,4 @@
-//! Makes the snapshots that traffic threads decide against.
+//! Builds the snapshots that traffic threads route by.
 
 use std::net;
 use std::sync;
@@ -16,16 +16,17 @@
 use crate::routing::generations::GenerationHistory;
 use crate::snapshot::{RoutingSnapshot, ServingPhase};
 
-/// Traffic may rely on a snapshot this long.
-pub(crate) const SNAPSHOT_FRESH_FOR: time::Duration = time::Duration::from_millis(1500);
+/// How long after its creation a snapshot is fresh.
+pub(crate) const SNAPSHOT_LIFETIME: time::Duration = time::Duration::from_millis(1500);
 
-/// What is in force, in the form that traffic needs.
+/// The configuration in force and the data derived from it for snapshots.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotPublisher {
     configuration: sync::Arc<InForceConfiguration>,
     history: GenerationHistory,
-    /// Earlier tables that came before the first configuration.
-    awaiting: Option<EarlierTables>,
+    /// Tables of earlier versions that were received before the first
+    /// configuration came into force.
+    pending_tables: Option<EarlierTables>,
     retained: SortedVector<BackendId, BackendEntry>,
     server_addresses: sync::Arc<SortedVector<net::SocketAddr, ServiceId>>,
     domain_names: sync::Arc<SortedVector<DomainId, String>>,
@@ -38,9 +39,10 @@
         &self.configuration
     }
 
-    /// Takes a configuration into force. Servers that it no longer has are
-    /// retained, so that their open flows go on, for as long as a kept
-    /// generation names them; a token names its server by itself.
+    /// Puts a configuration in force. Servers that it no longer contains are
+    /// retained as long as a kept generation contains them, so that their open
+    /// flows continue. Flows with a token do not depend on this, since the token
+    /// contains the server.
     pub(crate) fn adopt(
         &mut self,
         now: Timestamp,
@@ -60,28 +62,28 @@
             .map(|entry| (entry.address, entry.service));
         self.server_addresses = sync::Arc::new(addresses.collect());
         self.configuration = sync::Arc::new(configuration);
-        self.drop_unnamed();
-        if let Some(tables) = self.awaiting.take() {
-            self.learn(tables);
+        self.drop_unused_servers();
+        if let Some(tables) = self.pending_tables.take() {
+            self.merge_earlier_tables(tables);
         }
     }
 
-    /// Takes in what a peer keeps of earlier versions. Guards against a fleet
-    /// that forgets, host by host as it is restarted, where earlier tables
-    /// placed flows without token: those flows would be reset.
-    pub(crate) fn learn(&mut self, tables: EarlierTables) {
+    /// Merges the tables of earlier versions that a peer keeps. Otherwise, a
+    /// restart of all hosts one after another would lose these tables, and flows
+    /// without token that were placed by them would be reset.
+    pub(crate) fn merge_earlier_tables(&mut self, tables: EarlierTables) {
         if self.configuration.version == ConfigurationVersion::ZERO {
-            self.awaiting = Some(tables);
+            self.pending_tables = Some(tables);
             return;
         }
         self.history.learn(&tables.generations);
         for entry in tables.retained {
             self.retained.insert(entry.id, entry);
         }
-        self.drop_unnamed();
+        self.drop_unused_servers();
     }
 
-    /// What a host that starts lacks of earlier versions.
+    /// The tables and servers of earlier versions, for a host that is starting.
     pub(crate) fn earlier_tables(&self) -> EarlierTables {
         EarlierTables {
             generations: self.history.listed(),
@@ -89,14 +91,14 @@
         }
     }
 
-    fn drop_unnamed(&mut self) {
+    fn drop_unused_servers(&mut self) {
         let in_force = &self.configuration.backends;
         let history = &self.history;
         self.retained
             .retain(|id, entry| !in_force.contains_key(id) && history.names(entry.service, *id));
     }
 
-    pub(crate) fn make(
+    pub(crate) fn make_snapshot(
         &mut self,
         now: Timestamp,
         identity: HostIdentity,
@@ -112,7 +114,7 @@
         RoutingSnapshot {
             made: now,
             phase,
-            fresh_until: now.after(SNAPSHOT_FRESH_FOR),
+            fresh_until: now.after(SNAPSHOT_LIFETIME),
             configuration: sync::Arc::clone(&self.configuration),
             hosts: sync::Arc::clone(hosts),
             hosts_since: self.hosts_since,
@@ -129,8 +131,8 @@
     }
 }
 
-/// Whether some domain has no home that can be reached. Shards are sorted by
-/// domain, so that those of a domain lie side by side.
+/// Whether some domain has no reachable home. Shards are sorted by domain, so
+/// those of a domain are adjacent.
 fn any_domain_cut_off(homes: &HomeTable) -> bool {
     let mut current: Option<(DomainId, bool)> = None;
     for (shard, view) in homes.shards().iter() {
--- a/crates/cardamomwinch_coordination/tests/membership_cost.rs
+++ b/crates/cardamomwinch_coordination/tests/membership_cost.rs
@@ -1,4 +1,4 @@
-//! What membership may cost, in simulated time.
+//! The bandwidth that membership uses, in simulated time.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -11,11 +11,13 @@
 
 use membership_network::{Network, NetworkOptions};
 
-/// Bytes a second that one host may send for membership, headers included.
+/// The maximum rate of membership messages of one host in bytes per second,
+/// including IP and UDP headers.
 const BUDGET: u64 = 700;
 
-// A host has two kilobytes a second for all of control, and membership may use
-// 700 bytes of them, however many hosts there are.
+// A host may send two kilobytes per second of control messages, of which
+// membership may use 700 bytes, for any number of hosts. A protocol whose cost
+// grows with the number of hosts would exceed this.
 #[parameterized(
     nine_hosts = { 9, 0.0, 300 },
     nine_hosts_with_loss = { 9, 0.05, 300 },
@@ -24,10 +26,10 @@
 fn each_host_stays_within_the_budget(hosts: usize, loss: f64, duration: u64) {
     let mut network = Network::<PeerMembership>::new(NetworkOptions::new(hosts, loss, 3));
     let limit = time::Duration::from_secs(120);
-    assert!(network.run_until(limit, Network::all_see_all).is_some());
-    // The news of a start of the whole fleet takes this long to die down.
+    assert!(network.run_until(limit, Network::all_reach_all).is_some());
+    // After a start of all hosts, the rumours about them take this long to end.
     network.run(time::Duration::from_secs(90));
-    network.forget_traffic();
+    network.reset_traffic_counts();
     network.run(time::Duration::from_secs(duration));
     for host in &network.hosts {
         let rate = host.sent_bytes / duration;
--- a/crates/cardamomwinch_coordination/tests/membership_messages.rs
+++ b/crates/cardamomwinch_coordination/tests/membership_messages.rs
@@ -1,5 +1,5 @@
-//! Single messages: replays, reordering, refutation, and what control does
-//! with the outcome.
+//! Handling of single messages: replays, reordering, refutation, and the
+//! resulting effects of the control engine.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -80,21 +80,23 @@
         digest: digest(hosts.version),
     };
     let mut output = MembershipOutput::default();
-    membership.note(now, envelope).unwrap();
+    membership.accept_message(now, envelope).unwrap();
     if let PeerMessage::Membership(message) = &envelope.message {
-        membership.take(&context, envelope, message, &mut output);
+        membership.handle_message(&context, envelope, message, &mut output);
     }
     output
 }
 
-// The network swaps two messages of a peer. If the earlier one were refused, a
-// lease it carried would be lost though nothing was wrong. One that comes twice
-// is refused, and so is one of an earlier life, whatever its number.
+// The network reorders two messages of a peer. If the earlier one were rejected
+// because it arrived late, a lease that it carries would be lost without need. A
+// message that arrives twice must be rejected, and so must any message of an
+// earlier incarnation.
 #[test]
-fn reordered_messages_are_taken_and_replays_are_not() {
+fn reordered_messages_are_accepted_and_replays_are_not() {
     let mut membership = PeerMembership::default();
-    let mut note =
-        |incarnation, sequence| membership.note(START, &envelope(1, incarnation, sequence));
+    let mut note = |incarnation, sequence| {
+        membership.accept_message(START, &envelope(1, incarnation, sequence))
+    };
     assert_eq!(note(7, 300), Ok(()));
     assert_eq!(note(7, 298), Ok(()));
     assert_eq!(note(7, 299), Ok(()));
@@ -109,17 +111,18 @@
     assert_eq!(note(7, 1001), Err(PeerRejection::Replayed));
 }
 
-// Others claim that this host is dead, since it was slow. It must say that it
-// is not, with a count above the claim's, or it stays dead to all for ever.
+// Other hosts claim that this host is dead, because it was slow. It must refute
+// this with a higher refutation count than that of the claim. Otherwise the
+// others would consider it dead forever.
 #[test]
-fn a_host_refutes_its_own_death() {
+fn a_host_refutes_the_claim_that_it_is_dead() {
     let mut membership = PeerMembership::default();
     let hosts = hosts();
     let own = identity(0);
-    let mut accusation = envelope(1, 7, 1);
+    let mut accusing = envelope(1, 7, 1);
     let claim = rumour(&hosts, own.host, own.incarnation.get(), true);
-    accusation.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
-    let output = take(&mut membership, START, &accusation);
+    accusing.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
+    let output = take(&mut membership, START, &accusing);
     let sends = output.sends.iter();
     let mut headers = sends.map(|send| &send.message.header);
     assert!(headers.all(|header| header.refutation == RefutationCount::new(1)));
@@ -137,45 +140,47 @@
     }));
 }
 
-// A host that was claimed dead wakes up and says that a third one is dead. It
-// is told of its own death, and what it says of others is not taken until it
-// has refuted that.
+// A host that was claimed dead resumes after a pause and claims that a third host
+// is dead. This claim is probably outdated, so claims of a host that is
+// considered dead must be ignored until it has refuted the claim about itself.
+// The answer to its ping must contain that claim.
 #[test]
-fn a_host_held_for_dead_is_not_believed() {
+fn claims_of_a_host_considered_dead_are_ignored() {
     let mut membership = PeerMembership::default();
     let hosts = hosts();
-    let (sleeper, third) = (identity(1).host, identity(2).host);
+    let (paused, third) = (identity(1).host, identity(2).host);
     take(&mut membership, START, &envelope(2, 9, 1));
-    let mut obituary = envelope(3, 5, 1);
-    let claim = rumour(&hosts, sleeper, 7, true);
-    obituary.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
-    take(&mut membership, START, &obituary);
-    assert_eq!(membership.reachability(sleeper), Reachability::Dead);
+    let mut accusing = envelope(3, 5, 1);
+    let claim = rumour(&hosts, paused, 7, true);
+    accusing.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
+    take(&mut membership, START, &accusing);
+    assert_eq!(membership.reachability(paused), Reachability::Dead);
 
     let mut late = envelope(1, 7, 900);
     let claim = rumour(&hosts, third, 9, true);
     late.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
     let output = take(&mut membership, START, &late);
-    assert_eq!(membership.reachability(sleeper), Reachability::Dead);
+    assert_eq!(membership.reachability(paused), Reachability::Dead);
     assert_eq!(membership.reachability(third), Reachability::Alive);
     let answer = output
         .sends
         .iter()
-        .find(|send| send.host == sleeper)
+        .find(|send| send.host == paused)
         .unwrap();
-    let told = answer.message.header.rumours.as_ref().unwrap();
-    assert!(told.rumours.iter().any(|rumour| rumour.standing.dead));
+    let batch = answer.message.header.rumours.as_ref().unwrap();
+    assert!(batch.rumours.iter().any(|rumour| rumour.standing.dead));
 
     let mut refuted = envelope(1, 7, 901);
     if let PeerMessage::Membership(message) = &mut refuted.message {
         message.header.refutation = RefutationCount::new(1);
     }
     take(&mut membership, START, &refuted);
-    assert_eq!(membership.reachability(sleeper), Reachability::Alive);
+    assert_eq!(membership.reachability(paused), Reachability::Alive);
 }
 
-// The digest of a peer that answers a ping must be known also when the answer
-// leaves it out, or its host would be taken to have accepted nothing.
+// A pong omits the digest if it is the same as that of the ping. It must be
+// recorded all the same, because otherwise the peer would seem to have accepted
+// no configuration.
 #[test]
 fn digests_of_neighbours_are_known() {
     let mut network = Network::<PeerMembership>::new(NetworkOptions::new(9, 0.0, 5));
@@ -187,10 +192,10 @@
     }
 }
 
-// The whole control engine: a host that is not listed is refused, and one that
-// is shows in the decision log once it answers.
+// The control engine as a whole must count and ignore messages of a host that is
+// not listed, and must log when a listed host becomes reachable.
 #[test]
-fn control_logs_reachability_and_refuses_unlisted_hosts() {
+fn control_logs_reachability_and_ignores_unlisted_hosts() {
     let mut control = ControlEngine::new(identity(0));
     let text = r#"{"hosts": {
         "host-0": {"domain": "domain-0", "traffic_address": "127.0.0.1:1", "peer_address": "127.0.0.1:2", "relay_address": "127.0.0.1:3", "phase": "live"},
--- a/crates/cardamomwinch_coordination/tests/membership_network/heartbeats.rs
+++ b/crates/cardamomwinch_coordination/tests/membership_network/heartbeats.rs
@@ -1,5 +1,6 @@
-//! The plain baseline: every host pings every other one, four times a second,
-//! and holds for reachable whom it heard of within the last second.
+//! The baseline: every host pings every other host four times a second and
+//! considers a host reachable if it received a message from it within the last
+//! second.
 
 use std::time;
 
@@ -18,17 +19,17 @@
 const REACHABLE_FOR: time::Duration = time::Duration::from_millis(1000);
 
 #[derive(Debug, Clone, Copy)]
-struct HeardPeer {
+struct KnownPeer {
     incarnation: Incarnation,
     sequence: u64,
-    last_heard: Timestamp,
+    last_received: Timestamp,
     lost: bool,
 }
 
 /// All-to-all heartbeats.
 #[derive(Debug, Default)]
 pub struct HeartbeatPolicy {
-    peers: SortedVector<HostId, HeardPeer>,
+    peers: SortedVector<HostId, KnownPeer>,
     sequence: u64,
     next_heartbeat: Timestamp,
 }
@@ -41,7 +42,7 @@
 
     fn tick(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput) {
         for (host, peer) in self.peers.iter_mut() {
-            let lost = context.now.since(peer.last_heard) >= REACHABLE_FOR;
+            let lost = context.now.since(peer.last_received) >= REACHABLE_FOR;
             if lost && !peer.lost {
                 let (host, reachability) = (*host, Reachability::Dead);
                 let event = MembershipEvent::Host { host, reachability };
@@ -72,10 +73,10 @@
         if known.is_some_and(|known| order <= (known.incarnation, known.sequence)) {
             return false;
         }
-        let peer = HeardPeer {
+        let peer = KnownPeer {
             incarnation: envelope.incarnation,
             sequence: envelope.sequence,
-            last_heard: context.now,
+            last_received: context.now,
             lost: false,
         };
         self.peers.insert(envelope.sender, peer);
@@ -92,7 +93,7 @@
 
     fn is_reachable(&self, now: Timestamp, host: HostId) -> bool {
         let peer = self.peers.get(&host);
-        peer.is_some_and(|peer| now.since(peer.last_heard) < REACHABLE_FOR)
+        peer.is_some_and(|peer| now.since(peer.last_received) < REACHABLE_FOR)
     }
 }
 
--- a/crates/cardamomwinch_coordination/tests/membership_network/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/membership_network/mod.rs
@@ -1,6 +1,6 @@
-//! Many hosts side by side with a small network between them, in simulated
-//! time: seeded loss, delay, doubling and reordering; cuts along failure
-//! domains; crashes, pauses and restarts. For tests of membership only.
+//! A simulation of many hosts and the network between them, for membership
+//! tests only: seeded loss, delay, duplication and reordering of messages; cuts
+//! between failure domains; crashes, pauses and restarts of hosts.
 
 #![allow(dead_code, missing_docs, unreachable_pub, clippy::unwrap_used)]
 
@@ -26,13 +26,13 @@
 
 use self::policy::MembershipPolicy;
 
-/// When the simulation begins.
+/// The time at which the simulation starts.
 pub const START: Timestamp = Timestamp::new(1_780_000_000_000_000);
-/// Bytes of the UDP and IP headers of a message.
+/// The length of the IP and UDP headers of a message in bytes.
 pub const HEADER_LENGTH: usize = 28;
 const TICK: time::Duration = time::Duration::from_millis(100);
-/// Messages a host is taken to have sent before, so that numbers have the
-/// length that they have in use.
+/// The number of messages that each host has already sent, so that encoded
+/// sequence numbers have a realistic length.
 const EARLIER_MESSAGES: u64 = 20_000;
 
 #[derive(Debug, Clone)]
@@ -40,11 +40,11 @@
     pub seed: u64,
     pub domains: usize,
     pub hosts: usize,
-    /// The share of messages that are lost.
+    /// The fraction of messages that are lost.
     pub loss: f64,
-    /// The share of messages that come twice.
-    pub doubled: f64,
-    /// The longest one-way delay in microseconds; the shortest is half of it.
+    /// The fraction of messages that are delivered twice.
+    pub duplicated: f64,
+    /// The maximum one-way delay in microseconds; the minimum is half of it.
     pub delay: u64,
 }
 
@@ -55,7 +55,7 @@
             domains: if hosts <= 9 { 3 } else { 4 },
             hosts,
             loss,
-            doubled: 0.01,
+            duplicated: 0.01,
             delay: 2_000,
         }
     }
@@ -76,9 +76,10 @@
     pub list: rc::Rc<HostTable>,
     pub sent_bytes: u64,
     pub sent_messages: u64,
-    /// The tick under way; an earlier one that is still queued is void.
+    /// The number of the scheduled tick; queued ticks with another number are
+    /// ignored.
     round: u64,
-    /// What came while the host was paused.
+    /// The messages that arrived while the host was paused.
     buffered: Vec<PeerEnvelope>,
 }
 
@@ -115,7 +116,7 @@
     }
 }
 
-/// A change that a host saw.
+/// A change that a host observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SeenEvent {
     pub time: Timestamp,
@@ -258,8 +259,8 @@
         self.hosts[observer].policy.is_reachable(self.now, target)
     }
 
-    /// Whether every running host holds every other running one for reachable.
-    pub fn all_see_all(&self) -> bool {
+    /// Whether every running host considers every other running host reachable.
+    pub fn all_reach_all(&self) -> bool {
         let running = self.running();
         running.iter().all(|observer| {
             let others = running.iter().filter(|target| *target != observer);
@@ -268,7 +269,7 @@
         })
     }
 
-    /// Whether no running host of `observers` holds `target` for reachable.
+    /// Whether none of `observers` considers `target` reachable.
     pub fn none_reaches(&self, observers: &[usize], target: usize) -> bool {
         let mut observers = observers.iter();
         observers.all(|observer| *observer == target || !self.is_reachable(*observer, target))
@@ -280,25 +281,25 @@
         self.now = end;
     }
 
-    /// Runs until `reached` holds, which is looked at ten times a second, and
-    /// tells how long that took; nothing if it does not within `limit`.
+    /// Runs until `reached` returns true, which is checked every 50 ms, and
+    /// returns how long that took, or nothing if `limit` passes first.
     pub fn run_until(
         &mut self,
         limit: time::Duration,
         reached: impl Fn(&Self) -> bool,
     ) -> Option<time::Duration> {
-        let begun = self.now;
-        let end = begun.after(limit);
-        let mut look = begun;
+        let started = self.now;
+        let end = started.after(limit);
+        let mut next_check = started;
         loop {
             let next = self.queue.peek().map_or(end, |queued| queued.time.min(end));
-            if next >= look {
-                self.now = self.now.max(look);
+            if next >= next_check {
+                self.now = self.now.max(next_check);
                 if reached(self) {
-                    return Some(self.now.since(begun));
+                    return Some(self.now.since(started));
                 }
-                look = look.after(TICK / 2);
-                if look > end {
+                next_check = next_check.after(TICK / 2);
+                if next_check > end {
                     return None;
                 }
                 continue;
@@ -379,7 +380,7 @@
         assert!(CODE_LENGTH + length <= 1200, "a message exceeds a datagram");
         host.sent_bytes += (HEADER_LENGTH + CODE_LENGTH + length) as u64;
         host.sent_messages += 1;
-        let copies = if self.random.random_bool(self.options.doubled) {
+        let copies = if self.random.random_bool(self.options.duplicated) {
             2
         } else {
             1
@@ -418,8 +419,9 @@
         self.hosts[host].condition = HostCondition::Paused;
     }
 
-    /// Lets a paused host go on: first it takes what its socket held.
-    pub fn wake(&mut self, host: usize) {
+    /// Resumes a paused host, which first handles the messages that its socket
+    /// has buffered.
+    pub fn resume(&mut self, host: usize) {
         self.hosts[host].condition = HostCondition::Running;
         let buffered = std::mem::take(&mut self.hosts[host].buffered);
         for envelope in buffered.iter().take(200) {
@@ -428,7 +430,7 @@
         self.schedule_first_tick(host);
     }
 
-    /// Starts a host anew, without anything of its earlier life.
+    /// Restarts a host with a new incarnation and without any earlier state.
     pub fn restart(&mut self, host: usize) {
         let list = rc::Rc::clone(&self.hosts[host].list);
         let round = self.hosts[host].round;
@@ -437,24 +439,24 @@
         self.schedule_first_tick(host);
     }
 
-    /// Gives `host` another list.
+    /// Replaces the host list of `host`.
     pub fn publish(&mut self, host: usize, list: &rc::Rc<HostTable>) {
         self.hosts[host].list = rc::Rc::clone(list);
     }
 
-    /// Hands `envelope` to `host`, whatever the network does.
+    /// Delivers `envelope` to `host` directly, bypassing the network.
     pub fn deliver(&mut self, host: usize, envelope: &PeerEnvelope) {
         self.decide(host, Some(envelope));
     }
 
-    pub fn forget_traffic(&mut self) {
+    pub fn reset_traffic_counts(&mut self) {
         for host in &mut self.hosts {
             host.sent_bytes = 0;
             host.sent_messages = 0;
         }
     }
 
-    /// Claims that a host became `reachability`, since `since`.
+    /// Observed changes of a host to `reachability`, since `since`.
     pub fn changes_to(&self, reachability: Reachability, since: Timestamp) -> Vec<SeenEvent> {
         let seen = self.seen.iter().filter(|seen| seen.time >= since);
         let matching = seen.filter(|seen| match seen.event {
@@ -467,7 +469,7 @@
         matching.copied().collect()
     }
 
-    /// Domains that were found cut off, since `since`.
+    /// Observations that a domain was cut off, since `since`.
     pub fn cuts_seen(&self, since: Timestamp) -> Vec<SeenEvent> {
         let is_cut = |seen: &&SeenEvent| {
             matches!(
@@ -483,7 +485,7 @@
     }
 }
 
-/// A digest as large as one in use.
+/// A digest of realistic encoded size.
 pub fn digest(host_list: HostListVersion) -> ConfigurationDigest {
     ConfigurationDigest {
         version: ConfigurationVersion::new(1000),
--- a/crates/cardamomwinch_coordination/tests/membership_network/policy.rs
+++ b/crates/cardamomwinch_coordination/tests/membership_network/policy.rs
@@ -1,5 +1,5 @@
-//! What the network needs of a way to keep membership, so that several can be
-//! compared.
+//! The interface between the simulated network and a membership protocol, so
+//! that several protocols can be compared.
 
 use std::fmt;
 
@@ -9,13 +9,13 @@
 use cardamomwinch_protocol::prelude::{PeerEnvelope, PeerMessage};
 use cardamomwinch_state::prelude::{HostId, Timestamp};
 
-/// A way to keep membership.
+/// A membership protocol.
 pub trait MembershipPolicy: Default + fmt::Debug {
     fn next_sequence(&mut self) -> u64;
 
     fn tick(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput);
 
-    /// Takes a message; tells whether it was accepted.
+    /// Handles a message, and returns whether it was accepted.
     fn receive(
         &mut self,
         context: &MembershipContext<'_>,
@@ -41,11 +41,11 @@
         envelope: &PeerEnvelope,
         output: &mut MembershipOutput,
     ) -> bool {
-        if self.note(context.now, envelope).is_err() {
+        if self.accept_message(context.now, envelope).is_err() {
             return false;
         }
         if let PeerMessage::Membership(message) = &envelope.message {
-            self.take(context, envelope, message, output);
+            self.handle_message(context, envelope, message, output);
         }
         true
     }
