--- a/crates/cardamomwinch_coordination/examples/flow_routing_figures.rs
+++ b/crates/cardamomwinch_coordination/examples/flow_routing_figures.rs
@@ -75,18 +75,19 @@
 
 fn send_all(fleet: &mut Fleet, round: u16) -> Round {
     let (relays, bytes) = (fleet.relays, fleet.relay_bytes);
-    let told = fleet.told.len();
+    let sent = fleet.to_callers.len();
     let mut missed = 0;
     for number in 0..FLOWS {
         let holder = fleet.holders(flow(number))[0];
         let payload = round.to_le_bytes();
         let member = usize::from(number + round) % HOSTS.len();
         let before = fleet.servers[&holder].plain.len();
-        fleet.hand(member, &CallerDatagram::carry(flow(number), None, &payload));
+        fleet.deliver(member, &CallerDatagram::carry(flow(number), None, &payload));
         missed += usize::from(fleet.servers[&holder].plain.len() == before);
     }
-    let reset = fleet.told[told..].iter();
-    let reset = reset.filter(|(_, told)| matches!(told, routing_support::Told::Reset(_)));
+    let reset = fleet.to_callers[sent..].iter();
+    let reset =
+        reset.filter(|(_, message)| matches!(message, routing_support::CallerMessage::Reset(_)));
     Round {
         missed,
         reset: reset.count(),
@@ -102,7 +103,7 @@
     let mut fleet = Fleet::new(&HOSTS, &routing_support::configuration(1, &servers));
     for number in 0..FLOWS {
         let member = usize::from(number) % HOSTS.len();
-        fleet.hand(member, &plain_open(flow(number)));
+        fleet.deliver(member, &plain_open(flow(number)));
     }
     (change.apply)(&mut servers);
     fleet.adopt_everywhere(&routing_support::configuration(2, &servers));
@@ -112,12 +113,12 @@
     }
     if lost_pins {
         fleet.members[0].reachable = false;
-        fleet.choose_homes();
+        fleet.assign_homes();
         let fresh = Fleet::new(&HOSTS, &routing_support::configuration(1, &servers));
         let first = fresh.members.into_iter().next().unwrap();
         fleet.members[0].engine = first.engine;
         fleet.members[0].reachable = true;
-        fleet.choose_homes();
+        fleet.assign_homes();
     }
     let first = send_all(&mut fleet, 0);
     // The same host gets the flow again, as one that has learned.
--- a/crates/cardamomwinch_coordination/examples/lookup_table_figures.rs
+++ b/crates/cardamomwinch_coordination/examples/lookup_table_figures.rs
@@ -35,7 +35,7 @@
 fn line<F: TableFill>(name: &str, count: u32) {
     let entries = servers(count);
     let started = time::Instant::now();
-    let table = LookupTable::fill_by::<F>(entries.iter());
+    let table = LookupTable::fill_with::<F>(entries.iter());
     let taken = started.elapsed();
     let shares = table.shares();
     let mean = shares.iter().sum::<usize>() as f64 / shares.len() as f64;
@@ -43,10 +43,10 @@
     let middle = entries.len() / 2;
     let mut drained = entries.clone();
     drained[middle].phase = BackendPhase::Draining;
-    let removed = table.moved_share(&LookupTable::fill_by::<F>(drained.iter()));
+    let removed = table.moved_share(&LookupTable::fill_with::<F>(drained.iter()));
     let mut reweighted = entries.clone();
     reweighted[middle].weight = Weight::new(50);
-    let halved = table.moved_share(&LookupTable::fill_by::<F>(reweighted.iter()));
+    let halved = table.moved_share(&LookupTable::fill_with::<F>(reweighted.iter()));
     println!(
         "| {name} | {count} | {} | {:.3} | {most:.3} | {:.3} | {:.3} | {:.3} |",
         shares.iter().sum::<usize>(),
--- a/crates/cardamomwinch_coordination/src/bounds.rs
+++ b/crates/cardamomwinch_coordination/src/bounds.rs
@@ -1,26 +1,30 @@
-//! Bounds on what a traffic engine holds.
+//! Limits on the tables of a traffic engine, and the gap that shows a pause.
 
 use std::time;
 
-/// A gap between two events from which on a thread takes itself to have slept.
-/// Control and traffic go by the same gap: where control did not notice a pause
-/// that traffic did, its next snapshot would vouch for beliefs from before.
+/// The gap between two events of a thread from which on the process is considered
+/// to have been paused.
+///
+/// Control and traffic use the same gap. If control did not detect a pause that
+/// traffic detected, its next snapshot would confirm state from before the
+/// pause.
 pub const SLEEP_GAP: time::Duration = time::Duration::from_millis(700);
 
-/// Bounds of one traffic engine. All tables refuse what exceeds them.
+/// The bounds of one traffic engine. Each table refuses entries beyond its bound.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrafficBounds {
-    /// Flows pinned to a backend server.
+    /// The maximum number of flows that are pinned to a backend server.
     pub flows: usize,
-    /// Requests remembered, running or finished.
+    /// The maximum number of known requests, running or finished.
     pub request_records: usize,
-    /// Searches for the servers of flows that are under way.
+    /// The maximum number of concurrent searches for the servers of flows.
     pub searches: usize,
-    /// Bytes of request payloads and answers held, in total.
+    /// The maximum total size of buffered request payloads and answers in bytes.
     pub held_bytes: usize,
-    /// Requests that may wait for a slot of one backend server, per slot.
+    /// The maximum number of requests that wait for a backend server, per slot of
+    /// the server.
     pub queue_per_slot: u32,
-    /// A gap between two events from which on the thread takes itself to have slept.
+    /// The gap between two events that shows a pause of the process.
     pub sleep_gap: time::Duration,
 }
 
--- a/crates/cardamomwinch_coordination/src/control/publication.rs
+++ b/crates/cardamomwinch_coordination/src/control/publication.rs
@@ -76,7 +76,7 @@
             self.pending_tables = Some(tables);
             return;
         }
-        self.history.learn(&tables.generations);
+        self.history.add_missing(&tables.generations);
         for entry in tables.retained {
             self.retained.insert(entry.id, entry);
         }
@@ -94,8 +94,9 @@
     fn drop_unused_servers(&mut self) {
         let in_force = &self.configuration.backends;
         let history = &self.history;
-        self.retained
-            .retain(|id, entry| !in_force.contains_key(id) && history.names(entry.service, *id));
+        self.retained.retain(|id, entry| {
+            !in_force.contains_key(id) && history.contains_server(entry.service, *id)
+        });
     }
 
     pub(crate) fn make_snapshot(
@@ -126,7 +127,7 @@
             domain_names: sync::Arc::clone(&self.domain_names),
             shards: homes.shards().clone(),
             backends: SortedVector::new(),
-            helpers: helpers(now, identity, hosts, membership),
+            helpers: relay_peers(now, identity, hosts, membership),
         }
     }
 }
@@ -147,7 +148,7 @@
     current.is_some_and(|(_, reached)| !reached)
 }
 
-fn helpers(
+fn relay_peers(
     now: Timestamp,
     identity: HostIdentity,
     hosts: &HostTable,
--- a/crates/cardamomwinch_coordination/src/counter.rs
+++ b/crates/cardamomwinch_coordination/src/counter.rs
@@ -1,8 +1,8 @@
-//! What is counted. Each counter becomes a metric of the same name.
+//! Counters of events. Each counter is exported as a metric.
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $variant:ident => $name:literal,)*) => {
-        /// Something that happened and is counted.
+        /// A kind of event that is counted.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Counter {
             $($(#[$doc])* $variant,)*
@@ -33,19 +33,20 @@
     HopLimit => "hop_limit_drops",
     /// Datagrams to an address that belongs to no service.
     UnknownService => "unknown_service_datagrams",
-    /// Tokens that no accepted key has signed for their flow.
+    /// Tokens that were not signed for their flow with an accepted key.
     ForgedToken => "forged_tokens",
     /// Tokens or pins refused because their server's address now serves another service.
     ReassignedAddress => "reassigned_addresses",
-    /// Datagrams to a backend server withheld because this host may not act.
+    /// Datagrams to a backend server withheld because this host may not act now.
     Withheld => "withheld_datagrams",
     /// Searches for the server of a flow that began on this host.
     SearchStarted => "flow_searches",
-    /// Searches passed on because a server said that it does not hold the flow.
+    /// Searches passed on because a server replied that it does not hold the flow.
     SearchMoved => "flow_searches_moved",
     /// Flows whose server this host learned from a home.
     FlowLearned => "flows_learned",
-    /// Openings not decided by a home that started too lately; callers send again.
+    /// Openings not decided by a home that has started too recently; callers send
+    /// them again.
     OpeningHeld => "openings_held",
     /// Openings passed on to another home.
     OpeningRedirected => "openings_redirected",
@@ -61,40 +62,40 @@
     RequestDuplicate => "request_duplicates",
     /// Requests refused as not run.
     RequestRefused => "requests_refused",
-    /// Requests whose outcome could not be known.
+    /// Requests whose outcome is unknown.
     OutcomeUnknown => "outcomes_unknown",
-    /// Requests answered whole.
+    /// Requests that were answered completely.
     RequestAnswered => "requests_answered",
     /// Requests whose deadline passed while they ran.
     RequestExpired => "requests_expired",
-    /// Requests whose caller was told that the outcome is unknown while they
-    /// ran, or were lost.
+    /// Requests whose callers were sent "outcome unknown" while they were still
+    /// running or lost.
     RequestGivenUp => "requests_given_up",
-    /// Requests answered whole after they were given up.
+    /// Requests that were answered completely after they were given up.
     RequestAnsweredLate => "requests_answered_late",
-    /// Copies of requests that came after their deadline.
+    /// Copies of requests that arrived after their deadline.
     RequestLate => "requests_late",
     /// Requests and openings shed by a backend server.
     BackendShed => "backend_sheds",
-    /// Backend servers kept from new flows because they seem to fail.
+    /// Backend servers ejected: they get no new flows because they seem to fail.
     BackendEjected => "backend_ejections",
-    /// Backend servers that get new flows again.
+    /// Ejected backend servers that get new flows again.
     BackendReturned => "backend_returns",
-    /// Backend servers that have begun to say that they drain.
+    /// Backend servers that started to report that they drain.
     BackendDraining => "backend_drains",
-    /// Backend servers that do not say any more that they drain.
+    /// Backend servers that no longer report that they drain.
     BackendDrainingEnded => "backend_drain_ends",
-    /// Entries refused because a table holds its limit.
+    /// Entries refused because a table was full.
     TableFull => "table_full",
-    /// Times a thread found that it had slept.
+    /// Detections by a thread that the process had been paused.
     WokeLate => "woke_late",
-    /// Datagrams not decided because the host's beliefs were not confirmed.
+    /// Datagrams dropped because the host's state was not confirmed.
     Unconfirmed => "unconfirmed_drops",
     /// Reads of the platform.
     PlatformRead => "platform_reads",
-    /// Watches that wait at the platform.
+    /// Watches started at the platform.
     PlatformWatch => "platform_watches",
-    /// Answers of the platform that were older than what is accepted.
+    /// Answers of the platform that were older than the accepted state.
     PlatformStale => "platform_stale_answers",
     /// Calls to the platform that failed.
     PlatformFailed => "platform_failures",
@@ -104,11 +105,11 @@
     FrozenDropped => "frozen_shard_drops",
     /// Shards handed over to another host.
     ShardHandedOver => "shards_handed_over",
-    /// Chunks of hand-overs taken in.
+    /// Chunks of hand-overs that were imported.
     ChunkTakenOver => "hand_over_chunks_taken",
-    /// Things in a hand-over that were malformed or did not fit.
+    /// Items of a hand-over that were malformed or exceeded a bound.
     HandOverRefused => "hand_over_items_refused",
-    /// Control messages that were replayed or came from an earlier life.
+    /// Control messages that were replayed or sent by an earlier incarnation.
     PeerReplayed => "peer_messages_replayed",
     /// Control messages from hosts that are not listed.
     PeerUnlisted => "peer_messages_unlisted",
--- a/crates/cardamomwinch_coordination/src/decision.rs
+++ b/crates/cardamomwinch_coordination/src/decision.rs
@@ -11,49 +11,51 @@
 
 use crate::control::membership::Reachability;
 
-/// Why a decision was taken.
+/// The reason of a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionReason {
-    /// The flow was placed on the server that the lookup table names.
+    /// The flow was placed on the server that the lookup table selects.
     PlacedByTable,
-    /// The flow was placed on a server with less load than the table's.
+    /// The flow was placed on a server with less load than that of the table.
     PlacedByLoad,
-    /// The caller echoed a genuine token.
+    /// The caller echoed a valid token.
     Token,
-    /// The flow is pinned here.
+    /// The flow is pinned on this host.
     Pin,
-    /// The host that relayed the datagram had decided.
+    /// The host that relayed the datagram had already decided.
     RelayedDecision,
     /// Relayed to the home of the server's shard.
     RelayedToHome,
     /// A reply was relayed towards the home of its server.
     ReplyRelayed,
-    /// A reply reached no home: no host was left to send it to, or too many had it.
+    /// A reply reached no home: no host was left to relay it to, or it was relayed
+    /// too often.
     ReplyLost,
-    /// An answer came to the home of its server, which knows no request of it.
+    /// An answer reached the home of its server, but its request is unknown there.
     ReplyUnmatched,
     /// Relayed to another traffic thread of this host.
     RelayedToThread,
-    /// Passed on to the home of the next server that the flow may belong to.
+    /// Relayed to the home of the next server that the flow may be on.
     SearchMoved,
-    /// Passed on to another home, which has room or whose table is newer.
+    /// Relayed to another home, which has free capacity or a newer table.
     Redirected,
-    /// Placed on a server that can be reached, since that of the table cannot.
+    /// Placed on a reachable server because that of the table is cut off.
     PlacedAroundCut,
-    /// Relayed because this host may not act on what it believes.
+    /// Relayed because the state of this host is not confirmed.
     RelayedUnconfirmed,
-    /// Sent to a backend server again, since the earlier attempt did not run or may run twice.
+    /// Sent to a backend server again, because the earlier attempt did not run or
+    /// the request may run twice.
     Retried,
     /// Refused; the request did not run.
     Refused,
-    /// Answered that the outcome is not known.
+    /// Answered with "outcome unknown".
     OutcomeUnknown,
-    /// The home does not expect the answer of a request that it sent in time, for this
-    /// reason.
+    /// The home no longer expects an answer in time to a request that it sent, for
+    /// this reason.
     GivenUp(GivingUpCause),
-    /// A copy of a request that is known already.
+    /// A copy of a request that is already known.
     Duplicate,
     /// No host knows the flow.
     UnknownFlow,
@@ -65,9 +67,9 @@
     ConfigurationAdopted,
     /// A backend server's health changed.
     BackendHealth,
-    /// A host's reachability changed to this.
+    /// A host's reachability changed to this value.
     HostReachability(Reachability),
-    /// A whole failure domain was cut off from here, or is reachable again.
+    /// A failure domain was cut off from this host, or is reachable again.
     DomainReachability {
         /// The failure domain.
         domain: DomainId,
@@ -124,50 +126,51 @@
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GivingUpCause {
-    /// The server says that it is busy with fewer requests than it was sent.
+    /// The server reports fewer busy slots than requests that it was sent.
     Uncounted,
-    /// It takes much longer than others, and no load report vouches for it.
+    /// It takes much longer than others, and no load report confirms that it runs.
     Overdue,
     /// Its deadline is near.
     BeforeDeadline,
 }
 
-/// What a home knows of a request that it gives up.
+/// What a home knows about a request that it gives up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunEvidence {
-    /// How long ago it was sent.
+    /// The time since it was sent.
     pub sent_ago: time::Duration,
-    /// Requests that the home has sent to the server and not seen end.
+    /// The number of requests that the home has sent to the server and that have
+    /// not ended.
     pub running: u32,
-    /// How long ago the last load report came, where there is one.
+    /// The age of the last load report, if there is one.
     pub report_age: Option<time::Duration>,
-    /// Requests that it said are running.
+    /// The number of busy slots in this load report.
     pub reported_busy: Option<u32>,
 }
 
 /// One decision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecisionRecord {
-    /// When.
+    /// The time of the decision.
     pub time: Timestamp,
     /// The host that decided.
     pub host: HostId,
-    /// The configuration version it decided under.
+    /// The configuration version in force at the decision.
     pub version: ConfigurationVersion,
-    /// Why.
+    /// The reason.
     pub reason: DecisionReason,
-    /// The flow, where the decision concerns one.
+    /// The flow, if the decision concerns one.
     pub flow: Option<FlowKey>,
-    /// The request within the flow, where the decision concerns one.
+    /// The request within the flow, if the decision concerns one.
     pub request: Option<RequestId>,
-    /// The service, where the decision concerns one.
+    /// The service, if the decision concerns one.
     pub service: Option<ServiceId>,
-    /// The backend server, where the decision concerns one.
+    /// The backend server, if the decision concerns one.
     pub backend: Option<BackendId>,
-    /// The other host, where the decision concerns one.
+    /// The other host, if the decision concerns one.
     pub peer: Option<HostId>,
-    /// The shard, where the decision concerns one.
+    /// The shard, if the decision concerns one.
     pub shard: Option<ShardId>,
-    /// What is known of the run, where a request is given up.
+    /// What is known about the request, if one is given up.
     pub evidence: Option<RunEvidence>,
 }
--- a/crates/cardamomwinch_coordination/src/host_engine.rs
+++ b/crates/cardamomwinch_coordination/src/host_engine.rs
@@ -1,5 +1,5 @@
-//! The whole decision logic of one host behind one interface, for programs
-//! that drive hosts without threads and sockets.
+//! The complete decision logic of one host behind one interface, for programs
+//! that run hosts without threads and sockets.
 
 use std::collections;
 use std::sync;
@@ -21,26 +21,26 @@
 use crate::traffic::effect::TrafficEffect;
 use crate::traffic::event::TrafficEvent;
 
-/// Something that a host has to decide about.
+/// An event for a host.
 #[derive(Debug, Clone)]
 pub enum HostEvent<'a> {
-    /// For control.
+    /// An event for the control engine.
     Control(ControlEvent),
-    /// For traffic.
+    /// An event for the traffic engine.
     Traffic(TrafficEvent<'a>),
 }
 
-/// Something that a host is to do.
+/// An action for the host to carry out.
 #[derive(Debug, Clone)]
 pub enum HostEffect<'a> {
-    /// From control. Snapshots, and what passes between control and traffic
-    /// of this host, are taken over by the engine itself.
+    /// An effect of the control engine. Snapshots and other effects that only
+    /// concern the traffic engine of this host are handled internally.
     Control(ControlEffect),
-    /// From traffic.
+    /// An effect of the traffic engine.
     Traffic(TrafficEffect<'a>),
 }
 
-/// Takes the effects of a host.
+/// Receives the effects of a host.
 pub trait HostSink {
     /// Carries out `effect`.
     fn emit(&mut self, effect: HostEffect<'_>);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Puts the parts of a host together.
+/// Builds the engines of a host.
 #[derive(Debug, Clone)]
 pub struct HostBuilder {
     identity: HostIdentity,
@@ -62,7 +62,8 @@
 }
 
 impl HostBuilder {
-    /// Starts with the identity of the host and the keys that all hosts share.
+    /// Creates a builder with the identity of the host and the keys that all hosts
+    /// share.
     pub fn new(identity: HostIdentity, keys: AuthenticationKeys) -> Self {
         Self {
             identity,
@@ -72,33 +73,34 @@
         }
     }
 
-    /// Bounds the tables of each traffic engine.
+    /// Sets the bounds of each traffic engine.
     #[must_use]
     pub fn with_bounds(mut self, bounds: TrafficBounds) -> Self {
         self.bounds = bounds;
         self
     }
 
-    /// Places new flows by another policy than the product's, to compare.
+    /// Sets another placement policy for new flows than the default, for
+    /// comparisons.
     #[must_use]
     pub fn with_placement(mut self, placement: PlacementChoice) -> Self {
         self.placement = placement;
         self
     }
 
-    /// The control engine alone.
+    /// Builds only the control engine.
     pub fn build_control(&self) -> ControlEngine {
         ControlEngine::new(self.identity)
     }
 
-    /// The traffic engine of one thread alone.
+    /// Builds only the traffic engine of one thread.
     pub fn build_traffic(&self, place: ThreadPlace) -> TrafficEngine {
         let bounds = self.bounds.clone();
         TrafficEngine::new(self.identity, place, self.keys.clone(), bounds)
             .with_placement(self.placement)
     }
 
-    /// The whole host with one traffic engine.
+    /// Builds a host with one traffic engine.
     pub fn build(&self) -> HostEngine {
         HostEngine {
             control: self.build_control(),
@@ -108,9 +110,9 @@
     }
 }
 
-/// What one engine of the host tells the other.
+/// An effect of one engine of the host that is an event for the other.
 #[derive(Debug)]
-enum PassedEvent {
+enum InternalEvent {
     Release {
         hand_over: HandOverId,
         frozen_until: Timestamp,
@@ -123,7 +125,7 @@
     Observed(Vec<BackendObservation>),
 }
 
-/// One host: its control engine, one traffic engine, and the snapshot between.
+/// One host: its control engine, one traffic engine, and the current snapshot.
 #[derive(Debug)]
 pub struct HostEngine {
     control: ControlEngine,
@@ -132,65 +134,65 @@
 }
 
 impl HostEngine {
-    /// Decides about `event` at `now` and gives the effects to `sink`. The time
-    /// must not fall from one call to the next.
+    /// Handles `event` at `now` and emits the effects into `sink`. `now` must not
+    /// decrease between calls.
     pub fn handle<S: HostSink>(&mut self, now: Timestamp, event: HostEvent<'_>, sink: &mut S) {
-        let mut passed = collections::VecDeque::new();
+        let mut queue = collections::VecDeque::new();
         match event {
-            HostEvent::Control(event) => self.handle_control(now, event, &mut passed, sink),
-            HostEvent::Traffic(event) => self.handle_traffic(now, event, &mut passed, sink),
+            HostEvent::Control(event) => self.handle_control(now, event, &mut queue, sink),
+            HostEvent::Traffic(event) => self.handle_traffic(now, event, &mut queue, sink),
         }
-        while let Some(next) = passed.pop_front() {
-            self.handle_passed(now, next, &mut passed, sink);
+        while let Some(next) = queue.pop_front() {
+            self.handle_internal(now, next, &mut queue, sink);
         }
     }
 
-    fn handle_passed<S: HostSink>(
+    fn handle_internal<S: HostSink>(
         &mut self,
         now: Timestamp,
-        event: PassedEvent,
-        passed: &mut collections::VecDeque<PassedEvent>,
+        event: InternalEvent,
+        queue: &mut collections::VecDeque<InternalEvent>,
         sink: &mut S,
     ) {
         let event = match &event {
-            PassedEvent::Exported(chunk) => {
+            InternalEvent::Exported(chunk) => {
                 let event = ControlEvent::HandOver(chunk.clone());
-                return self.handle_control(now, event, passed, sink);
+                return self.handle_control(now, event, queue, sink);
             }
-            PassedEvent::Imported(report) => {
+            InternalEvent::Imported(report) => {
                 let event = ControlEvent::TookOver(*report);
-                return self.handle_control(now, event, passed, sink);
+                return self.handle_control(now, event, queue, sink);
             }
-            PassedEvent::Observed(observations) => {
+            InternalEvent::Observed(observations) => {
                 let event = ControlEvent::Observed(observations.clone());
-                return self.handle_control(now, event, passed, sink);
+                return self.handle_control(now, event, queue, sink);
             }
-            PassedEvent::Release {
+            InternalEvent::Release {
                 hand_over,
                 frozen_until,
             } => TrafficEvent::ReleaseShard {
                 hand_over: *hand_over,
                 frozen_until: *frozen_until,
             },
-            PassedEvent::Thaw(shard) => TrafficEvent::ThawShard { shard: *shard },
-            PassedEvent::Forget(shard) => TrafficEvent::ForgetShard { shard: *shard },
-            PassedEvent::TakeOver(chunk) => TrafficEvent::TakeOver { chunk },
+            InternalEvent::Thaw(shard) => TrafficEvent::ThawShard { shard: *shard },
+            InternalEvent::Forget(shard) => TrafficEvent::ForgetShard { shard: *shard },
+            InternalEvent::TakeOver(chunk) => TrafficEvent::TakeOver { chunk },
         };
-        self.handle_traffic(now, event, passed, sink);
+        self.handle_traffic(now, event, queue, sink);
     }
 
     fn handle_traffic<S: HostSink>(
         &mut self,
         now: Timestamp,
         event: TrafficEvent<'_>,
-        passed: &mut collections::VecDeque<PassedEvent>,
+        queue: &mut collections::VecDeque<InternalEvent>,
         sink: &mut S,
     ) {
         let mut emit = |effect: TrafficEffect<'_>| match effect {
-            TrafficEffect::HandOver { chunk } => passed.push_back(PassedEvent::Exported(chunk)),
-            TrafficEffect::TookOver(report) => passed.push_back(PassedEvent::Imported(report)),
+            TrafficEffect::HandOver { chunk } => queue.push_back(InternalEvent::Exported(chunk)),
+            TrafficEffect::TookOver(report) => queue.push_back(InternalEvent::Imported(report)),
             TrafficEffect::Observe(observations) => {
-                passed.push_back(PassedEvent::Observed(observations));
+                queue.push_back(InternalEvent::Observed(observations));
             }
             effect => sink.emit(HostEffect::Traffic(effect)),
         };
@@ -201,7 +203,7 @@
         &mut self,
         now: Timestamp,
         event: ControlEvent,
-        passed: &mut collections::VecDeque<PassedEvent>,
+        queue: &mut collections::VecDeque<InternalEvent>,
         sink: &mut S,
     ) {
         let snapshot = &mut self.snapshot;
@@ -210,19 +212,19 @@
             ControlEffect::ReleaseShard {
                 hand_over,
                 frozen_until,
-            } => passed.push_back(PassedEvent::Release {
+            } => queue.push_back(InternalEvent::Release {
                 hand_over,
                 frozen_until,
             }),
-            ControlEffect::ThawShard { shard } => passed.push_back(PassedEvent::Thaw(shard)),
-            ControlEffect::ForgetShard { shard } => passed.push_back(PassedEvent::Forget(shard)),
-            ControlEffect::TakeOver { chunk } => passed.push_back(PassedEvent::TakeOver(chunk)),
+            ControlEffect::ThawShard { shard } => queue.push_back(InternalEvent::Thaw(shard)),
+            ControlEffect::ForgetShard { shard } => queue.push_back(InternalEvent::Forget(shard)),
+            ControlEffect::TakeOver { chunk } => queue.push_back(InternalEvent::TakeOver(chunk)),
             effect => sink.emit(HostEffect::Control(effect)),
         };
         self.control.handle(now, event, &mut emit);
     }
 
-    /// What traffic decides against at present.
+    /// The current snapshot.
     pub fn snapshot(&self) -> &RoutingSnapshot {
         &self.snapshot
     }
--- a/crates/cardamomwinch_coordination/src/identity.rs
+++ b/crates/cardamomwinch_coordination/src/identity.rs
@@ -1,20 +1,21 @@
-//! Who a host is, and which of its traffic threads.
+//! The identity of a host and of a traffic thread in it.
 
 use cardamomwinch_state::prelude::{DomainId, HostId, Incarnation, ShardId};
 
-/// Who a host is; learnt from its settings, but for the incarnation.
+/// The identity of a host. Everything but the incarnation comes from its
+/// settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostIdentity {
     /// The host.
     pub host: HostId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
 }
 
-/// Which traffic thread of its host an engine runs on. Every shard belongs to
-/// one thread, so that what is counted for a backend server is counted once.
+/// The traffic thread that an engine runs on. Every shard belongs to one thread,
+/// so that the load of a backend server is counted in one place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ThreadPlace {
     /// The position of this thread, from zero.
--- a/crates/cardamomwinch_coordination/src/lib.rs
+++ b/crates/cardamomwinch_coordination/src/lib.rs
@@ -1,13 +1,15 @@
-//! Every decision of an entry host, as pure code: it takes a point in time and
-//! an event, and yields typed effects into a sink that the caller gives. It
-//! opens no socket and reads no clock, so one host, or many side by side, can
-//! be driven by any program through [`host_engine::HostEngine`].
+//! The decision logic of a host as pure code: an engine handles an event at a
+//! given time and emits typed effects into a sink. It opens no sockets and reads
+//! no clock, so any program can run one host, or many in one process, with
+//! [`host_engine::HostEngine`].
 //!
-//! - [`control`] decides what is in force, who is reachable and who is home.
-//! - [`traffic`] decides about each datagram against an immutable
+//! - [`control`] decides which configuration is in force, which hosts are
+//!   reachable, and which host is the home of each shard.
+//! - [`traffic`] decides about each datagram by the immutable
 //!   [`snapshot::RoutingSnapshot`] that control publishes.
-//! - [`forwarding`] decides about flows whose contents only their ends read.
-//! - [`routing`] holds the ways to choose a backend server or a home.
+//! - [`forwarding`] decides about flows whose contents only the caller and the
+//!   backend server can read.
+//! - [`routing`] contains the selection of backend servers and homes.
 //!
 //! ```
 //! use cardamomwinch_coordination::prelude::*;
@@ -39,7 +41,7 @@
 pub mod snapshot;
 pub mod traffic;
 
-/// What users of the decision logic need most often.
+/// The most commonly used items of the decision logic.
 pub mod prelude {
     pub use crate::bounds::TrafficBounds;
     pub use crate::control::ControlEngine;
--- a/crates/cardamomwinch_coordination/src/routing/candidates.rs
+++ b/crates/cardamomwinch_coordination/src/routing/candidates.rs
@@ -1,4 +1,4 @@
-//! The servers that a flow without token may have been placed on: one of each
+//! The servers that a flow without token may have been placed on: one for each
 //! kept generation of lookup tables.
 
 use std::sync;
@@ -11,9 +11,9 @@
 /// Distinct servers, oldest generation first. All hosts that keep the same
 /// generations derive the same list.
 ///
-/// The oldest comes first because a host that has not yet adopted the newest
-/// generation knows only the older ones: whoever asks the first of the list
-/// asks where such a host would place the flow.
+/// The oldest generation comes first because a host that has not yet adopted
+/// the newest one would place the flow by an older one. A search of the list
+/// therefore begins at the server where such a host would place the flow.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct CandidateList {
     servers: [Option<BackendId>; SEARCH_LIMIT],
@@ -32,11 +32,11 @@
             let Some(server) = tables.select(service, hash) else {
                 continue;
             };
-            if list.iter().any(|held| held == server) {
+            if list.iter().any(|listed| listed == server) {
                 continue;
             }
-            // More generations than the limit are never kept; the newest must
-            // not be lost if they were.
+            // No more generations than the limit are ever kept. If there were
+            // more, the newest one must still be in the list.
             let position = length.min(SEARCH_LIMIT - 1);
             list.servers[position] = Some(server);
             length = position + 1;
@@ -44,7 +44,7 @@
         list
     }
 
-    /// The candidates in order.
+    /// The candidates, oldest generation first.
     pub fn iter(&self) -> impl Iterator<Item = BackendId> {
         self.servers.iter().copied().flatten()
     }
@@ -57,6 +57,6 @@
 
     /// Whether `server` is a candidate.
     pub fn contains(&self, server: BackendId) -> bool {
-        self.iter().any(|held| held == server)
+        self.iter().any(|candidate| candidate == server)
     }
 }
--- a/crates/cardamomwinch_coordination/src/routing/lookup_table.rs
+++ b/crates/cardamomwinch_coordination/src/routing/lookup_table.rs
@@ -1,5 +1,5 @@
-//! One lookup table per service, derived alike on every host from the version
-//! in force.
+//! One lookup table per service. Every host derives the same tables from the
+//! version in force.
 
 use std::sync;
 
@@ -20,22 +20,22 @@
 }
 
 impl LookupTable {
-    /// Fills a table for those of `servers` that take new flows.
+    /// Fills a table with those of `servers` that accept new flows.
     pub fn fill<'e>(servers: impl Iterator<Item = &'e BackendEntry>) -> Self {
-        Self::fill_by::<PermutationFill>(servers)
+        Self::fill_with::<PermutationFill>(servers)
     }
 
-    /// The same in a way of the caller's choice, to compare.
-    pub fn fill_by<'e, F: TableFill>(servers: impl Iterator<Item = &'e BackendEntry>) -> Self {
-        let takers = servers.filter(|entry| entry.takes_new_flows());
-        let listed = takers.map(|entry| ListedServer {
+    /// Like [`Self::fill`], with the given method, for comparisons.
+    pub fn fill_with<'e, F: TableFill>(servers: impl Iterator<Item = &'e BackendEntry>) -> Self {
+        let accepting = servers.filter(|entry| entry.takes_new_flows());
+        let listed = accepting.map(|entry| ListedServer {
             backend: entry.id,
             weight: entry.weight,
         });
         Self::fill_sorted::<F>(&listed.collect::<Vec<_>>())
     }
 
-    /// The server for a flow, unless no server takes new flows.
+    /// The server for a flow, or nothing if no server accepts new flows.
     pub fn select(&self, hash: FlowHash) -> Option<BackendId> {
         if self.positions.is_empty() {
             return None;
@@ -45,22 +45,22 @@
         self.servers.get(server as usize).copied()
     }
 
-    /// Servers that take new flows, in the order of their identifiers.
+    /// The servers that accept new flows, ordered by identifier.
     pub fn servers(&self) -> &[BackendId] {
         &self.servers
     }
 
-    /// The share of positions, in parts of one, that `other` gives to another
-    /// server. Both must have the same number of positions.
+    /// The fraction of positions that have another server in `other`. Both tables
+    /// must have the same number of positions.
     pub fn moved_share(&self, other: &Self) -> f64 {
         let pairs = self.positions.iter().zip(&other.positions);
-        let moved = pairs.filter(|(mine, theirs)| {
-            self.servers.get(**mine as usize) != other.servers.get(**theirs as usize)
+        let moved = pairs.filter(|(own, theirs)| {
+            self.servers.get(**own as usize) != other.servers.get(**theirs as usize)
         });
         moved.count() as f64 / self.positions.len().max(1) as f64
     }
 
-    /// Positions of each server, in the order of their identifiers.
+    /// The number of positions of each server, ordered by identifier.
     pub fn shares(&self) -> Vec<usize> {
         let mut shares = vec![0; self.servers.len()];
         for server in &self.positions {
@@ -69,7 +69,7 @@
         shares
     }
 
-    /// What the table derives from.
+    /// The servers and weights from which the table is derived.
     pub fn listed(&self) -> Vec<ListedServer> {
         let pairs = self.servers.iter().zip(&self.weights);
         pairs
@@ -80,53 +80,56 @@
             .collect()
     }
 
-    /// Fills the table that `listed` describes. The order of a message is not
-    /// relied on: tables are equal only where their servers are sorted alike.
-    pub fn refill(listed: &[ListedServer]) -> Self {
-        let mut takers = listed.to_vec();
-        takers.retain(|taker| taker.weight > Weight::ZERO);
-        takers.sort_unstable_by_key(|taker| taker.backend);
-        takers.dedup_by_key(|taker| taker.backend);
-        Self::fill_sorted::<PermutationFill>(&takers)
+    /// Fills the table for `listed`, which may be in any order and contain
+    /// duplicates. The servers are sorted first, because equal tables must have
+    /// the same order of servers.
+    pub fn fill_listed(listed: &[ListedServer]) -> Self {
+        let mut accepting = listed.to_vec();
+        accepting.retain(|server| server.weight > Weight::ZERO);
+        accepting.sort_unstable_by_key(|server| server.backend);
+        accepting.dedup_by_key(|server| server.backend);
+        Self::fill_sorted::<PermutationFill>(&accepting)
     }
 
-    fn fill_sorted<F: TableFill>(takers: &[ListedServer]) -> Self {
-        let positions = match takers.is_empty() {
+    fn fill_sorted<F: TableFill>(accepting: &[ListedServer]) -> Self {
+        let positions = match accepting.is_empty() {
             true => Vec::new(),
-            false => F::fill(takers),
+            false => F::fill(accepting),
         };
         Self {
-            servers: takers.iter().map(|taker| taker.backend).collect(),
-            weights: takers.iter().map(|taker| taker.weight).collect(),
+            servers: accepting.iter().map(|server| server.backend).collect(),
+            weights: accepting.iter().map(|server| server.weight).collect(),
             positions,
         }
     }
 
-    /// Whether the table derives from `listed`.
-    pub fn is_filled_for(&self, listed: &[ListedServer]) -> bool {
-        let held = self.servers.iter().zip(&self.weights);
-        let wanted = listed.iter().map(|taker| (&taker.backend, &taker.weight));
-        self.servers.len() == listed.len() && held.eq(wanted)
+    /// Whether the table is derived from `listed`.
+    pub fn is_derived_from(&self, listed: &[ListedServer]) -> bool {
+        let own = self.servers.iter().zip(&self.weights);
+        let wanted = listed
+            .iter()
+            .map(|server| (&server.backend, &server.weight));
+        self.servers.len() == listed.len() && own.eq(wanted)
     }
 
-    fn is_for(&self, takers: &[&BackendEntry]) -> bool {
-        let held = self.servers.iter().zip(&self.weights);
-        let wanted = takers.iter().map(|entry| (&entry.id, &entry.weight));
-        self.servers.len() == takers.len() && held.eq(wanted)
+    fn matches_entries(&self, accepting: &[&BackendEntry]) -> bool {
+        let own = self.servers.iter().zip(&self.weights);
+        let wanted = accepting.iter().map(|entry| (&entry.id, &entry.weight));
+        self.servers.len() == accepting.len() && own.eq(wanted)
     }
 }
 
 /// The lookup tables of all services at one version.
 #[derive(Debug, Default)]
 pub struct LookupTables {
-    /// The version that they were derived from.
+    /// The version from which the tables are derived.
     pub version: ConfigurationVersion,
     tables: SortedVector<ServiceId, sync::Arc<LookupTable>>,
 }
 
 impl LookupTables {
-    /// Derives the tables of `configuration`; a service whose servers did not
-    /// change shares its table with `earlier`.
+    /// Derives the tables of `configuration`. A service whose servers have not
+    /// changed shares its table with `earlier`.
     pub fn derive(configuration: &InForceConfiguration, earlier: Option<&Self>) -> Self {
         let mut by_service: SortedVector<ServiceId, Vec<&BackendEntry>> = SortedVector::new();
         for entry in configuration.backends.values() {
@@ -135,17 +138,17 @@
                 .push(entry);
         }
         let tables = by_service.iter().map(|(service, entries)| {
-            let takers: Vec<&BackendEntry> = entries
+            let accepting: Vec<&BackendEntry> = entries
                 .iter()
                 .copied()
                 .filter(|entry| entry.takes_new_flows())
                 .collect();
             let shared = earlier
                 .and_then(|tables| tables.tables.get(service))
-                .filter(|table| table.is_for(&takers));
+                .filter(|table| table.matches_entries(&accepting));
             let table = shared
                 .cloned()
-                .unwrap_or_else(|| sync::Arc::new(LookupTable::fill(takers.iter().copied())));
+                .unwrap_or_else(|| sync::Arc::new(LookupTable::fill(accepting.iter().copied())));
             (*service, table)
         });
         Self {
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Puts tables together that were derived before.
+    /// Combines existing tables of single services.
     pub fn assemble(
         version: ConfigurationVersion,
         tables: impl Iterator<Item = (ServiceId, sync::Arc<LookupTable>)>,
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Whether `other` gives every flow of every service the same server.
+    /// Whether `other` has the same tables, and so selects the same server for
+    /// every flow.
     pub fn places_like(&self, other: &Self) -> bool {
         self.tables == other.tables
     }
@@ -180,12 +184,12 @@
         self.tables.get(&service).map(sync::Arc::as_ref)
     }
 
-    /// The table of `service`, to be shared.
+    /// The table of `service`, as a shared reference.
     pub fn shared(&self, service: ServiceId) -> Option<&sync::Arc<LookupTable>> {
         self.tables.get(&service)
     }
 
-    /// The server that `service` gives to a flow.
+    /// The server that the table of `service` selects for a flow.
     pub fn select(&self, service: ServiceId, hash: FlowHash) -> Option<BackendId> {
         self.of_service(service)?.select(hash)
     }
--- a/crates/cardamomwinch_coordination/src/routing/mod.rs
+++ b/crates/cardamomwinch_coordination/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Ways to choose a backend server for a flow and a home for a shard, all of
-//! which every host computes alike from what it has accepted.
+//! Selection of the backend server for a flow and of the home for a shard. Every
+//! host computes the same result from the same accepted state.
 
 pub mod candidates;
 pub mod generations;
--- a/crates/cardamomwinch_coordination/src/routing/placement.rs
+++ b/crates/cardamomwinch_coordination/src/routing/placement.rs
@@ -1,32 +1,34 @@
-//! Ways to choose the server of a new flow among those that a home counts for.
+//! Policies to choose the server of a new flow among those whose load its home
+//! counts.
 
 use cardamomwinch_state::prelude::FlowHash;
 
-/// A server that has room for one more flow, as its home sees it.
+/// A server that can accept one more flow, with its load as counted by its home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementOption {
-    /// The server's identifier as a number, to break ties by.
+    /// The server's identifier as a number, used to break ties.
     pub server: u64,
-    /// Whether the lookup table gives the flow to this server.
+    /// Whether the lookup table selects this server for the flow.
     pub by_table: bool,
-    /// Requests running and waiting, per thousand slots.
+    /// Running and waiting requests per thousand slots.
     pub load: u64,
-    /// Flows held, per thousand of the weight that the servers share.
+    /// Open flows per thousand of the weight that the servers share.
     pub flows: u64,
 }
 
-/// Chooses the server of a flow whose caller echoes its token, so that any
-/// server will do. Other flows stay with the lookup table wherever it has room.
+/// Chooses the server of a flow whose caller echoes its token. Such a flow can
+/// be on any server. Other flows get the server of the lookup table if it can
+/// accept them.
 pub trait PlacementPolicy {
-    /// What tables of figures call it.
+    /// The name of the policy in tables of measurements.
     const NAME: &'static str;
 
-    /// The position of the choice in `options`, which are in the order of their
-    /// identifiers; absent only where there are none.
+    /// Returns the position of the chosen server in `options`, which are ordered
+    /// by identifier. Absent only if `options` is empty.
     fn choose(&self, hash: FlowHash, options: &[PlacementOption]) -> Option<usize>;
 }
 
-/// The lookup table alone: what every host derives without a message.
+/// The server of the lookup table, which every host derives without a message.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct TablePlacement;
 
@@ -39,7 +41,7 @@
     }
 }
 
-/// The table's server while it is idle, else the one with the least load.
+/// The table's server while it is idle, otherwise the one with the least load.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct IdleTablePlacement;
 
@@ -58,7 +60,7 @@
     }
 }
 
-/// The server with the least load, and of equal ones that with the fewest flows.
+/// The server with the least load; among equal ones that with the fewest flows.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct LeastLoadPlacement;
 
@@ -72,7 +74,7 @@
     }
 }
 
-/// The server with the fewest flows, and of equal ones that with the least load.
+/// The server with the fewest flows; among equal ones that with the least load.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct FewestFlowsPlacement;
 
@@ -86,7 +88,7 @@
     }
 }
 
-/// The better of two servers that the flow's hash names.
+/// The server with less load of two that are selected by the flow's hash.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct TwoChoicesPlacement;
 
@@ -106,11 +108,11 @@
     }
 }
 
-/// The table's server unless it holds more than its bounded share of flows.
+/// The table's server unless it has more than its bounded share of flows.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct BoundedLoadPlacement;
 
-/// A server may hold this much more than the mean, in percent of the mean.
+/// The maximum number of flows of a server in percent of the mean.
 const BOUND_PERCENT: u64 = 110;
 
 impl PlacementPolicy for BoundedLoadPlacement {
@@ -136,8 +138,8 @@
     (0..options.len()).min_by_key(|position| key(&options[*position]))
 }
 
-/// Which policy a host places by. All hosts may differ: the token names the
-/// server, whoever chose it.
+/// The placement policy of a host. Hosts may use different policies, because the
+/// token contains the chosen server.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementChoice {
     /// [`TablePlacement`]
@@ -166,7 +168,7 @@
         Self::BoundedLoad,
     ];
 
-    /// What tables of figures call the policy.
+    /// The name of the policy in tables of measurements.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Table => TablePlacement::NAME,
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The choice of the policy; see [`PlacementPolicy::choose`].
+    /// Applies the policy; see [`PlacementPolicy::choose`].
     pub fn choose(self, hash: FlowHash, options: &[PlacementOption]) -> Option<usize> {
         match self {
             Self::Table => TablePlacement.choose(hash, options),
--- a/crates/cardamomwinch_coordination/src/routing/rendezvous.rs
+++ b/crates/cardamomwinch_coordination/src/routing/rendezvous.rs
@@ -1,6 +1,6 @@
-//! Highest-random-weight choice: each candidate gets a score from its
-//! identifier and the subject, and the highest wins. Removing one candidate
-//! moves only what it had.
+//! Rendezvous hashing (highest random weight): each candidate gets a score from
+//! its identifier and the subject, and the highest score wins. Removing a
+//! candidate moves only the subjects that were assigned to it.
 
 use cardamomwinch_state::flow;
 use cardamomwinch_state::prelude::Weight;
@@ -10,8 +10,9 @@
     flow::mix(candidate ^ flow::mix(subject))
 }
 
-/// A score that wins in proportion to `weight`: the logarithm method, with the
-/// smallest value winning. Zero weight never wins over a positive one.
+/// The cost of `candidate` for `subject`, by the logarithm method: the smallest
+/// cost wins, in proportion to `weight`. A candidate of weight zero never wins
+/// over one of positive weight.
 pub fn weighted_cost(candidate: u64, subject: u64, weight: Weight) -> f64 {
     if weight == Weight::ZERO {
         return f64::INFINITY;
--- a/crates/cardamomwinch_coordination/src/snapshot.rs
+++ b/crates/cardamomwinch_coordination/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The immutable view that control publishes and traffic decides against.
+//! The immutable state that control publishes and traffic decides by.
 
 use std::net;
 use std::sync;
@@ -11,59 +11,61 @@
 use crate::routing::candidates::CandidateList;
 use crate::routing::lookup_table::LookupTables;
 
-/// Whether the host serves.
+/// The serving phase of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingPhase {
-    /// It holds no configuration yet.
+    /// It does not serve yet, because it has no confirmed configuration or is not
+    /// listed.
     Starting,
     /// It serves.
     Serving,
-    /// It hands over and takes nothing new.
+    /// It hands over its shards and accepts nothing new.
     Stopping,
 }
 
 /// The right of this host to act as the home of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HomeLease {
-    /// Nothing is dispatched from this point on.
+    /// From this time on, nothing is dispatched any more.
     pub held_until: Timestamp,
-    /// Requests that may have been sent before this point may be known to an
-    /// earlier home only.
+    /// Requests that were sent before this time may be known only to an earlier
+    /// home.
     pub records_since: Timestamp,
 }
 
-/// What a host believes about the home of one shard.
+/// What a host knows about the home of one shard.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ShardView {
-    /// The host believed to be home.
+    /// The host that is assumed to be the home.
     pub home: Option<HostId>,
-    /// This host's own lease, where it is home.
+    /// This host's own lease, if it is the home.
     pub lease: Option<HomeLease>,
 }
 
-/// What the load endpoint of a backend server said last.
+/// The last load report of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// When it was asked; what it says is so at some point since.
+    /// When the server was probed; the report describes some time since then.
     pub asked: Timestamp,
-    /// When its answer came.
+    /// When the report was received.
     pub made: Timestamp,
-    /// Requests that it says are running.
+    /// The number of running requests.
     pub busy_slots: u32,
-    /// Answers that it has sent since it started, where it counts them.
+    /// The number of answers sent since the server started, if it counts them.
     pub answers: Option<u64>,
 }
 
-/// What is known about the health and load of a backend server.
+/// The known health and load of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendView {
-    /// Whether new flows are kept away because the server seems to fail.
+    /// Whether it gets no new flows because it seems to fail.
     pub ejected: bool,
-    /// Whether new flows are kept away because the server says that it drains.
+    /// Whether it gets no new flows because it reports that it drains.
     pub draining: bool,
-    /// The share of its slots that a cold server is given, in percent.
+    /// The share of its slots in percent that may be used; below 100 for a cold
+    /// server.
     pub warm_percent: u8,
-    /// Its last load report, where this host asks for one.
+    /// Its last load report, if this host requests reports.
     pub report: Option<ReportedLoad>,
 }
 
@@ -79,49 +81,50 @@
     }
 }
 
-/// Everything that traffic threads decide against. A new one is published as a
-/// whole; nothing in it ever changes.
+/// The state by which traffic threads decide. It is immutable; control publishes
+/// a new one for every change.
 #[derive(Debug)]
 pub struct RoutingSnapshot {
-    /// When control made the snapshot.
+    /// When control created the snapshot.
     pub made: Timestamp,
-    /// Whether the host serves.
+    /// The serving phase of the host.
     pub phase: ServingPhase,
-    /// Traffic must not rely on this snapshot after this point: control
-    /// renews it long before, so that passing it means that control is stuck
-    /// or that the whole process slept.
+    /// Traffic must not use this snapshot from this time on. Control publishes a
+    /// new one long before, unless it hangs or the process was paused.
     pub fresh_until: Timestamp,
-    /// What is in force.
+    /// The configuration in force.
     pub configuration: sync::Arc<InForceConfiguration>,
-    /// The published hosts.
+    /// The published list of hosts.
     pub hosts: sync::Arc<HostTable>,
-    /// Since when these are the published hosts, as this host knows.
+    /// When this host adopted this version of the list.
     pub hosts_since: Timestamp,
-    /// Lookup tables of the version in force, and of earlier versions that
-    /// flows may still live under, newest first.
+    /// The lookup tables of the version in force and of earlier versions by which
+    /// open flows may have been placed, newest first.
     pub generations: Vec<sync::Arc<LookupTables>>,
-    /// How many of the newest generations another host may still place new
-    /// flows by, because it has not adopted a newer one yet; at least one.
+    /// The number of newest generations by which some host may still place new
+    /// flows, because it has not adopted a newer one yet; at least one.
     pub opening_generations: usize,
-    /// Whether this host started so lately that other hosts may still place new
-    /// flows by generations that it never knew.
+    /// Whether this host has started so recently that other hosts may still place
+    /// new flows by generations that it does not know.
     pub history_missing: bool,
-    /// Servers of earlier versions whose flows may still be open.
+    /// Servers of earlier versions on which flows may still be open.
     pub retained: SortedVector<BackendId, BackendEntry>,
-    /// Addresses of backend servers in force, with the service each belongs to.
+    /// The addresses of the backend servers in force, with their services.
     pub server_addresses: sync::Arc<SortedVector<net::SocketAddr, ServiceId>>,
-    /// The names of failure domains, for people.
+    /// The names of failure domains, for display.
     pub domain_names: sync::Arc<SortedVector<DomainId, String>>,
     /// The homes of shards.
     pub shards: SortedVector<ShardId, ShardView>,
-    /// Health of backend servers; a server that is absent is healthy and warm.
+    /// The health of backend servers; an absent server is healthy and warm.
     pub backends: SortedVector<BackendId, BackendView>,
-    /// Peers of the own failure domain that answer, most useful first.
+    /// Reachable peers to which a datagram can be relayed if this host may not
+    /// decide about it: those of the own failure domain, or of other domains if
+    /// there are none.
     pub helpers: Vec<HostId>,
 }
 
 impl RoutingSnapshot {
-    /// The view of a host that has just started.
+    /// The snapshot of a host that has just started.
     pub fn starting() -> Self {
         Self {
             made: Timestamp::ZERO,
@@ -147,7 +150,7 @@
         self.configuration.version
     }
 
-    /// The name of a failure domain, or its identifier where no fragment names it.
+    /// The name of a failure domain, or its identifier if no fragment names it.
     pub fn domain_name(&self, domain: DomainId) -> String {
         let name = self.domain_names.get(&domain);
         name.cloned().unwrap_or_else(|| domain.to_string())
@@ -158,36 +161,37 @@
         self.configuration.service_at(address)
     }
 
-    /// Some shard of the fleet, where there is any.
+    /// Any shard of the fleet, if there is one.
     pub fn any_shard(&self) -> Option<ShardId> {
         self.shards.keys().next().copied()
     }
 
-    /// The server `id`, whether in force or retained for its flows.
+    /// The server `id`, in force or retained for its open flows.
     pub fn backend(&self, id: BackendId) -> Option<&BackendEntry> {
         let in_force = self.configuration.backends.get(&id);
         in_force.or_else(|| self.retained.get(&id))
     }
 
-    /// The servers that a flow may have been placed on, oldest generation first.
+    /// The servers on which a flow may have been placed, oldest generation first.
     pub fn candidates(&self, service: ServiceId, hash: FlowHash) -> CandidateList {
         CandidateList::derive(&self.generations, service, hash)
     }
 
-    /// The servers that some host may place a new flow on at present.
+    /// The servers on which some host may currently place a new flow.
     pub fn opening_candidates(&self, service: ServiceId, hash: FlowHash) -> CandidateList {
         let kept = self.opening_generations.max(1).min(self.generations.len());
         CandidateList::derive(&self.generations[..kept], service, hash)
     }
 
-    /// Whether no shard of `domain` has a home that this host can reach.
+    /// Whether this host knows no reachable home for any shard of `domain`.
     pub fn is_cut_off(&self, domain: DomainId) -> bool {
         let mut shards = self.shards.iter();
         !shards.any(|(shard, view)| shard.domain == domain && view.home.is_some())
     }
 
-    /// Whether the list of hosts changed so lately that hosts may take different ones
-    /// for the home of a shard: its holder is heard of again within a lease.
+    /// Whether the list of hosts changed so recently that hosts may assume
+    /// different homes for a shard. Within the duration of a lease, every host
+    /// receives a message about the holder of the lease again.
     pub fn hosts_are_new(&self, now: Timestamp) -> bool {
         now < self.hosts_since.after(self.configuration.limits.home_lease)
     }
@@ -197,23 +201,23 @@
         backend.shard(self.configuration.limits.shards_per_domain)
     }
 
-    /// What is believed about `shard`.
+    /// What is known about the home of `shard`.
     pub fn shard(&self, shard: ShardId) -> ShardView {
         self.shards.get(&shard).copied().unwrap_or_default()
     }
 
-    /// This host's lease on `shard`, where it still holds at `now`.
+    /// This host's lease on `shard`, if it is still valid at `now`.
     pub fn lease_at(&self, shard: ShardId, now: Timestamp) -> Option<HomeLease> {
         let lease = self.shard(shard).lease?;
         (now < lease.held_until).then_some(lease)
     }
 
-    /// What is known about the health and load of `backend`.
+    /// The known health and load of `backend`.
     pub fn view(&self, backend: BackendId) -> BackendView {
         self.backends.get(&backend).copied().unwrap_or_default()
     }
 
-    /// Whether new flows are kept away from `backend`.
+    /// Whether `backend` gets no new flows.
     pub fn is_ejected(&self, backend: BackendId) -> bool {
         let view = self.view(backend);
         view.ejected || view.draining
--- a/crates/cardamomwinch_coordination/tests/routing_addresses.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_addresses.rs
@@ -1,5 +1,5 @@
-//! Addresses of backend servers that move to another service, and servers that
-//! leave the configuration.
+//! Backend server addresses that are reassigned to another service, and servers
+//! that are removed from the configuration.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,17 +10,17 @@
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_protocol::prelude::*;
 use cardamomwinch_state::prelude::*;
-use routing_support::{Fleet, Told, flow, server, server_of};
+use routing_support::{CallerMessage, Fleet, flow, server, server_of};
 use yare::parameterized;
 
 const HOSTS: &[(&str, &str)] = &[("a1", "a"), ("a2", "a"), ("b1", "b")];
 
-/// The servers of the service, of which the first stands where the test looks.
+/// The service has one server.
 fn before() -> InForceConfiguration {
     routing_support::configuration(1, &[server(1, "a")])
 }
 
-/// The first server's address belongs to another service now.
+/// The address of this server has been reassigned to another service.
 fn after() -> InForceConfiguration {
     let archive = ServiceId::from_name("archive");
     let mut configuration =
@@ -37,17 +37,20 @@
 }
 
 fn token(fleet: &Fleet, key: FlowKey) -> Option<RoutingToken> {
-    fleet.told(key).iter().find_map(|told| match told {
-        Told::Opened(token) => Some(*token),
-        _ => None,
-    })
+    fleet
+        .messages_to(key)
+        .iter()
+        .find_map(|message| match message {
+            CallerMessage::Opened(token) => Some(*token),
+            _ => None,
+        })
 }
 
 fn received(fleet: &Fleet) -> usize {
     fleet.servers[&server(1, "a").address].received.len()
 }
 
-/// The answer of the first server to a request that the first host had sent it.
+/// The answer of the first server to a request from the first host.
 fn answer_of(fleet: &Fleet, request: u64) -> BackendReply<'static> {
     BackendReply {
         flow: flow(1),
@@ -63,34 +66,35 @@
 }
 
 fn plain(fleet: &mut Fleet, key: FlowKey, token: Option<RoutingToken>) {
-    fleet.hand(0, &CallerDatagram::carry(key, token, b"data"));
-    fleet.hand(2, &CallerDatagram::carry(key, token, b"data"));
+    fleet.deliver(0, &CallerDatagram::carry(key, token, b"data"));
+    fleet.deliver(2, &CallerDatagram::carry(key, token, b"data"));
 }
 
 fn request(fleet: &mut Fleet, key: FlowKey, token: Option<RoutingToken>) {
     let request = fleet.request(77);
     let datagram = CallerDatagram::carry(key, token, b"ask").with_request(request);
-    fleet.hand(0, &datagram);
-    fleet.hand(2, &datagram);
+    fleet.deliver(0, &datagram);
+    fleet.deliver(2, &datagram);
 }
 
 fn close(fleet: &mut Fleet, key: FlowKey, token: Option<RoutingToken>) {
     for member in [0, 2] {
         let mut datagram = CallerDatagram::carry(key, token, b"");
         datagram.kind = CallerKind::Close;
-        fleet.hand(member, &datagram);
+        fleet.deliver(member, &datagram);
     }
 }
 
 fn open(fleet: &mut Fleet, key: FlowKey, token: Option<RoutingToken>) {
     let mut datagram = CallerDatagram::open(key, b"open");
     datagram.token = token;
-    fleet.hand(0, &datagram);
-    fleet.hand(2, &datagram);
+    fleet.deliver(0, &datagram);
+    fleet.deliver(2, &datagram);
 }
 
-/// Guards against datagrams that reach a server of another service, to which the address
-/// of an earlier server was given, by a token or a pin that is still held.
+// The address of a server is reassigned to another service, while tokens and pins
+// still contain the old server. No datagram of the old service may reach the
+// server of the other service.
 #[parameterized(
     plain_by_token = { plain, true },
     plain_by_pin = { plain, false },
@@ -101,12 +105,12 @@
     open_by_token = { open, true },
     open_by_pin = { open, false },
 )]
-fn reassigned_address_gets_nothing(
+fn reassigned_address_receives_nothing(
     send: fn(&mut Fleet, FlowKey, Option<RoutingToken>),
     echoes: bool,
 ) {
     let mut fleet = Fleet::new(HOSTS, &before());
-    fleet.hand(0, &CallerDatagram::open(flow(1), b"open"));
+    fleet.deliver(0, &CallerDatagram::open(flow(1), b"open"));
     let token = token(&fleet, flow(1)).filter(|_| echoes);
     plain(&mut fleet, flow(1), None);
     fleet.adopt_everywhere(&after());
@@ -116,18 +120,19 @@
     assert_eq!(
         received(&fleet),
         count,
-        "the archive got a packet of the renewal service"
+        "the archive received a packet of the renewal service"
     );
 }
 
-// Requests wait for a slot of a renewal server whose address is then given to
-// the archive. The running ones expire, which frees slots and cancels: neither
-// what waited nor the cancellations may reach the archive, and the callers that
-// waited are told that their requests did not run.
+// Requests wait for a slot of a renewal server whose address is then reassigned to
+// the archive. When running requests are answered or expire, slots become free
+// and cancellations are sent. Neither the waiting requests nor the cancellations
+// may reach the archive, and the callers of the waiting requests must be notified
+// that these did not run.
 #[test]
-fn queue_and_cancellations_spare_a_reassigned_address() {
+fn queue_and_cancellations_do_not_reach_a_reassigned_address() {
     let mut fleet = Fleet::new(HOSTS, &before());
-    fleet.hand(0, &CallerDatagram::open(flow(1), b"open"));
+    fleet.deliver(0, &CallerDatagram::open(flow(1), b"open"));
     fleet
         .servers
         .get_mut(&server(1, "a").address)
@@ -139,7 +144,7 @@
             request.deadline = request.deadline.after(time::Duration::from_secs(3));
         }
         let token = token(&fleet, flow(1));
-        fleet.hand(
+        fleet.deliver(
             0,
             &CallerDatagram::carry(flow(1), token, b"ask").with_request(request),
         );
@@ -147,38 +152,39 @@
     let count = received(&fleet);
     fleet.adopt_everywhere(&after());
     let answer = answer_of(&fleet, 1);
-    fleet.answer(0, answer);
-    let unsent = Told::NotRun(Some(RequestId::new(3)), RefusalReason::NoBackend);
+    fleet.deliver_reply(0, answer);
+    let unsent = CallerMessage::NotRun(Some(RequestId::new(3)), RefusalReason::NoBackend);
     assert!(
-        fleet.told(flow(1)).contains(&unsent),
+        fleet.messages_to(flow(1)).contains(&unsent),
         "{:?}",
-        fleet.told(flow(1))
+        fleet.messages_to(flow(1))
     );
-    fleet.pass(time::Duration::from_secs(12));
+    fleet.advance(time::Duration::from_secs(12));
     assert_eq!(
         received(&fleet),
         count,
-        "the archive got a packet of the renewal service"
+        "the archive received a packet of the renewal service"
     );
-    let refused = |told: &Told| matches!(told, Told::NotRun(Some(_), _));
+    let refused = |message: &CallerMessage| matches!(message, CallerMessage::NotRun(Some(_), _));
     assert_eq!(
         fleet
-            .told(flow(1))
+            .messages_to(flow(1))
             .iter()
-            .filter(|told| refused(told))
+            .filter(|message| refused(message))
             .count(),
         4
     );
 }
 
-// A host sleeps while the address of a server moves to another service. On
-// waking, an old answer frees a slot. It must not send what waited, because it
-// still believes that the address is the renewal server's; once its beliefs
-// are renewed, what waited goes on or gets its last word.
+// A host is paused while the address of a server is reassigned to another service.
+// After the pause, an old answer frees a slot. The host must not send the waiting
+// request, because its snapshot from before the pause still assigns the address
+// to the renewal server. Once it has a new snapshot, the request must be sent or
+// refused.
 #[test]
-fn host_that_slept_sends_nothing_from_its_queue() {
+fn resumed_host_sends_nothing_from_its_queue() {
     let mut fleet = Fleet::new(&HOSTS[..1], &before());
-    fleet.hand(0, &CallerDatagram::open(flow(1), b"open"));
+    fleet.deliver(0, &CallerDatagram::open(flow(1), b"open"));
     fleet
         .servers
         .get_mut(&server(1, "a").address)
@@ -188,7 +194,7 @@
     for number in 1..=3 {
         let mut request = fleet.request(number);
         request.deadline = fleet.now.after(time::Duration::from_secs(9));
-        fleet.hand(
+        fleet.deliver(
             0,
             &CallerDatagram::carry(flow(1), token, b"ask").with_request(request),
         );
@@ -196,30 +202,31 @@
     let count = received(&fleet);
     fleet.now = fleet.now.after(time::Duration::from_secs(4));
     let reply = answer_of(&fleet, 1);
-    fleet.answer(0, reply);
+    fleet.deliver_reply(0, reply);
     assert_eq!(
         received(&fleet),
         count,
-        "sent on beliefs of before the sleep"
+        "sent by a snapshot from before the pause"
     );
     fleet.now = fleet.now.after(time::Duration::from_millis(10));
     fleet.members[0].snapshot.made = fleet.now;
     fleet.tick(0);
     fleet.settle();
-    let waited = Told::NotRun(Some(RequestId::new(3)), RefusalReason::Full);
+    let refused = CallerMessage::NotRun(Some(RequestId::new(3)), RefusalReason::Full);
     let sent = received(&fleet) == count + 1;
     assert!(
-        sent ^ fleet.told(flow(1)).contains(&waited),
-        "what waited must be sent after all, or be refused"
+        sent ^ fleet.messages_to(flow(1)).contains(&refused),
+        "the waiting request must be either sent or refused"
     );
 }
 
-/// Guards against a session that breaks at a host that started after its server had left the
-/// configuration; the token names the server in full.
+// A host starts after the server of an open session was removed from the
+// configuration, and so never knew this server. The token contains everything
+// that is needed to reach the server, so the session must continue.
 #[test]
-fn token_serves_where_the_server_was_never_known() {
+fn token_is_sufficient_if_the_server_was_never_known() {
     let mut fleet = Fleet::new(HOSTS, &before());
-    fleet.hand(0, &CallerDatagram::open(flow(1), b"open"));
+    fleet.deliver(0, &CallerDatagram::open(flow(1), b"open"));
     let token = token(&fleet, flow(1));
     let changed = routing_support::configuration(2, &[server(2, "a")]);
     for member in &mut fleet.members {
--- a/crates/cardamomwinch_coordination/tests/routing_changes.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_changes.rs
@@ -1,4 +1,4 @@
-//! Flows whose callers echo no token, while the servers of their service change.
+//! Flows without token while the servers of their service change.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -9,7 +9,7 @@
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_protocol::prelude::*;
 use cardamomwinch_state::prelude::*;
-use routing_support::{Fleet, Told, flow, plain_open, server};
+use routing_support::{CallerMessage, Fleet, flow, plain_open, server};
 use yare::parameterized;
 
 const HOSTS: &[(&str, &str)] = &[("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b")];
@@ -51,12 +51,13 @@
 
 fn open_all(fleet: &mut Fleet) {
     for number in 0..FLOWS {
-        fleet.hand(usize::from(number) % HOSTS.len(), &plain_open(flow(number)));
+        fleet.deliver(usize::from(number) % HOSTS.len(), &plain_open(flow(number)));
     }
 }
 
-/// Every flow sends plain data and a request through every host; the server
-/// that held the flow must get both, and nobody must be told that it is gone.
+/// Sends plain data and a request of every flow through every host. The server
+/// that holds the flow must receive both, and no caller may be notified that its
+/// flow was lost.
 fn check_all(fleet: &mut Fleet) {
     for number in 0..FLOWS {
         let key = flow(number);
@@ -64,11 +65,11 @@
         assert_eq!(holders.len(), 1);
         for member in 0..HOSTS.len() {
             let payload = [member as u8];
-            fleet.hand(member, &CallerDatagram::carry(key, None, &payload));
+            fleet.deliver(member, &CallerDatagram::carry(key, None, &payload));
             let request = fleet.request(100 + member as u64);
             let datagram = CallerDatagram::carry(key, None, b"ask").with_request(request);
-            fleet.hand(member, &datagram);
-            fleet.hand((member + 1) % HOSTS.len(), &datagram);
+            fleet.deliver(member, &datagram);
+            fleet.deliver((member + 1) % HOSTS.len(), &datagram);
             let server = &fleet.servers[&holders[0]];
             assert!(
                 server.plain.contains(&(key, payload.to_vec())),
@@ -80,17 +81,21 @@
                 "{key} through host {member}"
             );
         }
-        let told = fleet.told(key);
-        let lost =
-            |told: &Told| matches!(told, Told::Reset(_) | Told::Unknown(_) | Told::NotRun(..));
-        assert!(!told.iter().any(lost), "{key} was told {told:?}");
+        let messages = fleet.messages_to(key);
+        let lost = |message: &CallerMessage| {
+            matches!(
+                message,
+                CallerMessage::Reset(_) | CallerMessage::Unknown(_) | CallerMessage::NotRun(..)
+            )
+        };
+        assert!(!messages.iter().any(lost), "{key} received {messages:?}");
     }
 }
 
-// An adviser's notice stream is open and its caller echoes no token. The
-// operator switches presets, drains, adds, removes or reweighs servers. The
-// next packet meets a host without a pin, whose newest table names another
-// server: that one does not know the flow, and the adviser is cut off.
+// Flows are open whose callers echo no token. The operator switches presets, or
+// drains, adds, removes or reweighs servers. The next packet of a flow reaches a
+// host without a pin, whose newest table selects another server, which does not
+// know the flow. The flow must continue on its server and not be reset.
 #[parameterized(
     drain = { drained },
     add = { added },
@@ -105,8 +110,8 @@
     check_all(&mut fleet);
 }
 
-// As before, but two changes follow each other, and the first hosts have
-// adopted the second while the last host still has neither.
+// As above, but with two successive changes: one host has adopted both, others
+// only the first, and the last host neither.
 #[test]
 fn flow_without_token_survives_two_changes_adopted_unevenly() {
     let mut fleet = Fleet::new(HOSTS, &routing_support::configuration(1, &servers()));
@@ -120,13 +125,14 @@
     check_all(&mut fleet);
 }
 
-// After a change every flow has sent data, so that the homes of the newest
-// candidates were told where the flows off their table lie. Then the home of
-// the drained server dies with its pins. Its next home knows nothing and asks
-// the home of the newest candidate, which leads back to it: the datagram went
-// in a circle and was dropped, and the caller heard nothing any more.
+// After a change, every flow has sent data, so the homes of the newest candidates
+// have been notified of flows that are on another server than their table
+// selects. Then the home of that server crashes and its pins are lost. The next
+// home has no pin and asks the home of the newest candidate, which refers back to
+// it. The datagram was relayed in a circle and dropped, and the caller received
+// no reply any more.
 #[parameterized(drain = { drained }, add = { added }, preset = { swapped })]
-fn flow_without_token_survives_the_loss_of_its_home_after_others_were_told(
+fn flow_without_token_survives_the_loss_of_its_home_after_others_were_notified(
     change: fn(Vec<BackendEntry>) -> Vec<BackendEntry>,
 ) {
     for lost in 0..HOSTS.len() {
@@ -134,16 +140,16 @@
         open_all(&mut fleet);
         fleet.adopt_everywhere(&routing_support::configuration(2, &change(servers())));
         check_all(&mut fleet);
-        // The sweep of the pins tells the others.
-        fleet.pass(time::Duration::from_secs(30));
+        // The sweep of the pins notifies the other homes.
+        fleet.advance(time::Duration::from_secs(30));
         fleet.members[lost].reachable = false;
-        fleet.choose_homes();
+        fleet.assign_homes();
         for number in 0..FLOWS {
             let key = flow(number);
             let holders = fleet.holders(key);
             for member in (0..HOSTS.len()).filter(|member| *member != lost) {
                 let payload = [50 + member as u8];
-                fleet.hand(member, &CallerDatagram::carry(key, None, &payload));
+                fleet.deliver(member, &CallerDatagram::carry(key, None, &payload));
                 let server = &fleet.servers[&holders[0]];
                 assert!(
                     server.plain.contains(&(key, payload.to_vec())),
@@ -151,7 +157,7 @@
                 );
                 let request = fleet.request(200 + member as u64);
                 let datagram = CallerDatagram::carry(key, None, b"ask").with_request(request);
-                fleet.hand(member, &datagram);
+                fleet.deliver(member, &datagram);
                 assert_eq!(
                     fleet.runs(key, request.id),
                     1,
@@ -162,10 +168,10 @@
     }
 }
 
-// A home host dies without a hand-over just after a change, and with it the
-// pins of its flows. The next packet's home knows nothing of the flow: the
-// servers that it may belong to are asked in turn, and the one that holds it
-// serves it.
+// A host crashes just after a change, and the pins of the shards that it was home
+// of are lost without a hand-over. The home that receives the next packet has no
+// pin for the flow. It must ask the servers on which the flow may be one after
+// another, until the one that holds the flow serves it.
 #[parameterized(drain = { drained }, add = { added }, preset = { swapped })]
 fn flow_without_token_survives_the_loss_of_its_pin(
     change: fn(Vec<BackendEntry>) -> Vec<BackendEntry>,
@@ -174,16 +180,16 @@
     open_all(&mut fleet);
     fleet.adopt_everywhere(&routing_support::configuration(2, &change(servers())));
     fleet.members[1].reachable = false;
-    fleet.choose_homes();
+    fleet.assign_homes();
     for number in 0..FLOWS {
         let key = flow(number);
         let holders = fleet.holders(key);
         for member in [0, 2, 3] {
             let payload = [member as u8];
-            fleet.hand(member, &CallerDatagram::carry(key, None, &payload));
+            fleet.deliver(member, &CallerDatagram::carry(key, None, &payload));
             let request = fleet.request(100 + member as u64);
             let datagram = CallerDatagram::carry(key, None, b"ask").with_request(request);
-            fleet.hand(member, &datagram);
+            fleet.deliver(member, &datagram);
             assert!(
                 fleet.servers[&holders[0]]
                     .plain
@@ -195,42 +201,48 @@
                 "{key} through host {member}"
             );
         }
-        let told = fleet.told(key);
+        let messages = fleet.messages_to(key);
         assert!(
-            !told.contains(&Told::Reset(ResetReason::UnknownFlow)),
-            "{key}: {told:?}"
+            !messages.contains(&CallerMessage::Reset(ResetReason::UnknownFlow)),
+            "{key}: {messages:?}"
         );
     }
 }
 
-// A caller goes on with a flow that no server holds. All are asked, none knows
-// it: the caller is told once that the flow is gone, and that the outcome of
-// its request is not known.
+// A caller continues a flow that no server holds. After all candidates have
+// replied that they do not know it, the caller must be notified once that the
+// flow is unknown, and that the outcome of its request is unknown.
 #[test]
-fn flow_that_nobody_holds_is_reset() {
+fn flow_that_no_server_holds_is_reset() {
     let mut fleet = Fleet::new(HOSTS, &routing_support::configuration(1, &servers()));
     fleet.adopt_everywhere(&routing_support::configuration(2, &swapped(servers())));
-    fleet.hand(0, &CallerDatagram::carry(flow(1), None, b"data"));
-    assert_eq!(fleet.told(flow(1)), [Told::Reset(ResetReason::UnknownFlow)]);
+    fleet.deliver(0, &CallerDatagram::carry(flow(1), None, b"data"));
+    assert_eq!(
+        fleet.messages_to(flow(1)),
+        [CallerMessage::Reset(ResetReason::UnknownFlow)]
+    );
     let request = fleet.request(5);
-    fleet.hand(
+    fleet.deliver(
         1,
         &CallerDatagram::carry(flow(2), None, b"ask").with_request(request),
     );
-    let told = fleet.told(flow(2));
-    assert!(told.contains(&Told::Unknown(request.id)), "{told:?}");
+    let messages = fleet.messages_to(flow(2));
+    assert!(
+        messages.contains(&CallerMessage::Unknown(request.id)),
+        "{messages:?}"
+    );
     assert!(
-        told.contains(&Told::Reset(ResetReason::UnknownFlow)),
-        "{told:?}"
+        messages.contains(&CallerMessage::Reset(ResetReason::UnknownFlow)),
+        "{messages:?}"
     );
     assert_eq!(fleet.runs(flow(2), request.id), 0);
 }
 
-// Most packets of a flow that the newest table misplaces must not be relayed
-// for ever: a host that was told where the flow belongs sends the next packet
-// straight to the server.
+// A flow is on another server than the newest table selects. If hosts did not
+// remember its server, most of its packets would be relayed permanently. A host
+// that has learned the server must send the next packet directly to it.
 #[test]
-fn host_learns_where_a_flow_belongs() {
+fn host_learns_the_server_of_a_flow() {
     let mut fleet = Fleet::new(HOSTS, &routing_support::configuration(1, &servers()));
     open_all(&mut fleet);
     fleet.adopt_everywhere(&routing_support::configuration(2, &swapped(servers())));
@@ -238,7 +250,7 @@
     let before = fleet.relays;
     for number in 0..FLOWS {
         for member in 0..HOSTS.len() {
-            fleet.hand(member, &CallerDatagram::carry(flow(number), None, b"more"));
+            fleet.deliver(member, &CallerDatagram::carry(flow(number), None, b"more"));
         }
     }
     assert_eq!(
@@ -247,25 +259,26 @@
     );
 }
 
-// A caller closes its flow and opens it again under the same port; the new one
-// lies on another server. A host that learned the old server must not cut the
-// new flow off: the old server's word only makes it forget.
+// A caller closes its flow and opens a new one from the same port, which is placed
+// on another server. A host that has learned the old server must not reset the
+// new flow: when the old server replies that it does not know the flow, the host
+// only forgets what it has learned.
 #[test]
 fn learned_server_that_is_out_of_date_is_forgotten() {
     let mut fleet = Fleet::new(HOSTS, &routing_support::configuration(1, &servers()));
     open_all(&mut fleet);
     for number in 0..FLOWS {
         for member in 0..HOSTS.len() {
-            fleet.hand(member, &CallerDatagram::carry(flow(number), None, b"data"));
+            fleet.deliver(member, &CallerDatagram::carry(flow(number), None, b"data"));
         }
         let mut close = CallerDatagram::carry(flow(number), None, b"");
         close.kind = CallerKind::Close;
-        fleet.hand(0, &close);
+        fleet.deliver(0, &close);
         assert!(fleet.holders(flow(number)).is_empty());
     }
     let changed = routing_support::configuration(2, &swapped(servers()));
     fleet.adopt_everywhere(&changed);
-    fleet.pass(time::Duration::from_secs(20));
+    fleet.advance(time::Duration::from_secs(20));
     for member in &mut fleet.members {
         member.snapshot.opening_generations = 1;
     }
@@ -273,33 +286,33 @@
     for number in 0..FLOWS {
         let holders = fleet.holders(flow(number));
         for member in 0..HOSTS.len() {
-            // The first datagram may be lost where the old server gets it.
-            fleet.hand(member, &CallerDatagram::carry(flow(number), None, b"lost?"));
+            // The first datagram may be lost if the old server receives it.
+            fleet.deliver(member, &CallerDatagram::carry(flow(number), None, b"lost?"));
             let payload = [100 + member as u8];
-            fleet.hand(member, &CallerDatagram::carry(flow(number), None, &payload));
+            fleet.deliver(member, &CallerDatagram::carry(flow(number), None, &payload));
             let server = &fleet.servers[&holders[0]];
             assert!(server.plain.contains(&(flow(number), payload.to_vec())));
         }
-        let told = fleet.told(flow(number));
+        let messages = fleet.messages_to(flow(number));
         assert!(
-            !told.contains(&Told::Reset(ResetReason::UnknownFlow)),
-            "{told:?}"
+            !messages.contains(&CallerMessage::Reset(ResetReason::UnknownFlow)),
+            "{messages:?}"
         );
     }
     assert_eq!(fleet.count(Counter::RequestAnswered), 0);
 }
 
-// A change moves flows of callers that echo no token; then every host is
-// replaced in turn, each handing over. None of the new hosts has ever known the
-// earlier table, and yet each must find the flows.
+// After a change of the servers, every host is replaced one after another, with a
+// hand-over. None of the new hosts knows the earlier table, but each must find
+// the flows without token that were placed by it.
 #[parameterized(drain = { drained }, preset = { swapped })]
-fn flow_without_token_is_found_by_hosts_that_know_the_newest_table_only(
+fn flow_without_token_is_found_by_hosts_that_know_only_the_newest_table(
     change: fn(Vec<BackendEntry>) -> Vec<BackendEntry>,
 ) {
     let mut fleet = Fleet::new(HOSTS, &routing_support::configuration(1, &servers()));
     open_all(&mut fleet);
     fleet.adopt_everywhere(&routing_support::configuration(2, &change(servers())));
-    fleet.pass(time::Duration::from_secs(10));
+    fleet.advance(time::Duration::from_secs(10));
     for member in &mut fleet.members {
         member.snapshot.generations.truncate(1);
         member.snapshot.opening_generations = 1;
--- a/crates/cardamomwinch_coordination/tests/routing_generations.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_generations.rs
@@ -1,4 +1,4 @@
-//! How long lookup tables of earlier versions are kept, and used for openings.
+//! How long lookup tables of earlier versions are kept and used for openings.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -28,9 +28,10 @@
     assert_eq!(history.tables()[0].version, ConfigurationVersion::new(99));
 }
 
-// Hosts adopt a version within seconds of each other. For so long openings ask
-// the homes of the earlier version as well; while a failure domain is cut off
-// nobody knows what is in force there, and it goes on.
+// Hosts adopt a version within seconds of each other. Until all have done so,
+// openings must also consider the homes according to the earlier version. While a
+// failure domain is cut off, the version in force there is unknown, so this must
+// continue.
 #[test]
 fn openings_follow_earlier_tables_until_all_have_adopted() {
     let mut history = GenerationHistory::default();
@@ -46,13 +47,18 @@
     assert_eq!(history.opening_count(), 2, "a domain is cut off");
     history.settle(later, false);
     assert_eq!(history.opening_count(), 1);
-    assert_eq!(history.tables().len(), 2, "flows still live under it");
+    assert_eq!(
+        history.tables().len(),
+        2,
+        "flows placed by it may still be open"
+    );
 }
 
-// One team changes its service many times a day. Sessions of another team's
-// service, which changed once, must still be found.
+// One team changes its service many times a day. The number of generations is
+// limited, but sessions of another team's service that changed only once must
+// still be found.
 #[test]
-fn changes_of_one_service_push_out_no_table_of_another() {
+fn changes_of_one_service_displace_no_table_of_another() {
     let quiet = ServiceId::from_name("archive");
     let mut history = GenerationHistory::default();
     let old = server_of(quiet, 100, "a");
@@ -68,19 +74,19 @@
         history.adopt(now, &configuration(u64::from(step) + 1, &entries));
     }
     assert_eq!(history.tables().len(), GENERATION_LIMIT);
-    assert!(history.names(quiet, old.id) && history.names(quiet, new.id));
-    assert!(history.names(service_id(), server(4, "a").id));
+    assert!(history.contains_server(quiet, old.id) && history.contains_server(quiet, new.id));
+    assert!(history.contains_server(service_id(), server(4, "a").id));
 }
 
 #[test]
-fn a_generation_outlives_no_flow() {
+fn a_generation_is_kept_for_the_maximum_flow_duration() {
     let mut history = GenerationHistory::default();
     history.adopt(START, &configuration(1, &servers(1..=4)));
     history.adopt(START.after(SECOND), &configuration(2, &servers(2..=5)));
     let later = START.after(SECOND).after(FLOW_LIFE);
     history.adopt(later, &configuration(3, &servers(3..=6)));
     assert_eq!(history.tables().len(), 2);
-    assert!(!history.names(service_id(), server(1, "a").id));
+    assert!(!history.contains_server(service_id(), server(1, "a").id));
 }
 
 fn history_of(versions: &[(u64, std::ops::RangeInclusive<u8>)]) -> GenerationHistory {
@@ -94,52 +100,53 @@
 
 fn kept_versions(history: &GenerationHistory) -> Vec<u64> {
     let tables = history.tables();
-    tables.iter().map(|held| held.version.get()).collect()
+    tables.iter().map(|kept| kept.version.get()).collect()
 }
 
-// A host restarts while its peers are ahead of it, behind it, or neither. What
-// a peer keeps goes where its version belongs, and the table in force here
-// stays the newest, so that new flows lie where every host looks for them.
+// A host restarts and receives the generations that a peer keeps. They must be
+// inserted in the order of versions, and the table in force on this host must
+// remain the newest, also if the peer has adopted a newer version. Otherwise new
+// flows would be placed where other hosts do not look for them.
 #[yare::parameterized(
     level = { 4, &[4, 3, 2, 1] },
     ahead = { 3, &[3, 2, 1] },
     between = { 2, &[2, 1] },
 )]
-fn a_started_host_learns_what_came_before(own: u64, expected: &[u64]) {
+fn a_started_host_learns_earlier_generations(own: u64, expected: &[u64]) {
     let known = [(1, 1..=4), (2, 2..=5), (3, 3..=6), (4, 4..=7)];
     let peer = history_of(&known);
     let position = own as usize - 1;
     let mut started = history_of(&known[position..=position]);
-    started.learn(&peer.listed());
-    started.learn(&peer.listed());
+    started.add_missing(&peer.listed());
+    started.add_missing(&peer.listed());
     assert_eq!(kept_versions(&started), expected);
     let peer_tables = peer.tables();
-    for (held, wanted) in started
+    for (kept, wanted) in started
         .tables()
         .iter()
         .zip(&peer_tables[4 - own as usize..])
     {
-        assert!(held.places_like(wanted));
+        assert!(kept.places_like(wanted));
     }
 }
 
 #[test]
-fn a_started_host_learns_from_a_peer_that_is_behind() {
+fn a_started_host_learns_from_an_outdated_peer() {
     let peer = history_of(&[(1, 1..=4), (2, 2..=5)]);
     let mut started = history_of(&[(3, 3..=6)]);
-    started.learn(&peer.listed());
+    started.add_missing(&peer.listed());
     assert_eq!(kept_versions(&started), [3, 2, 1]);
     assert_eq!(
         started.opening_count(),
         3,
-        "the peer still opens by its own"
+        "the peer still places new flows by its own version"
     );
 }
 
-// Every change of a service that a peer keeps is learned, also where it has
-// been given up and taken up again.
+// A service was removed in one version and added again in the next. The
+// generations that a started host learns must contain this gap.
 #[test]
-fn a_started_host_learns_of_services_that_were_gone_for_a_while() {
+fn a_started_host_learns_that_a_service_was_temporarily_removed() {
     let other = ServiceId::from_name("archive");
     let with = |version, present: bool| {
         let mut entries = servers(1..=4);
@@ -152,8 +159,8 @@
     }
     let mut started = GenerationHistory::default();
     started.adopt(START, &with(3, true));
-    started.learn(&peer.listed());
+    started.add_missing(&peer.listed());
     let tables = started.tables();
-    let present = tables.iter().map(|held| held.of_service(other).is_some());
+    let present = tables.iter().map(|kept| kept.of_service(other).is_some());
     assert_eq!(present.collect::<Vec<_>>(), [true, false, true]);
 }
--- a/crates/cardamomwinch_coordination/tests/routing_pins.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_pins.rs
@@ -1,4 +1,4 @@
-//! The bounded table of pins: what goes when room is short.
+//! The bounded table of pins: which pins are dropped when it is nearly full.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,7 +10,7 @@
 use cardamomwinch_coordination::traffic::pins::PinRole;
 use cardamomwinch_protocol::prelude::*;
 use cardamomwinch_state::prelude::*;
-use routing_support::{Fleet, Told, flow, plain_open, server};
+use routing_support::{CallerMessage, Fleet, flow, plain_open, server};
 
 const HOSTS: &[(&str, &str)] = &[("a1", "a"), ("a2", "a")];
 const FLOWS: u16 = 64;
@@ -23,44 +23,48 @@
         flows: usize::from(FLOWS),
         ..TrafficBounds::default()
     };
-    Fleet::bounded(&HOSTS[..1], &configuration, &bounds)
+    Fleet::with_bounds(&HOSTS[..1], &configuration, &bounds)
 }
 
 fn refused(fleet: &Fleet, range: std::ops::Range<u16>) -> usize {
     range
         .filter(|number| {
-            let full = Told::NotRun(None, RefusalReason::TableFull);
-            fleet.told(flow(*number)).contains(&full)
+            let full = CallerMessage::NotRun(None, RefusalReason::TableFull);
+            fleet.messages_to(flow(*number)).contains(&full)
         })
         .count()
 }
 
-fn pass_quietly(fleet: &mut Fleet, span: time::Duration) {
-    fleet.pass(span);
+fn advance_idle(fleet: &mut Fleet, span: time::Duration) {
+    fleet.advance(span);
     fleet.members[0].snapshot.made = fleet.now;
 }
 
-// Callers vanish without closing their flows. Their pins fill the table, and
-// from then on nobody can open a session, although the tokens of the old ones
-// would bring their packets home without a pin. Both old and new must work.
+// Callers disappear without closing their flows, and their pins fill the table. If
+// these pins were kept, no session could be opened any more, although packets of
+// the old flows can be routed by their tokens without a pin. Both old and new
+// flows must work.
 #[test]
-fn dead_flows_make_room_for_new_ones() {
+fn pins_of_idle_flows_are_dropped_for_new_ones() {
     let mut fleet = fleet();
     for number in 0..FLOWS {
-        fleet.hand(0, &CallerDatagram::open(flow(number), b"open"));
+        fleet.deliver(0, &CallerDatagram::open(flow(number), b"open"));
     }
-    pass_quietly(&mut fleet, LONG);
+    advance_idle(&mut fleet, LONG);
     for number in FLOWS..2 * FLOWS {
-        fleet.hand(0, &CallerDatagram::open(flow(number), b"open"));
+        fleet.deliver(0, &CallerDatagram::open(flow(number), b"open"));
     }
     assert_eq!(refused(&fleet, FLOWS..2 * FLOWS), 0);
     for number in 0..2 * FLOWS {
         let key = flow(number);
-        let token = fleet.told(key).iter().find_map(|told| match told {
-            Told::Opened(token) => Some(*token),
-            _ => None,
-        });
-        fleet.hand(0, &CallerDatagram::carry(key, token, b"data"));
+        let token = fleet
+            .messages_to(key)
+            .iter()
+            .find_map(|message| match message {
+                CallerMessage::Opened(token) => Some(*token),
+                _ => None,
+            });
+        fleet.deliver(0, &CallerDatagram::carry(key, token, b"data"));
         let holder = fleet.holders(key)[0];
         assert!(
             fleet.servers[&holder]
@@ -70,39 +74,40 @@
     }
 }
 
-// Where every pin belongs to a flow that was just in use, a new one is refused
-// as "not run" rather than that an open one loses what it needs.
+// If every pin belongs to a recently used flow, a new flow must be refused as "not
+// run" instead of dropping a pin that an open flow needs.
 #[test]
 fn pins_in_use_are_kept() {
     let mut fleet = fleet();
     for number in 0..=FLOWS {
         let request = fleet.request(1);
-        fleet.hand(
+        fleet.deliver(
             0,
             &CallerDatagram::open(flow(number), b"open").with_request(request),
         );
     }
-    let last = Told::NotRun(Some(RequestId::new(1)), RefusalReason::TableFull);
-    assert_eq!(fleet.told(flow(FLOWS)), [last]);
+    let last = CallerMessage::NotRun(Some(RequestId::new(1)), RefusalReason::TableFull);
+    assert_eq!(fleet.messages_to(flow(FLOWS)), [last]);
     assert_eq!(
         fleet.members[0].engine.pinned_flows().len(),
         usize::from(FLOWS)
     );
 }
 
-// Half of the callers echo their tokens and half do not. When room gets short,
-// it is the former's pins that go, since the latter's flows need them.
+// Half of the callers echo their tokens and half do not. When the table is nearly
+// full, pins of flows with token must be dropped first, since flows without token
+// depend on their pins.
 #[test]
-fn pins_of_callers_without_token_stay_longest() {
+fn pins_of_flows_without_token_are_kept_longest() {
     let mut fleet = fleet();
     for number in 0..FLOWS {
         let mut datagram = plain_open(flow(number));
         datagram.echoes_token = number % 2 == 0;
-        fleet.hand(0, &datagram);
+        fleet.deliver(0, &datagram);
     }
-    pass_quietly(&mut fleet, LONG);
+    advance_idle(&mut fleet, LONG);
     for number in FLOWS..FLOWS + FLOWS / 2 {
-        fleet.hand(0, &CallerDatagram::open(flow(number), b"open"));
+        fleet.deliver(0, &CallerDatagram::open(flow(number), b"open"));
     }
     assert_eq!(refused(&fleet, FLOWS..FLOWS + FLOWS / 2), 0);
     let hasher = FlowHasher::new(0);
@@ -116,17 +121,17 @@
     }
 }
 
-// An adviser only listens. His pin has made room for others; the next deadline
-// notice must still reach him, and his connection is not counted any more than
-// the server holds.
+// A caller only receives notices, and the pin of its flow has been dropped. The
+// next notice must still reach it. The counted connections must match the pins
+// that remain.
 #[test]
-fn listener_without_pin_gets_its_notices() {
+fn flow_without_pin_receives_its_notices() {
     let mut fleet = fleet();
-    fleet.hand(0, &CallerDatagram::open(flow(0), b"open"));
+    fleet.deliver(0, &CallerDatagram::open(flow(0), b"open"));
     for number in 1..FLOWS {
-        fleet.hand(0, &CallerDatagram::open(flow(number), b"open"));
+        fleet.deliver(0, &CallerDatagram::open(flow(number), b"open"));
     }
-    pass_quietly(&mut fleet, LONG);
+    advance_idle(&mut fleet, LONG);
     assert!(fleet.members[0].engine.pinned_flows().len() < usize::from(FLOWS));
     let ledgers = fleet.members[0].engine.ledgers().iter();
     let counted: u32 = ledgers.map(|(_, ledger)| ledger.connections).sum();
@@ -150,20 +155,24 @@
             payload: b"recall",
         },
     };
-    fleet.answer(0, reply);
-    assert!(fleet.told(flow(0)).contains(&Told::Notice(5)));
+    fleet.deliver_reply(0, reply);
+    assert!(
+        fleet
+            .messages_to(flow(0))
+            .contains(&CallerMessage::Notice(5))
+    );
 }
 
-// A host learned where flows belong and never hears of them again: what it
-// learned is forgotten, so that it does not stay until the table is full.
+// A host learned the servers of flows and then receives no more packets of them.
+// The learned pins must be dropped and not stay until the table is full.
 #[test]
-fn learned_pins_are_forgotten_when_idle() {
+fn learned_pins_are_dropped_when_idle() {
     let servers: Vec<BackendEntry> = (1..=4).map(|number| server(number, "a")).collect();
     let mut fleet = Fleet::new(HOSTS, &routing_support::configuration(1, &servers));
     for number in 0..FLOWS {
-        fleet.hand(0, &plain_open(flow(number)));
+        fleet.deliver(0, &plain_open(flow(number)));
         for member in 0..HOSTS.len() {
-            fleet.hand(member, &CallerDatagram::carry(flow(number), None, b"data"));
+            fleet.deliver(member, &CallerDatagram::carry(flow(number), None, b"data"));
         }
     }
     let learned = |fleet: &Fleet| {
@@ -174,7 +183,7 @@
         pins.filter(|(_, pin)| pin.role == PinRole::Learned).count()
     };
     assert_eq!(learned(&fleet), usize::from(FLOWS));
-    fleet.pass(LONG);
+    fleet.advance(LONG);
     assert_eq!(learned(&fleet), 0);
     let placed = fleet
         .members
--- a/crates/cardamomwinch_coordination/tests/routing_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_support/mod.rs
@@ -1,6 +1,6 @@
-//! Several traffic engines side by side, with hand-made snapshots, an exchange
-//! of relayed datagrams between them, and backend servers that hold flows and
-//! run requests.
+//! A simulation of several traffic engines with hand-made snapshots, the relaying
+//! of datagrams between them, and backend servers that hold flows and run
+//! requests.
 
 #![allow(clippy::unwrap_used, dead_code, missing_docs, unreachable_pub)]
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A backend server of the service, number `number` of the fleet.
+/// The backend server with number `number` of the service.
 pub fn server(number: u8, domain_name: &str) -> BackendEntry {
     server_of(service_id(), number, domain_name)
 }
@@ -78,16 +78,16 @@
     configuration
 }
 
-/// What a backend server has done.
+/// A simulated backend server and a record of what it has received.
 #[derive(Default)]
 pub struct FakeServer {
-    pub held: collections::BTreeSet<FlowKey>,
+    pub open_flows: collections::BTreeSet<FlowKey>,
     pub runs: Vec<(FlowKey, RequestId)>,
     pub plain: Vec<(FlowKey, Vec<u8>)>,
     pub refused: usize,
     pub silent: bool,
     pub domain: Option<DomainId>,
-    /// Every datagram that came, with the server it was meant for.
+    /// All received datagrams, each with the server that it was addressed to.
     pub received: Vec<(BackendId, BackendKind)>,
 }
 
@@ -99,9 +99,9 @@
     pub reachable: bool,
 }
 
-/// What callers were told, in a form that owns its parts.
+/// A message to a caller, in owned form.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum CallerMessage {
     Opened(RoutingToken),
     Answer(RequestId),
     NotRun(Option<RequestId>, RefusalReason),
@@ -110,7 +110,7 @@
     Notice(u64),
 }
 
-enum Parcel {
+enum TransitDatagram {
     Relay(HostId, Vec<u8>),
     Server(net::SocketAddr, Vec<u8>),
     Reply(Option<DomainId>, Vec<u8>),
@@ -119,24 +119,24 @@
 pub struct Fleet {
     pub members: Vec<Member>,
     pub servers: collections::BTreeMap<net::SocketAddr, FakeServer>,
-    pub told: Vec<(FlowKey, Told)>,
+    pub to_callers: Vec<(FlowKey, CallerMessage)>,
     pub now: Timestamp,
     /// Whether the failure domains are cut off from each other.
     pub cut: bool,
     pub relays: usize,
     pub relay_bytes: usize,
-    parcels: collections::VecDeque<Parcel>,
+    in_transit: collections::VecDeque<TransitDatagram>,
     next_reply_host: usize,
 }
 
 impl Fleet {
     /// A fleet of hosts `(name, domain)`, all with `configuration` in force.
     pub fn new(hosts: &[(&str, &str)], configuration: &InForceConfiguration) -> Self {
-        Self::bounded(hosts, configuration, &TrafficBounds::default())
+        Self::with_bounds(hosts, configuration, &TrafficBounds::default())
     }
 
-    /// The same, with bounds on the tables of each host.
-    pub fn bounded(
+    /// Like [`Self::new`], with bounds on the tables of each host.
+    pub fn with_bounds(
         hosts: &[(&str, &str)],
         configuration: &InForceConfiguration,
         bounds: &TrafficBounds,
@@ -161,12 +161,12 @@
         let mut fleet = Self {
             members: members.collect(),
             servers: collections::BTreeMap::new(),
-            told: Vec::new(),
+            to_callers: Vec::new(),
             now: START,
             cut: false,
             relays: 0,
             relay_bytes: 0,
-            parcels: collections::VecDeque::new(),
+            in_transit: collections::VecDeque::new(),
             next_reply_host: 0,
         };
         for member in 0..hosts.len() {
@@ -197,8 +197,8 @@
     pub fn adopt(&mut self, member: usize, configuration: &InForceConfiguration) {
         let hosts = self.host_table();
         let shards = self.shards(&hosts, configuration, member);
-        let held = &mut self.members[member];
-        let old = std::mem::replace(&mut held.snapshot, RoutingSnapshot::starting());
+        let adopting = &mut self.members[member];
+        let old = std::mem::replace(&mut adopting.snapshot, RoutingSnapshot::starting());
         let earlier = old.generations.first().map(sync::Arc::as_ref);
         let tables = sync::Arc::new(LookupTables::derive(configuration, earlier));
         let mut generations = old.generations.clone();
@@ -210,7 +210,7 @@
         retained.retain(|id, _| !configuration.backends.contains_key(id));
         let addresses = configuration.backends.values();
         let addresses = addresses.map(|entry| (entry.address, entry.service));
-        held.snapshot = RoutingSnapshot {
+        adopting.snapshot = RoutingSnapshot {
             made: self.now,
             phase: ServingPhase::Serving,
             fresh_until: self.now.after(time::Duration::from_secs(3600)),
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Homes: the hosts of a domain in turn, those that are reachable only.
+    /// Assigns the shards of a domain to its reachable hosts in rotation.
     fn shards(
         &self,
         hosts: &HostTable,
@@ -243,7 +243,7 @@
         member: usize,
     ) -> SortedVector<ShardId, ShardView> {
         let mut shards = SortedVector::new();
-        let me = self.members[member].identity.host;
+        let own = self.members[member].identity.host;
         let own_domain = self.members[member].identity.domain;
         let mut domains: Vec<DomainId> = hosts.hosts.values().map(|host| host.domain).collect();
         domains.sort_unstable();
@@ -258,7 +258,7 @@
                 .collect();
             for index in 0..configuration.limits.shards_per_domain {
                 let home = (!homes.is_empty()).then(|| homes[usize::from(index) % homes.len()]);
-                let lease = (home == Some(me)).then(|| HomeLease {
+                let lease = (home == Some(own)).then(|| HomeLease {
                     held_until: self.now.after(time::Duration::from_secs(3600)),
                     records_since: Timestamp::new(1),
                 });
@@ -268,8 +268,8 @@
         shards
     }
 
-    /// Works out the homes anew on all hosts, after reachability changed.
-    pub fn choose_homes(&mut self) {
+    /// Assigns the homes again on all hosts, after reachability changed.
+    pub fn assign_homes(&mut self) {
         for member in 0..self.members.len() {
             let configuration = sync::Arc::clone(&self.members[member].snapshot.configuration);
             let hosts = self.host_table();
@@ -277,21 +277,21 @@
         }
     }
 
-    /// The fabric hands `datagram` to the host at position `member`; what
-    /// follows is carried out until nothing is under way.
-    pub fn hand(&mut self, member: usize, datagram: &CallerDatagram<'_>) {
-        self.hand_quietly(member, datagram);
+    /// Delivers `datagram` from the fabric to the host at position `member`, and
+    /// then all resulting datagrams until none is in transit.
+    pub fn deliver(&mut self, member: usize, datagram: &CallerDatagram<'_>) {
+        self.deliver_only(member, datagram);
         self.settle();
     }
 
-    /// The same without carrying out what follows.
-    pub fn hand_quietly(&mut self, member: usize, datagram: &CallerDatagram<'_>) {
+    /// Like [`Self::deliver`], without delivering the resulting datagrams.
+    pub fn deliver_only(&mut self, member: usize, datagram: &CallerDatagram<'_>) {
         let event = TrafficEvent::Fabric(FabricDatagram::Caller(*datagram));
         self.drive(member, event);
     }
 
-    /// A backend server's reply comes to the host at position `member`.
-    pub fn answer(&mut self, member: usize, reply: BackendReply<'_>) {
+    /// Delivers a backend server's reply to the host at position `member`.
+    pub fn deliver_reply(&mut self, member: usize, reply: BackendReply<'_>) {
         let event = TrafficEvent::Fabric(FabricDatagram::Backend(reply));
         self.drive(member, event);
         self.settle();
@@ -301,8 +301,8 @@
         self.drive(member, TrafficEvent::Tick);
     }
 
-    /// Lets time pass on all hosts in steps of a tick.
-    pub fn pass(&mut self, span: time::Duration) {
+    /// Advances the time on all hosts in steps of a tick.
+    pub fn advance(&mut self, span: time::Duration) {
         let end = self.now.after(span);
         while self.now < end {
             self.now = self.now.after(time::Duration::from_millis(250));
@@ -313,22 +313,23 @@
         self.settle();
     }
 
+    /// Delivers datagrams until none is in transit.
     pub fn settle(&mut self) {
         for _ in 0..STEP_LIMIT {
             if !self.step() {
                 return;
             }
         }
-        panic!("datagrams circle");
+        panic!("datagrams are relayed in a circle");
     }
 
-    /// Carries out one thing that is under way.
+    /// Delivers one datagram in transit. Returns false if there was none.
     pub fn step(&mut self) -> bool {
-        let Some(parcel) = self.parcels.pop_front() else {
+        let Some(datagram) = self.in_transit.pop_front() else {
             return false;
         };
-        match parcel {
-            Parcel::Relay(host, bytes) => {
+        match datagram {
+            TransitDatagram::Relay(host, bytes) => {
                 let position = self.position(host);
                 let envelope: RelayEnvelope<'_> = codec::decode(&bytes).unwrap();
                 let sender = &self.members[self.position(envelope.sender)];
@@ -338,7 +339,7 @@
                     self.drive(position, TrafficEvent::Relay(envelope));
                 }
             }
-            Parcel::Server(address, bytes) => {
+            TransitDatagram::Server(address, bytes) => {
                 let datagram: BackendDatagram<'_> = codec::decode(&bytes).unwrap();
                 let sender = &self.members[self.position(datagram.via)];
                 let domain = Some(sender.identity.domain);
@@ -351,7 +352,7 @@
                     self.serve(address, &datagram);
                 }
             }
-            Parcel::Reply(domain, bytes) => {
+            TransitDatagram::Reply(domain, bytes) => {
                 let reply: BackendReply<'_> = codec::decode(&bytes).unwrap();
                 self.next_reply_host += 1;
                 let live: Vec<usize> = (0..self.members.len())
@@ -377,18 +378,22 @@
 
     fn drive(&mut self, position: usize, event: TrafficEvent<'_>) {
         let member = &mut self.members[position];
-        let (parcels, told, counts) = (&mut self.parcels, &mut self.told, &mut member.counts);
+        let (in_transit, to_callers, counts) = (
+            &mut self.in_transit,
+            &mut self.to_callers,
+            &mut member.counts,
+        );
         let (relays, relay_bytes) = (&mut self.relays, &mut self.relay_bytes);
         let mut sink = |effect: TrafficEffect<'_>| match effect {
-            TrafficEffect::ToCaller(reply) => told.push((reply.flow, owned(&reply.kind))),
+            TrafficEffect::ToCaller(reply) => to_callers.push((reply.flow, owned(&reply.kind))),
             TrafficEffect::ToBackend { address, datagram } => {
-                parcels.push_back(Parcel::Server(address, bytes(&datagram)));
+                in_transit.push_back(TransitDatagram::Server(address, bytes(&datagram)));
             }
             TrafficEffect::Relay { host, envelope, .. } => {
                 let bytes = bytes(&envelope);
                 *relays += 1;
                 *relay_bytes += bytes.len();
-                parcels.push_back(Parcel::Relay(host, bytes));
+                in_transit.push_back(TransitDatagram::Relay(host, bytes));
             }
             TrafficEffect::ToThread { .. }
             | TrafficEffect::Decide(_)
@@ -410,38 +415,39 @@
             return;
         }
         let flow = datagram.flow;
-        let mut say = |kind| {
-            let reply = BackendReply {
+        let mut reply = |kind| {
+            let message = BackendReply {
                 flow,
                 backend: datagram.backend,
                 via: datagram.via,
                 kind,
             };
-            self.parcels.push_back(Parcel::Reply(domain, bytes(&reply)));
+            self.in_transit
+                .push_back(TransitDatagram::Reply(domain, bytes(&message)));
         };
         match datagram.kind {
             BackendKind::Open => {
-                server.held.insert(flow);
-                say(BackendReplyKind::Opened);
+                server.open_flows.insert(flow);
+                reply(BackendReplyKind::Opened);
             }
             BackendKind::Close => {
-                server.held.remove(&flow);
-                return say(BackendReplyKind::Closed);
+                server.open_flows.remove(&flow);
+                return reply(BackendReplyKind::Closed);
             }
             BackendKind::Cancel => return,
             BackendKind::Carry => {}
         }
-        if !server.held.contains(&flow) {
+        if !server.open_flows.contains(&flow) {
             server.refused += 1;
             let request = datagram.request.map(|request| request.id);
             let attempt = datagram.request.map(|request| request.attempt);
             let attempt = attempt.unwrap_or_default();
-            return say(BackendReplyKind::UnknownFlow { request, attempt });
+            return reply(BackendReplyKind::UnknownFlow { request, attempt });
         }
         match datagram.request {
             Some(request) => {
                 server.runs.push((flow, request.id));
-                say(BackendReplyKind::Answer {
+                reply(BackendReplyKind::Answer {
                     request: request.id,
                     attempt: request.attempt,
                     part: PartNumber::WHOLE,
@@ -456,19 +462,20 @@
     /// The servers that hold `flow` open.
     pub fn holders(&self, flow: FlowKey) -> Vec<net::SocketAddr> {
         let holding = self.servers.iter();
-        let holding = holding.filter(|(_, server)| server.held.contains(&flow));
+        let holding = holding.filter(|(_, server)| server.open_flows.contains(&flow));
         holding.map(|(address, _)| *address).collect()
     }
 
-    /// How often `request` of `flow` ran, on whichever server.
+    /// How often `request` of `flow` ran on all servers together.
     pub fn runs(&self, flow: FlowKey, request: RequestId) -> usize {
         let runs = self.servers.values().flat_map(|server| &server.runs);
         runs.filter(|run| **run == (flow, request)).count()
     }
 
-    pub fn told(&self, flow: FlowKey) -> Vec<Told> {
-        let told = self.told.iter().filter(|(told, _)| *told == flow);
-        told.map(|(_, told)| told.clone()).collect()
+    /// All messages to the caller of `flow`.
+    pub fn messages_to(&self, flow: FlowKey) -> Vec<CallerMessage> {
+        let messages = self.to_callers.iter().filter(|(to, _)| *to == flow);
+        messages.map(|(_, message)| message.clone()).collect()
     }
 
     pub fn count(&self, counter: Counter) -> usize {
@@ -479,7 +486,7 @@
         counts.flatten().sum()
     }
 
-    /// A request on its way until well before the longest lifetime.
+    /// A request whose deadline is well within the maximum request lifetime.
     pub fn request(&self, number: u64) -> RequestHeader {
         RequestHeader {
             id: RequestId::new(number),
@@ -502,15 +509,15 @@
     codec::encode(value, &mut buffer).unwrap().to_vec()
 }
 
-fn owned(kind: &CallerReplyKind<'_>) -> Told {
+fn owned(kind: &CallerReplyKind<'_>) -> CallerMessage {
     match kind {
-        CallerReplyKind::Opened { token } => Told::Opened(*token),
-        CallerReplyKind::Answer { request, .. } => Told::Answer(*request),
+        CallerReplyKind::Opened { token } => CallerMessage::Opened(*token),
+        CallerReplyKind::Answer { request, .. } => CallerMessage::Answer(*request),
         CallerReplyKind::NotRun {
             request, reason, ..
-        } => Told::NotRun(*request, *reason),
-        CallerReplyKind::OutcomeUnknown { request, .. } => Told::Unknown(*request),
-        CallerReplyKind::Reset { reason } => Told::Reset(*reason),
-        CallerReplyKind::Notice { sequence, .. } => Told::Notice(*sequence),
+        } => CallerMessage::NotRun(*request, *reason),
+        CallerReplyKind::OutcomeUnknown { request, .. } => CallerMessage::Unknown(*request),
+        CallerReplyKind::Reset { reason } => CallerMessage::Reset(*reason),
+        CallerReplyKind::Notice { sequence, .. } => CallerMessage::Notice(*sequence),
     }
 }
--- a/crates/cardamomwinch_coordination/tests/routing_table.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_table.rs
@@ -1,4 +1,4 @@
-//! Shares and moves of lookup tables.
+//! Shares of servers in lookup tables, and how much a change moves.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -35,8 +35,8 @@
     LookupTable::fill(servers.iter())
 }
 
-// A service with thousands of servers: with fewer positions than servers most
-// of them would never get a flow.
+// A service can have thousands of servers. If a table had fewer positions than
+// servers, some servers would never get a flow.
 #[parameterized(one = { 1 }, today = { 14 }, many = { 3000 }, fleet = { 26_000 })]
 fn every_server_gets_an_even_share(count: u32) {
     let shares = table(&servers(count)).shares();
@@ -58,8 +58,8 @@
     assert!((heavy / light - 3.0).abs() < 0.05, "{heavy} to {light}");
 }
 
-// One weight is enormous beside the others; filling must still end soon, and
-// no server may be left without a position.
+// One weight is much larger than the others. Filling must still end soon, and
+// every server must get a position.
 #[test]
 fn extreme_weights_are_filled() {
     let mut entries = servers(2000);
@@ -69,10 +69,11 @@
     assert!(shares[7] > shares.iter().sum::<usize>() / 2);
 }
 
-// A drained server's positions go to the others; what the others had stays
-// where it is but for a small part, so that few flows have to be searched.
+// The positions of a drained server move to the others. Of the other positions,
+// only a small part may move, because flows without token on moved positions have
+// to be searched for.
 #[parameterized(today = { 14 }, many = { 100 })]
-fn a_drain_moves_little_beyond_what_it_must(count: u32) {
+fn a_drain_moves_few_other_positions(count: u32) {
     let entries = servers(count);
     let mut drained = entries.clone();
     drained[2].phase = BackendPhase::Draining;
@@ -85,14 +86,14 @@
 #[test]
 fn both_fills_serve_the_same_servers() {
     let entries = servers(14);
-    let rendezvous = LookupTable::fill_by::<RendezvousFill>(entries.iter());
-    let permutation = LookupTable::fill_by::<PermutationFill>(entries.iter());
+    let rendezvous = LookupTable::fill_with::<RendezvousFill>(entries.iter());
+    let permutation = LookupTable::fill_with::<PermutationFill>(entries.iter());
     assert_eq!(rendezvous.servers(), permutation.servers());
     assert!(rendezvous.shares().iter().all(|share| *share > 0));
 }
 
 #[test]
-fn no_server_that_takes_flows_means_no_choice() {
+fn a_table_without_accepting_servers_selects_none() {
     let mut entries = servers(2);
     for entry in &mut entries {
         entry.phase = BackendPhase::Draining;
