--- a/crates/cardamomwinch_coordination/src/control/membership/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/mod.rs
@@ -190,8 +190,8 @@
         self.peers.get(host)
     }
 
-    /// The last known reachability of `host`. It does not change while the
-    /// domain of `host` is cut off or this host is isolated.
+    /// The last known reachability of `host`. It is not updated while the domain
+    /// of `host` is cut off or this host is isolated.
     pub fn reachability(&self, host: HostId) -> Reachability {
         self.members.reachability(host)
     }
@@ -265,11 +265,11 @@
     /// Detects a pause of the process by a gap between ticks and resets what is
     /// in progress.
     ///
-    /// Otherwise all probes would have timed out during the pause, so that this
-    /// host would claim that its neighbours are dead, and it would spread
-    /// rumours that were refuted long ago. No host is reachable until a ping
-    /// sent after the pause is answered, since messages buffered by the socket
-    /// during the pause do not show the current state.
+    /// Without this, all probes would time out during the pause, and this host
+    /// would then claim that its neighbours are dead and spread rumours that were
+    /// refuted long ago. No host is considered reachable until a ping sent after
+    /// the pause is answered, because messages that the socket buffered during
+    /// the pause do not show the current state.
     fn detect_pause(&mut self, now: Timestamp) {
         let paused = |tick: Timestamp| now.since(tick) >= PAUSE_GAP;
         if !self.last_tick.is_some_and(paused) {
--- a/crates/cardamomwinch_coordination/src/control/membership/receiving.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/receiving.rs
@@ -66,7 +66,7 @@
 }
 
 impl PeerMembership {
-    /// Handles a membership message that [`PeerMembership::note`] has accepted.
+    /// Handles a membership message that [`PeerMembership::accept_message`] has accepted.
     pub fn handle_message(
         &mut self,
         context: &MembershipContext<'_>,
@@ -76,9 +76,9 @@
     ) {
         self.refresh(context);
         let sender = envelope.sender;
-        // A host that is considered dead may have been paused and its claims
-        // about others be outdated, so they are ignored until it has refuted the
-        // claim about itself. The answer to its ping contains this claim.
+        // A host that is considered dead may have been paused, so that its claims
+        // about others are outdated. They are ignored until it has refuted the
+        // claim that it is dead, which the answer to its ping contains.
         let trusted = !self.members.is_dead(sender);
         if trusted && let Some(batch) = &message.header.rumours {
             let repair = message.content == MembershipContent::Difference;
--- a/crates/cardamomwinch_coordination/src/control/membership/ring.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/ring.rs
@@ -14,7 +14,7 @@
 const RING_SPREAD: time::Duration = time::Duration::from_millis(100);
 /// How long to wait for an answer before the next step.
 const STEP_TIMEOUT: time::Duration = time::Duration::from_millis(100);
-/// How long a neighbour stays suspect before it is claimed dead.
+/// How long a neighbour is suspect before it is claimed dead.
 const SUSPICION_TIMEOUT: time::Duration = time::Duration::from_millis(200);
 /// The mean interval between probes of a host that is unknown or dead.
 pub(super) const RETRY_INTERVAL: time::Duration = time::Duration::from_secs(5);
@@ -64,7 +64,7 @@
     Suspect,
     /// Ping it, and ask others to ping it.
     PingIndirectly,
-    /// The probe is over: the neighbour answered, or is not known at all.
+    /// End the probe: the neighbour answered, also if only others, or is unknown.
     Finish,
     /// Claim that it is dead.
     ClaimDead,
@@ -83,8 +83,8 @@
         self.deferred.clear();
     }
 
-    /// Whether `host` is not to be probed yet, because it recently did not answer
-    /// and is unknown, or answered only others.
+    /// Whether `host` is not to be probed yet: it recently did not answer and is
+    /// unknown, or it answered only other hosts.
     pub(super) fn is_deferred(&self, now: Timestamp, host: HostId) -> bool {
         self.deferred.get(&host).is_some_and(|until| now < *until)
     }
--- a/crates/cardamomwinch_coordination/src/counter.rs
+++ b/crates/cardamomwinch_coordination/src/counter.rs
@@ -68,8 +68,8 @@
     RequestAnswered => "requests_answered",
     /// Requests whose deadline passed while they ran.
     RequestExpired => "requests_expired",
-    /// Requests whose callers were sent "outcome unknown" while they were still
-    /// running or lost.
+    /// Requests whose callers were sent "outcome unknown" while the requests were
+    /// still running, or were lost.
     RequestGivenUp => "requests_given_up",
     /// Requests that were answered completely after they were given up.
     RequestAnsweredLate => "requests_answered_late",
--- a/crates/cardamomwinch_coordination/src/decision.rs
+++ b/crates/cardamomwinch_coordination/src/decision.rs
@@ -128,7 +128,8 @@
 pub enum GivingUpCause {
     /// The server reports fewer busy slots than requests that it was sent.
     Uncounted,
-    /// It takes much longer than others, and no load report confirms that it runs.
+    /// It takes much longer than others, and no load report confirms that it
+    /// is still running.
     Overdue,
     /// Its deadline is near.
     BeforeDeadline,
--- a/crates/cardamomwinch_coordination/src/routing/generations.rs
+++ b/crates/cardamomwinch_coordination/src/routing/generations.rs
@@ -86,16 +86,16 @@
     /// newest first. The oldest are left out if one message cannot hold all.
     pub fn listed(&self) -> Vec<EarlierGeneration> {
         let mut listed = Vec::new();
-        let mut room = LISTED_LIMIT;
+        let mut capacity = LISTED_LIMIT;
         let mut newer = None;
         for kept in &self.generations {
             let services = difference(newer, &kept.tables);
             let servers = services.iter().flat_map(|service| &service.servers);
             let size = servers.map(Vec::len).sum::<usize>() + services.len();
-            if size > room {
+            if size > capacity {
                 break;
             }
-            room -= size;
+            capacity -= size;
             listed.push(EarlierGeneration {
                 version: kept.tables.version,
                 superseded: kept.superseded,
--- a/crates/cardamomwinch_coordination/tests/routing_pins.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_pins.rs
@@ -41,7 +41,7 @@
 }
 
 // Callers disappear without closing their flows, and their pins fill the table. If
-// these pins were kept, no session could be opened any more, although packets of
+// these pins were kept, no more sessions could be opened, although packets of
 // the old flows can be routed by their tokens without a pin. Both old and new
 // flows must work.
 #[test]
