--- a/crates/cardamomwinch_coordination/src/traffic/announcing.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/announcing.rs
@@ -1,8 +1,10 @@
-//! Tells homes of flows without token that lie off their tables.
+//! Announces flows without a token whose server is not the one that the newest lookup
+//! table selects. The announcement goes to the home of the server that the table does
+//! select.
 //!
-//! Guards against hosts that know the newest lookup table only, because they
-//! started after a change: none of them could find a flow that was placed under
-//! an earlier table, once all hosts that knew that table are replaced.
+//! Hosts that started after a change know only the newest lookup table. Without the
+//! announcement, no host could find a flow that was placed by an earlier table once all
+//! hosts that knew that table are replaced.
 
 use cardamomwinch_protocol::prelude::{RelayFrame, TokenClaim};
 use cardamomwinch_state::prelude::{ConfigurationVersion, FlowKey, ShardId};
@@ -12,13 +14,15 @@
 use crate::traffic::effect::TrafficSink;
 use crate::traffic::pins::{FlowPin, PinRole};
 
-/// Whether `version` may lead to another home than the one that holds `pin`.
-pub(crate) fn is_due(pin: &FlowPin, version: ConfigurationVersion) -> bool {
+/// Whether the lookup table of `version` may select another home than the one that holds
+/// `pin`, and the flow has not been announced for that version.
+pub(crate) fn needs_announcement(pin: &FlowPin, version: ConfigurationVersion) -> bool {
     pin.role == PinRole::Placed && !pin.echoes_token && pin.announced != version
 }
 
 impl TrafficEngine {
-    /// Tells the home that the newest table leads to, where that is another.
+    /// Announces a flow to the home of the server that the newest table selects, if that
+    /// is another home.
     pub(crate) fn announce<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -50,8 +54,8 @@
         }
     }
 
-    /// Takes the word of the home of a flow's server.
-    pub(crate) fn take_announced<S: TrafficSink>(
+    /// Handles an announcement by the home of a flow's server.
+    pub(crate) fn handle_announced<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         flow: FlowKey,
@@ -62,7 +66,7 @@
             let frame = RelayFrame::Announced { flow, claim, shard };
             return context.pass_to_thread(self.place.owner(shard), frame);
         }
-        if context.snapshot.lease_at(shard, context.now).is_none() || self.pins_are_short() {
+        if context.snapshot.lease_at(shard, context.now).is_none() || self.pins_nearly_full() {
             return;
         }
         let hash = Self::hasher(context.snapshot).hash(&flow);
@@ -82,6 +86,6 @@
             announced: context.snapshot.version(),
             echoes_token: false,
         };
-        self.hold_pin(context, hash, flow, pin);
+        self.insert_pin(context, hash, flow, pin);
     }
 }
--- a/crates/cardamomwinch_coordination/src/traffic/answer_count.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/answer_count.rs
@@ -1,30 +1,33 @@
-//! How many answers a backend server has sent beside those that its home has seen.
+//! Compares the number of answers that a backend server has sent with the number that its
+//! home has received.
 //!
-//! A load report is asked for directly, while answers come through the fabric and another
-//! host. So a report may say that a request does not run any more before its answer is here.
+//! The home fetches load reports directly from the server, while answers arrive through
+//! the fabric and another host. A report may therefore show that a request no longer runs
+//! before its answer has arrived.
 
-/// The answers of one server, as its home compares them from report to report.
+/// Answer counts of one server, compared at each load report.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct AnswerCount {
     seen: u64,
-    /// By how much the server's count is ahead when no answer is under way.
+    /// The server's count minus `seen` when no answer is under way.
     offset: Option<i64>,
-    /// Answers that were sent and not seen at the last report.
+    /// Answers that had been sent but not received at the last report.
     missing: i64,
 }
 
 impl AnswerCount {
-    /// Notes that an answer came whole.
+    /// Counts an answer of which every part has arrived.
     pub fn note_seen(&mut self) {
         self.seen += 1;
     }
 
-    /// Takes in a report and returns whether answers may be under way: more were sent and
-    /// are not here than at the report before. `sent` is what the server counts, `running`
-    /// what its home takes to run there, and `busy` what runs by the report.
+    /// Applies a load report and returns whether answers may be under way, which is the
+    /// case if more answers are missing than at the previous report. `sent` is the number
+    /// of answers that the server has counted, `running` the number of requests that the
+    /// home counts as running there, and `busy` the number of busy slots in the report.
     ///
-    /// An answer that is still missing at the next report is taken to be lost.
-    pub fn take_report(&mut self, sent: Option<u64>, running: u32, busy: u32) -> bool {
+    /// An answer that is still missing at the next report is considered lost.
+    pub fn apply_report(&mut self, sent: Option<u64>, running: u32, busy: u32) -> bool {
         let Some(sent) = sent else {
             *self = Self::default();
             return false;
--- a/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
@@ -1,5 +1,5 @@
-//! The way of a caller's datagram: straight to its backend server, to the home
-//! of its server, or on to a host that may act.
+//! Routes a caller's datagram: directly to its backend server, to the home of that server,
+//! or to a host that may act on its snapshot.
 
 use std::time;
 
@@ -17,27 +17,27 @@
 use crate::traffic::resolve::{self, FlowResolution};
 use crate::traffic::{HOP_LIMIT, TrafficEngine};
 
-/// When a caller should try again where nothing better is known.
+/// When a caller should try again if no better estimate exists.
 pub(crate) const RETRY_AFTER: time::Duration = time::Duration::from_millis(250);
 
-/// A datagram that was relayed oftener has been handed on before: to the home is one
-/// relay, or two where the first host that got it was behind.
-const HANDED_ON_HOPS: u8 = 2;
+/// A datagram with more hops has already been relayed to a relay peer: reaching the home
+/// takes one relay, or two if the first host had an outdated configuration.
+const RELAY_PEER_HOP_LIMIT: u8 = 2;
 
-/// How a datagram came here.
+/// How a datagram reached this thread.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct CallerPassage {
-    /// The server that the relaying host has decided on.
+pub(crate) struct RelayContext {
+    /// The server that the relaying host has chosen.
     pub(crate) decided: Option<TokenClaim>,
-    /// How far the search for the server has come.
+    /// The progress of the search for the server.
     pub(crate) search: Option<FlowSearch>,
-    /// The shard that the relaying host takes this host to be the home of.
+    /// The shard whose home the relaying host assumes this host to be.
     pub(crate) shard: Option<ShardId>,
-    /// How often the datagram was relayed.
+    /// The number of relays so far.
     pub(crate) hops: u8,
 }
 
-impl CallerPassage {
+impl RelayContext {
     pub(crate) const fn from_fabric() -> Self {
         Self {
             decided: None,
@@ -48,16 +48,16 @@
     }
 }
 
-/// Where the home of a shard is found.
+/// Where the home of a shard was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum HomePlace {
-    /// It is this thread.
+pub(crate) enum HomeRoute {
+    /// This thread is the home.
     Here,
-    /// It is another thread or host, which now has the datagram, or the
-    /// datagram was dropped because the home changes this very moment.
-    Passed,
-    /// No home can be reached.
-    Nowhere,
+    /// Another thread or host is the home and was sent the datagram, or the datagram was
+    /// dropped because the home is changing at this moment.
+    Forwarded,
+    /// No home is reachable.
+    Unreachable,
 }
 
 /// A datagram with what is known of its flow.
@@ -66,7 +66,7 @@
     pub(crate) datagram: &'d CallerDatagram<'d>,
     pub(crate) service: &'s ServiceEntry,
     pub(crate) hash: FlowHash,
-    pub(crate) passage: CallerPassage,
+    pub(crate) relay: RelayContext,
 }
 
 impl RoutedDatagram<'_, '_> {
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Whether only the home of the server may handle the datagram: it changes
-    /// what the home counts, or it carries a request.
+    /// Whether only the home of the server may handle the datagram, because it changes the
+    /// home's counts or carries a request.
     pub(crate) fn needs_home(&self) -> bool {
         self.datagram.kind != CallerKind::Carry || self.datagram.request.is_some()
     }
@@ -91,11 +91,11 @@
         &mut self,
         context: &mut EventContext<'_, S>,
         datagram: &CallerDatagram<'_>,
-        passage: CallerPassage,
+        relay: RelayContext,
     ) {
         let snapshot = context.snapshot;
         if snapshot.phase == ServingPhase::Starting || !self.may_act(context.now, snapshot) {
-            return Self::hand_on(context, datagram, passage);
+            return Self::relay_to_peer(context, datagram, relay);
         }
         let Some(service) = snapshot.service_of(datagram.flow.service) else {
             context.count(Counter::UnknownService);
@@ -105,13 +105,13 @@
             datagram,
             service,
             hash: Self::hasher(snapshot).hash(&datagram.flow),
-            passage,
+            relay,
         };
         match self.resolve(context, &routed) {
             FlowResolution::Known { claim, reason } => {
                 self.route_known(context, &routed, claim, reason);
             }
-            FlowResolution::Searched(search) => self.pursue(context, &routed, search),
+            FlowResolution::Searched(search) => self.continue_search(context, &routed, search),
             FlowResolution::Reassigned => {
                 context.decide(DecisionReason::ReassignedAddress, routed.subject());
                 let reason = ResetReason::BackendGone;
@@ -130,9 +130,9 @@
         claim: TokenClaim,
         reason: DecisionReason,
     ) {
-        self.tell_origin(context, routed, claim);
+        self.notify_origin(context, routed, claim);
         if routed.needs_home() {
-            return self.bring_home(context, routed, claim);
+            return self.route_to_home(context, routed, claim);
         }
         let subject = DecisionSubject {
             backend: Some(claim.backend),
@@ -145,9 +145,9 @@
         }
     }
 
-    /// Brings the datagram of a flow whose server is known to the thread that
-    /// is home of that server.
-    fn bring_home<S: TrafficSink>(
+    /// Sends the datagram of a flow whose server is known to the thread that is the home
+    /// of that server.
+    fn route_to_home<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
@@ -159,20 +159,20 @@
             decided: Some(claim),
             search: None,
             shard,
-            hops: routed.passage.hops.saturating_add(1),
+            hops: routed.relay.hops.saturating_add(1),
         };
         match self.pass_to_home(context, routed, shard, frame) {
-            HomePlace::Here => self.serve_at_home(context, routed, claim),
-            HomePlace::Passed => {}
-            HomePlace::Nowhere => Self::without_home(context, routed, Some(claim)),
+            HomeRoute::Here => self.serve_at_home(context, routed, claim),
+            HomeRoute::Forwarded => {}
+            HomeRoute::Unreachable => Self::answer_without_home(context, routed, Some(claim)),
         }
     }
 
-    /// A peer of the shard's failure domain that may know its home. A host that
-    /// has just been added is taken for the home by itself and by hosts of other
-    /// domains before it holds the lease; its peers know who does. Each hop asks
-    /// another one, and the limit of hops ends it where nobody is home.
-    fn nearby_peer<S: TrafficSink>(
+    /// A peer in the shard's failure domain that may know the home. A host that was just
+    /// added considers itself the home before it holds the lease, and so do hosts of other
+    /// domains; its peers know who holds the lease. Each hop tries another peer, and the
+    /// hop limit ends the search if there is no home.
+    fn domain_peer<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
@@ -184,19 +184,19 @@
         };
         let helpers = &context.snapshot.helpers;
         let count = helpers.iter().filter(near).count();
-        let turn = usize::from(routed.passage.hops).checked_rem(count)?;
+        let turn = usize::from(routed.relay.hops).checked_rem(count)?;
         helpers.iter().filter(near).nth(turn).copied()
     }
 
-    /// Passes `frame` to the thread, of this host or another, that is home of
-    /// `shard`, unless that is this very thread.
+    /// Passes `frame` to the thread, of this host or another, that is the home of `shard`,
+    /// unless this thread is the home itself.
     pub(crate) fn pass_to_home<S: TrafficSink>(
         &self,
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
         shard: ShardId,
         frame: RelayFrame<'_>,
-    ) -> HomePlace {
+    ) -> HomeRoute {
         let mut subject = DecisionSubject {
             shard: Some(shard),
             ..routed.subject()
@@ -207,61 +207,61 @@
         if context.snapshot.lease_at(shard, context.now).is_some() {
             if self.frozen.is_frozen(shard, context.now) {
                 context.count(Counter::FrozenDropped);
-                return HomePlace::Passed;
+                return HomeRoute::Forwarded;
             }
             if self.place.owns(shard) {
-                return HomePlace::Here;
+                return HomeRoute::Here;
             }
             context.decide(DecisionReason::RelayedToThread, subject);
             context.pass_to_thread(self.place.owner(shard), frame);
-            return HomePlace::Passed;
+            return HomeRoute::Forwarded;
         }
-        if self.has_come_back(context, routed, shard) {
+        if self.returned_from_next_home(context, routed, shard) {
             context.count(Counter::FrozenDropped);
-            return HomePlace::Passed;
+            return HomeRoute::Forwarded;
         }
         let home = context.snapshot.shard(shard).home;
         let other = home.filter(|host| *host != self.identity.host);
-        let other = other.or_else(|| self.nearby_peer(context, routed, shard));
+        let other = other.or_else(|| self.domain_peer(context, routed, shard));
         let relayed = other
-            .filter(|_| routed.passage.hops < HOP_LIMIT)
+            .filter(|_| routed.relay.hops < HOP_LIMIT)
             .filter(|host| context.relay(*host, frame));
         let Some(host) = relayed else {
-            // The lease comes within milliseconds, or the hosts learn who has it, and
-            // the caller sends again: to say "outcome unknown" would end a request
-            // that can still run. It shows as requests that end while a host is added:
-            // it takes another host for the home, which takes it for the home.
+            // The lease arrives within milliseconds, or the hosts learn who holds it, and
+            // the caller sends again. Replying "outcome unknown" would end a request that
+            // can still run. This happens while a host is added: it and another host each
+            // consider the other the home.
             let hosts_differ = context.snapshot.hosts_are_new(context.now);
-            if hosts_differ || self.frozen.is_changing_hands(shard, context.now) {
+            if hosts_differ || self.frozen.is_moving(shard, context.now) {
                 context.count(Counter::FrozenDropped);
-                return HomePlace::Passed;
+                return HomeRoute::Forwarded;
             }
-            return HomePlace::Nowhere;
+            return HomeRoute::Unreachable;
         };
         subject.peer = Some(host);
         context.decide(DecisionReason::RelayedToHome, subject);
-        HomePlace::Passed
+        HomeRoute::Forwarded
     }
 
-    /// Whether a datagram comes back from the host that the shard was handed over to.
+    /// Whether a datagram comes back from the host to which the shard was handed over.
     ///
-    /// Guards against a datagram that goes to and fro: until the next home has its
-    /// lease it takes this host, which has released the shard, for the home. It shows
-    /// as a request whose hops are used up within milliseconds. The caller's next
-    /// copy finds the lease. A datagram that a third host relayed here goes on once.
-    fn has_come_back<S: TrafficSink>(
+    /// Prevents a datagram from being relayed back and forth until its hops are used up,
+    /// which takes only milliseconds: until the next home has its lease, it considers this
+    /// host, which has released the shard, the home. The caller's next copy finds the
+    /// lease. A datagram that a third host relayed here is relayed once more.
+    fn returned_from_next_home<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
         shard: ShardId,
     ) -> bool {
-        routed.passage.hops > 1 && self.frozen.was_handed_on(shard, context.now)
+        routed.relay.hops > 1 && self.frozen.was_released(shard, context.now)
     }
 
-    /// Nobody who may decide about the server can be reached. What needs no
-    /// decision still goes through; a request is never answered as "not run",
-    /// since a copy of it may have reached the home by another way.
-    pub(crate) fn without_home<S: TrafficSink>(
+    /// Handles a datagram if no home of its server is reachable. Data that needs no
+    /// decision is still forwarded. A request is never answered with "not run", because a
+    /// copy of it may have reached the home on another path.
+    pub(crate) fn answer_without_home<S: TrafficSink>(
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
         known: Option<TokenClaim>,
@@ -282,31 +282,33 @@
         }
     }
 
-    /// Passes a datagram to a peer that may act, because this host may not.
+    /// Relays a datagram to a peer that may act on its snapshot, because this host may
+    /// not.
     ///
-    /// Guards against a datagram that goes to and fro: a home that had no processor time
-    /// for a moment hands it to a helper, which takes this host for the home. It showed as
-    /// a request that was called unknown within two milliseconds, when its hops were used
-    /// up. What comes back is left to the caller's next copy; by then this host may act.
-    fn hand_on<S: TrafficSink>(
+    /// A datagram that comes back is dropped, so that it is not relayed back and forth: a
+    /// home that had no processor time for a moment relays it to a peer, which considers
+    /// this host the home. Its hops would be used up, and its request answered with
+    /// "outcome unknown", within two milliseconds. By the time of the caller's next copy
+    /// this host may act again.
+    fn relay_to_peer<S: TrafficSink>(
         context: &mut EventContext<'_, S>,
         datagram: &CallerDatagram<'_>,
-        passage: CallerPassage,
+        relay: RelayContext,
     ) {
         let helpers = &context.snapshot.helpers;
-        if passage.hops > HANDED_ON_HOPS || helpers.is_empty() {
+        if relay.hops > RELAY_PEER_HOP_LIMIT || helpers.is_empty() {
             return context.count(Counter::Unconfirmed);
         }
         let pick = usize::from(datagram.flow.caller.port()) % helpers.len();
-        let Some(shard) = passage.shard.or_else(|| context.snapshot.any_shard()) else {
+        let Some(shard) = relay.shard.or_else(|| context.snapshot.any_shard()) else {
             return context.count(Counter::Unconfirmed);
         };
         let frame = RelayFrame::Caller {
             datagram: *datagram,
-            decided: passage.decided,
-            search: passage.search,
+            decided: relay.decided,
+            search: relay.search,
             shard,
-            hops: passage.hops.saturating_add(1),
+            hops: relay.hops.saturating_add(1),
         };
         let subject = DecisionSubject {
             flow: Some(datagram.flow),
@@ -318,8 +320,8 @@
         context.relay(helpers[pick], frame);
     }
 
-    /// Answers a datagram that cannot be brought to any home. No home has been
-    /// asked, so of a request only the home's silence is known.
+    /// Answers a datagram that cannot be sent to any home. A request gets "outcome
+    /// unknown", because no home was asked about it.
     fn answer_unroutable<S: TrafficSink>(
         context: &mut EventContext<'_, S>,
         datagram: &CallerDatagram<'_>,
@@ -341,7 +343,7 @@
     }
 }
 
-/// Sends a datagram that carries no request to the server of `claim`.
+/// Sends a datagram without a request to the server of `claim`.
 pub(crate) fn forward<S: TrafficSink>(
     context: &mut EventContext<'_, S>,
     datagram: &CallerDatagram<'_>,
--- a/crates/cardamomwinch_coordination/src/traffic/context.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/context.rs
@@ -1,4 +1,4 @@
-//! What is at hand while one event is decided.
+//! The context in which one event is handled.
 
 use std::net;
 use std::time;
@@ -28,7 +28,7 @@
     pub(crate) sink: &'c mut S,
 }
 
-/// What a backend server is sent about a flow.
+/// A message to a backend server about a flow.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BackendMessage<'p> {
     pub(crate) kind: BackendKind,
@@ -36,7 +36,7 @@
     pub(crate) payload: &'p [u8],
 }
 
-/// What a decision concerns besides its reason.
+/// The subject of a decision record.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct DecisionSubject {
     pub(crate) flow: Option<FlowKey>,
@@ -70,12 +70,12 @@
         self.sink.emit(TrafficEffect::Decide(record));
     }
 
-    /// Whether the address of `claim` may be sent datagrams of a flow to
-    /// `service`: the version in force gives it to no other service.
+    /// Whether datagrams of a flow to `service` may be sent to the address of `claim`.
+    /// They may unless the version in force assigns the address to another service.
     ///
-    /// Guards against a server's address having moved to another service: a
-    /// packet of the old service would reach the new one. The address table of
-    /// the version in force wins over every token, pin and waiting request.
+    /// Without this check, a packet of the old service would reach the new one after a
+    /// server's address has moved to another service. The address table of the version in
+    /// force takes precedence over every token, pin and waiting request.
     pub(crate) fn may_send(&self, service: net::SocketAddr, claim: &TokenClaim) -> bool {
         let Some(owner) = self.snapshot.server_addresses.get(&claim.address) else {
             return true;
@@ -84,10 +84,10 @@
         entry.is_some_and(|entry| entry.id == *owner)
     }
 
-    /// Sends a datagram to the server of `claim`; `false` where it must not be
-    /// sent. Every datagram to a backend server goes through here, also those of
-    /// queues, retries, cancellations and closings, so that none can miss the
-    /// guard; a host that slept through a change of addresses sends none at all.
+    /// Sends a datagram to the server of `claim`; returns `false` if it must not be sent.
+    /// Every datagram to a backend server goes through this method, including those of
+    /// queues, retries, cancellations and closings, so that none can bypass the address
+    /// check. A host that was paused during a change of addresses sends none at all.
     #[must_use]
     pub(crate) fn send_to_backend(
         &mut self,
@@ -122,8 +122,8 @@
         self.sink.emit(TrafficEffect::ToCaller(reply));
     }
 
-    /// Tells the caller that the request, or the opening, was not run. Only
-    /// the home of a flow may say so, after it has recorded the refusal.
+    /// Tells the caller that the request, or the opening, was not run. Only the home of
+    /// the flow may send this, after it has recorded the refusal.
     pub(crate) fn refuse(
         &mut self,
         flow: FlowKey,
--- a/crates/cardamomwinch_coordination/src/traffic/dispatching.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/dispatching.rs
@@ -1,5 +1,5 @@
-//! Sends waiting requests to their backend server, within its slots and within
-//! this home's lease.
+//! Sends waiting requests to their backend server while the server has free slots and this
+//! home holds the lease.
 
 use cardamomwinch_protocol::backend::BackendRequest;
 use cardamomwinch_protocol::prelude::{
@@ -19,11 +19,10 @@
 use crate::traffic::resolve;
 
 impl TrafficEngine {
-    /// Whether this thread may send requests to the servers of `shard`. Guards
-    /// against a home that acts after its time: an answer or a tick may free a
-    /// slot long after the requests came in, when the lease has run out, the
-    /// process has slept or the shard is being handed over; the next home may be
-    /// running them by then.
+    /// Whether this thread may send requests to the servers of `shard`. An answer or a
+    /// tick may free a slot long after the requests arrived, when the lease has expired,
+    /// the process was paused or the shard is being handed over. By then the next home may
+    /// be running them.
     pub(crate) fn may_dispatch<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -48,7 +47,7 @@
         let view = context.snapshot.view(entry.id);
         let now = context.now;
         loop {
-            let ledger = self.ledgers.of(entry.id);
+            let ledger = self.ledgers.get_or_create(entry.id);
             if !ledger.has_free_slot(now, entry, view) {
                 return;
             }
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Sends a waiting request to its server, unless it waits no more.
+    /// Sends a waiting request to its server, unless it is no longer waiting.
     fn dispatch<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -69,10 +68,10 @@
         if !context.may_send(queued.key.flow.service, claim) {
             // The address was given to another service while the request waited.
             context.count(Counter::ReassignedAddress);
-            return self.refuse_known(context, queued, RefusalReason::NoBackend, RETRY_AFTER);
+            return self.refuse_remembered(context, queued, RefusalReason::NoBackend, RETRY_AFTER);
         }
         let now = context.now;
-        let taken = self.requests.change(queued.hash, &queued.key, |record| {
+        let started = self.requests.change(queued.hash, &queued.key, |record| {
             let RequestState::Queued { attempt, held, .. } = &mut record.state else {
                 return None;
             };
@@ -98,18 +97,18 @@
             }));
             Some((attempt, deadline))
         });
-        let Some((attempt, deadline)) = taken.flatten() else {
+        let Some((attempt, deadline)) = started.flatten() else {
             return;
         };
         context.count(match attempt {
             AttemptNumber(0) => Counter::RequestDispatched,
             AttemptNumber(_) => Counter::RequestRetried,
         });
-        let ledger = self.ledgers.of(claim.backend);
+        let ledger = self.ledgers.get_or_create(claim.backend);
         ledger.start(now, queued, now, deadline);
     }
 
-    /// Sends what waits for `backend`, after a slot has come free.
+    /// Sends waiting requests to `backend` after a slot has become free.
     pub(crate) fn start_next<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -143,13 +142,13 @@
         }),
         payload: &held.payload,
     };
-    // Whether it may be sent was asked before the request was taken as running.
+    // `dispatch` has checked that it may be sent before it marked the request as running.
     let _sent = context.send_to_backend(claim, key.flow, message);
 }
 
-/// The point from which the server must not begin the request any more. For a
-/// request that must not run twice it lies within this home's lease, so that a
-/// datagram that is held up on its way cannot run beside the next home's.
+/// The time after which the server must no longer start the request. For a request that
+/// must not run twice it lies within this home's lease, so that a delayed datagram cannot
+/// run in addition to the next home's.
 fn start_before<S: TrafficSink>(
     context: &EventContext<'_, S>,
     claim: &TokenClaim,
@@ -164,7 +163,7 @@
     }
 }
 
-/// Tells the server that nobody waits for the answer any more.
+/// Tells the server that nobody waits for the answer any longer.
 pub(crate) fn cancel<S: TrafficSink>(
     context: &mut EventContext<'_, S>,
     key: &RequestKey,
@@ -185,6 +184,6 @@
         }),
         payload: &[],
     };
-    // Nobody waits for the outcome, so one that may not be sent is dropped.
+    // Nobody waits for the outcome, so a cancellation that may not be sent is dropped.
     let _sent = context.send_to_backend(&TokenClaim::from(entry), key.flow, message);
 }
--- a/crates/cardamomwinch_coordination/src/traffic/repeating.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/duplicates.rs
@@ -1,5 +1,5 @@
-//! Copies of requests that the home remembers: each gets the word that the first
-//! one got, and none runs again that must not.
+//! Handles copies of requests that the home remembers: each gets the same reply as the
+//! first one, and no request runs again that must not.
 
 use std::time;
 
@@ -16,10 +16,10 @@
 use crate::traffic::serving::ArrivingRequest;
 
 impl TrafficEngine {
-    /// Handles a copy of a request that is remembered. An idempotent one whose
-    /// answer was not kept may run again, as an attempt of its own, so that the
-    /// parts of two runs are never mixed.
-    pub(crate) fn repeat<S: TrafficSink>(
+    /// Handles a copy of a remembered request. An idempotent request whose answer was not
+    /// kept may run again, with a new attempt number so that the parts of two runs are
+    /// never mixed.
+    pub(crate) fn handle_duplicate<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
@@ -42,12 +42,12 @@
             }
             _ => {
                 let retry_after = self.retry_after(context, claim.backend, arriving.hash);
-                self.repeat_known(context, arriving, retry_after);
+                self.resend_outcome(context, arriving, retry_after);
             }
         }
     }
 
-    /// When a caller whose request `backend` cannot take now should come back.
+    /// When a caller should try again whose request `backend` cannot accept now.
     pub(crate) fn retry_after<S: TrafficSink>(
         &mut self,
         context: &EventContext<'_, S>,
@@ -58,11 +58,11 @@
             return RETRY_AFTER;
         };
         let view = context.snapshot.view(backend);
-        let ledger = self.ledgers.of(backend);
+        let ledger = self.ledgers.get_or_create(backend);
         ledger.retry_after(context.now, entry, view, hash)
     }
 
-    pub(crate) fn repeat_known<S: TrafficSink>(
+    pub(crate) fn resend_outcome<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         arriving: &ArrivingRequest,
--- a/crates/cardamomwinch_coordination/src/traffic/effect.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/effect.rs
@@ -1,4 +1,4 @@
-//! What a traffic engine wants done.
+//! The effects of a traffic engine.
 
 use std::net;
 
@@ -11,15 +11,15 @@
 use crate::counter::Counter;
 use crate::decision::DecisionRecord;
 
-/// Something that a traffic thread is to do. Effects may borrow from the event
-/// or from the engine, so a sink uses them up before it returns.
+/// Something that a traffic thread has to do. Effects may borrow from the event or from
+/// the engine, so a sink processes them before it returns.
 #[derive(Debug, Clone)]
 pub enum TrafficEffect<'a> {
     /// Send a reply to the caller of its flow.
     ToCaller(CallerReply<'a>),
     /// Send a datagram to a backend server.
     ToBackend {
-        /// Where the server takes datagrams.
+        /// Where the server receives datagrams.
         address: net::SocketAddr,
         /// The datagram.
         datagram: BackendDatagram<'a>,
@@ -28,7 +28,7 @@
     Relay {
         /// The host.
         host: HostId,
-        /// Where it takes relayed datagrams.
+        /// Where it receives relayed datagrams.
         address: net::SocketAddr,
         /// The datagram.
         envelope: RelayEnvelope<'a>,
@@ -40,22 +40,22 @@
         /// The datagram.
         envelope: RelayEnvelope<'a>,
     },
-    /// Tell control what backend servers did.
+    /// Report to control what backend servers did.
     Observe(Vec<BackendObservation>),
-    /// Give a part of a hand-over to control.
+    /// Pass a chunk of a hand-over to control.
     HandOver {
-        /// The part.
+        /// The chunk.
         chunk: HandOverChunk,
     },
-    /// Tell control that a chunk was taken in.
+    /// Report to control that a chunk was imported.
     TookOver(TakeOverReport),
     /// Log a decision.
     Decide(DecisionRecord),
-    /// Count something.
+    /// Increment a counter.
     Count(Counter),
 }
 
-/// Takes the effects of a traffic engine.
+/// Receives the effects of a traffic engine.
 pub trait TrafficSink {
     /// Carries out `effect`.
     fn emit(&mut self, effect: TrafficEffect<'_>);
--- a/crates/cardamomwinch_coordination/src/traffic/event.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/event.rs
@@ -1,11 +1,11 @@
-//! What a traffic engine is told.
+//! The events that a traffic engine handles.
 
 use cardamomwinch_protocol::peer::hand_over::HandOverChunk;
 use cardamomwinch_protocol::peer::homes::HandOverId;
 use cardamomwinch_protocol::prelude::{FabricDatagram, RelayEnvelope};
 use cardamomwinch_state::prelude::{ShardId, Timestamp};
 
-/// Something that a traffic thread has to decide about.
+/// An input of a traffic engine.
 #[derive(Debug, Clone, Copy)]
 #[expect(
     clippy::large_enum_variant,
@@ -14,31 +14,31 @@
 pub enum TrafficEvent<'a> {
     /// Time has passed. To be sent several times a second.
     Tick,
-    /// The fabric handed over a datagram.
+    /// The fabric delivered a datagram.
     Fabric(FabricDatagram<'a>),
     /// Another host, or another thread of this host, relayed a datagram. The
     /// transport has authenticated it.
     Relay(RelayEnvelope<'a>),
-    /// Control hands a shard over: freeze it and give out what is known of it.
+    /// Control hands a shard over: freeze it and export its state.
     ReleaseShard {
         /// The hand-over.
         hand_over: HandOverId,
-        /// When the shard thaws, where this host still holds its lease.
+        /// When the shard thaws, if this host still holds its lease.
         frozen_until: Timestamp,
     },
-    /// The hand-over is broken off: go on with the shard.
+    /// The hand-over was aborted: resume serving the shard.
     ThawShard {
         /// The shard.
         shard: ShardId,
     },
-    /// The shard is handed over: forget it.
+    /// The shard was handed over: forget its state.
     ForgetShard {
         /// The shard.
         shard: ShardId,
     },
-    /// Another host handed a shard over: take a chunk in.
+    /// Another host handed a shard over: import a chunk of its state.
     TakeOver {
-        /// What to take in.
+        /// The chunk to import.
         chunk: &'a HandOverChunk,
     },
 }
--- a/crates/cardamomwinch_coordination/src/traffic/giving_up.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/giving_up.rs
@@ -1,5 +1,5 @@
-//! What the home does with each tick about requests that wait or run: each gets
-//! its last word as soon as the home gives it up, never later.
+//! Reviews waiting and running requests at each tick. The caller of a request gets the
+//! final reply as soon as the home gives the request up.
 
 use std::time;
 
@@ -17,15 +17,15 @@
 use crate::traffic::effect::TrafficSink;
 use crate::traffic::ledger::{QueueEntry, ServerLedger, WaitingRequest};
 use crate::traffic::requests::{HeldRequest, RequestState};
-use crate::traffic::running_slot::{DoubtedRun, RunningSlot};
+use crate::traffic::running_slot::{GivenUpRun, RunningSlot};
 
-/// A request is sent to its server at most this often.
+/// A request is sent to its server at most this many times.
 const ATTEMPT_LIMIT: u8 = 4;
 /// A request that has less time than this left is not sent again.
-const LEAST_TIME_LEFT: time::Duration = time::Duration::from_millis(10);
+const MIN_TIME_LEFT: time::Duration = time::Duration::from_millis(10);
 
 impl TrafficEngine {
-    /// Goes through everything that waits or runs.
+    /// Reviews all requests that wait or run.
     pub(crate) fn review_requests<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
         for backend in self.ledgers.servers() {
             let entry = context.snapshot.backend(backend);
@@ -34,67 +34,69 @@
                 continue;
             }
             let view = context.snapshot.view(backend);
-            let ledger = self.ledgers.of(backend);
+            let ledger = self.ledgers.get_or_create(backend);
             let busy = ledger.busy();
-            ledger.estimate.take_report(context.now, view, busy);
-            self.end_running(context, backend);
+            ledger.estimate.apply_report(context.now, view, busy);
+            self.end_expired(context, backend);
             self.retry_overdue(context, backend);
             // Nothing is known of the slots of a server that is not listed.
             let slots = entry.map_or(0, |entry| entry.slots.get());
-            let ledger = self.ledgers.of(backend);
-            let mut doubted = ledger.take_report(context.now, slots, view);
+            let ledger = self.ledgers.get_or_create(backend);
+            let mut given_up = ledger.apply_report(context.now, slots, view);
             ledger.release_overdue(context.now);
-            doubted.extend(ledger.due_words(context.now));
-            for run in doubted {
+            given_up.extend(ledger.due_final_replies(context.now));
+            for run in given_up {
                 self.give_up_running(context, backend, run);
             }
-            self.release_strayed(context, backend);
+            self.release_without_lease(context, backend);
             self.refuse_waiting(context, backend);
             self.start_next(context, backend);
         }
-        // The ledger of a server that has gone stays while anything is counted.
+        // The ledger of a server that is no longer configured stays until its counts are
+        // zero.
         let snapshot = context.snapshot;
         self.ledgers
             .retain(|backend, ledger| !ledger.is_unused() || snapshot.backend(backend).is_some());
     }
 
-    /// Ends the requests whose deadline has passed while they ran.
-    fn end_running<S: TrafficSink>(
+    /// Ends running requests whose deadline has passed.
+    fn end_expired<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         backend: BackendId,
     ) {
-        let slots = self.ledgers.of(backend).running().iter();
-        let passed: Vec<RunningSlot> = slots
+        let slots = self.ledgers.get_or_create(backend).running().iter();
+        let expired: Vec<RunningSlot> = slots
             .filter(|slot| slot.deadline <= context.now)
             .copied()
             .collect();
-        for slot in passed {
+        for slot in expired {
             let QueueEntry { hash, key } = slot.entry;
-            self.free_lingering(context, backend, &slot);
-            let state = self.requests.put(hash, &key, RequestState::Unknown);
+            self.free_running_slot(context, backend, &slot);
+            let state = self
+                .requests
+                .replace_state(hash, &key, RequestState::Unknown);
             context.count(Counter::RequestExpired);
             if let Some(RequestState::Running(running)) = state {
                 let attempt = running.attempt;
                 dispatching::cancel(context, &key, backend, attempt, slot.deadline);
                 if !running.given_up {
-                    let wait = self.ledgers.of(backend).service_times.mean();
+                    let wait = self.ledgers.get_or_create(backend).service_times.mean();
                     context.outcome_unknown(key.flow, key.id, wait.max(RETRY_AFTER));
                 }
             }
         }
     }
 
-    /// Tells the caller of a request that runs, or was lost, that its outcome is
-    /// unknown. Guards against a caller that hears nothing until its deadline:
-    /// where one datagram to or from the server was lost, the home ignores the
-    /// copies of the request, since it must not run twice. An answer that comes
-    /// later still reaches the caller through whichever host gets it.
+    /// Replies "outcome unknown" for a request that runs or was lost. Without this, the
+    /// caller would get no reply until its deadline if one datagram to or from the server
+    /// was lost, because the home ignores copies of the request, which must not run twice.
+    /// A later answer still reaches the caller through whichever host receives it.
     fn give_up_running<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         backend: BackendId,
-        run: DoubtedRun,
+        run: GivenUpRun,
     ) {
         let QueueEntry { hash, key } = run.slot.entry;
         let given_up = self.requests.change(hash, &key, |record| {
@@ -113,7 +115,11 @@
                 ..DecisionSubject::default()
             };
             context.decide(DecisionReason::GivenUp(run.cause), subject);
-            let wait = self.ledgers.of(backend).service_times.attempt_timeout();
+            let wait = self
+                .ledgers
+                .get_or_create(backend)
+                .service_times
+                .attempt_timeout();
             context.outcome_unknown(key.flow, key.id, wait.max(RETRY_AFTER));
         }
     }
@@ -133,29 +139,34 @@
         }
     }
 
-    /// Frees the slot of a request that may still run on. How long is not known;
-    /// with heavy-tailed times the best guess is as long again as it has run.
-    fn free_lingering<S: TrafficSink>(
+    /// Frees the slot of a request that may still be running. How long it will run is not
+    /// known; with heavy-tailed service times the best guess is as long again as it has
+    /// run.
+    fn free_running_slot<S: TrafficSink>(
         &mut self,
         context: &EventContext<'_, S>,
         backend: BackendId,
         slot: &RunningSlot,
     ) {
-        let ledger = self.ledgers.of(backend);
+        let ledger = self.ledgers.get_or_create(backend);
         ledger.finish(&slot.entry.key);
         if slot.counted {
             let until = context.now.after(context.now.since(slot.sent));
-            ledger.estimate.note_lingering(context.now, until);
+            ledger.estimate.note_still_running(context.now, until);
         }
     }
 
-    /// Sends an idempotent request again that its server seems to have lost.
+    /// Retries overdue idempotent requests, which the server seems to have lost.
     fn retry_overdue<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         backend: BackendId,
     ) {
-        for slot in self.ledgers.of(backend).mark_overdue(context.now) {
+        for slot in self
+            .ledgers
+            .get_or_create(backend)
+            .mark_overdue(context.now)
+        {
             let QueueEntry { hash, key } = slot.entry;
             let Some(record) = self.requests.get(hash, &key) else {
                 continue;
@@ -163,15 +174,15 @@
             let RequestState::Running(running) = &record.state else {
                 continue;
             };
-            // Parts that came have reached the caller too; a second run would
-            // only begin from the start.
+            // Parts that have arrived have reached the caller too, and a second run would
+            // start from the beginning.
             if !record.idempotent || running.given_up || !running.tracker.is_empty() {
                 continue;
             }
             let attempt = running.attempt;
             if self.may_retry(context, &slot, attempt, time::Duration::ZERO) {
                 dispatching::cancel(context, &key, backend, attempt, slot.deadline);
-                self.free_lingering(context, backend, &slot);
+                self.free_running_slot(context, backend, &slot);
                 self.requests
                     .change(hash, &key, |record| record.may_have_run = true);
                 self.queue_again(context, backend, &slot, time::Duration::ZERO);
@@ -179,8 +190,8 @@
         }
     }
 
-    /// Whether a request that did not run, or may run twice, is sent once more
-    /// after `pause`; pays for it from the budget.
+    /// Whether a request that did not run, or may run twice, is sent again after `pause`.
+    /// Takes the retry from the budget.
     pub(crate) fn may_retry<S: TrafficSink>(
         &mut self,
         context: &EventContext<'_, S>,
@@ -189,7 +200,7 @@
         pause: time::Duration,
     ) -> bool {
         let snapshot = context.snapshot;
-        let needed = pause + LEAST_TIME_LEFT;
+        let needed = pause + MIN_TIME_LEFT;
         let Some(service) = snapshot.service_of(slot.entry.key.flow.service) else {
             return false;
         };
@@ -200,8 +211,7 @@
                 .take(service.id, snapshot.configuration.limits.retry_percent)
     }
 
-    /// Puts a request that was sent back into the queue, ahead of all others,
-    /// for its next attempt.
+    /// Returns a request that was sent to the front of the queue, for its next attempt.
     pub(crate) fn queue_again<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -232,20 +242,20 @@
             ..DecisionSubject::default()
         };
         context.decide(DecisionReason::Retried, subject);
-        let ledger = self.ledgers.of(backend);
-        let patience = pause + ledger.service_times.attempt_timeout();
+        let ledger = self.ledgers.get_or_create(backend);
+        let max_wait = pause + ledger.service_times.attempt_timeout();
         ledger.queue.push_front(WaitingRequest {
             entry: slot.entry,
             not_before: context.now.after(pause),
-            give_up: context.now.after(patience).min(slot.deadline),
+            give_up_at: context.now.after(max_wait).min(slot.deadline),
         });
     }
 
-    /// Guards against requests that wait at a host which has lost the lease of
-    /// their server: they would stay there without a word. They have never been
-    /// sent, or provably did not run, but only the next home may say so and may
-    /// send them, so they go there; without one nothing can be promised.
-    fn release_strayed<S: TrafficSink>(
+    /// Moves waiting requests to the next home if this host has lost the lease of their
+    /// server; otherwise they would stay here without a reply. They were never sent, or
+    /// provably did not run, but only the next home may reply "not run" or send them. If
+    /// there is no next home, their callers get "outcome unknown".
+    fn release_without_lease<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         backend: BackendId,
@@ -258,12 +268,12 @@
             return;
         }
         let claim = TokenClaim::from(entry);
-        for waiting in std::mem::take(&mut self.ledgers.of(backend).queue) {
-            self.bring_to_next_home(context, waiting.entry, claim, shard);
+        for waiting in std::mem::take(&mut self.ledgers.get_or_create(backend).queue) {
+            self.move_to_next_home(context, waiting.entry, claim, shard);
         }
     }
 
-    fn bring_to_next_home<S: TrafficSink>(
+    fn move_to_next_home<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         waiting: QueueEntry,
@@ -275,8 +285,8 @@
         let home = home.filter(|host| *host != self.identity.host);
         let record = self.requests.get(hash, &key);
         let relayed = match (home, record.map(|record| &record.state)) {
-            // An earlier attempt is known to this host only. Were its number
-            // lost, parts of two runs could be taken for one answer.
+            // Only this host knows of an earlier attempt. If its number were lost, parts
+            // of two runs could be combined into one answer.
             (Some(host), Some(RequestState::Queued { attempt, held, .. }))
                 if *attempt == AttemptNumber(0) =>
             {
@@ -303,31 +313,33 @@
             self.requests.remove(hash, &key);
         } else {
             let wait = context.snapshot.configuration.limits.home_lease;
-            self.give_up_unknown(context, waiting, wait);
+            self.end_as_unknown(context, waiting, wait);
         }
     }
 
-    fn give_up_unknown<S: TrafficSink>(
+    fn end_as_unknown<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         entry: QueueEntry,
         retry_after: time::Duration,
     ) {
         let QueueEntry { hash, key } = entry;
-        let before = self.requests.put(hash, &key, RequestState::Unknown);
+        let before = self
+            .requests
+            .replace_state(hash, &key, RequestState::Unknown);
         if !before.is_some_and(|state| state.is_given_up()) {
             context.outcome_unknown(key.flow, key.id, retry_after);
         }
     }
 
-    /// Requests cannot wait for a server that is not known any more.
+    /// Refuses the waiting requests of a server that is no longer configured.
     fn refuse_unlisted<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         backend: BackendId,
     ) {
-        for waiting in std::mem::take(&mut self.ledgers.of(backend).queue) {
-            self.refuse_known(
+        for waiting in std::mem::take(&mut self.ledgers.get_or_create(backend).queue) {
+            self.refuse_remembered(
                 context,
                 waiting.entry,
                 RefusalReason::NoBackend,
@@ -336,32 +348,32 @@
         }
     }
 
-    /// Refuses the requests that have waited too long.
+    /// Refuses requests that have waited too long.
     fn refuse_waiting<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         backend: BackendId,
     ) {
         let now = context.now;
-        let ledger = self.ledgers.of(backend);
-        let mut passed = Vec::new();
+        let ledger = self.ledgers.get_or_create(backend);
+        let mut expired = Vec::new();
         ledger.queue.retain(|held| {
-            let keep = held.give_up > now;
+            let keep = held.give_up_at > now;
             if !keep {
-                passed.push(held.entry);
+                expired.push(held.entry);
             }
             keep
         });
-        for queued in passed {
+        for queued in expired {
             let retry_after = self.retry_after(context, backend, queued.hash);
-            self.refuse_known(context, queued, RefusalReason::Full, retry_after);
+            self.refuse_remembered(context, queued, RefusalReason::Full, retry_after);
         }
     }
 
-    /// Gives up a remembered request that waits. "Not run" is said only where no
-    /// attempt may have run, and only while the lease holds: later a copy may
+    /// Gives up a waiting request that is remembered. The reply is "not run" only if no
+    /// attempt may have run and this home holds the lease; without the lease, a copy may
     /// run at the next home.
-    pub(crate) fn refuse_known<S: TrafficSink>(
+    pub(crate) fn refuse_remembered<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         entry: QueueEntry,
@@ -375,34 +387,36 @@
             .map(|record| record.shard);
         let held = shard.and_then(|shard| context.snapshot.lease_at(shard, context.now));
         if held.is_none() {
-            return self.give_up_unknown(context, entry, retry_after);
+            return self.end_as_unknown(context, entry, retry_after);
         }
         self.requests
-            .put(hash, &key, RequestState::Refused { reason });
+            .replace_state(hash, &key, RequestState::Refused { reason });
         context.refuse(key.flow, Some(key.id), reason, retry_after);
     }
 
-    /// Ends the requests of a flow that its server does not hold (any more).
-    /// Which datagram the server means is not said: what waits has not run, but
-    /// what was sent may have run before the flow was closed.
+    /// Ends the requests of a flow that its server does not hold, or no longer holds. The
+    /// server's reply does not tell which datagram it refers to. Waiting requests have not
+    /// run, but requests that were sent may have run before the flow was closed.
     pub(crate) fn end_flow_requests<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         backend: BackendId,
         flow: &FlowKey,
     ) {
-        let ledger = self.ledgers.of(backend);
+        let ledger = self.ledgers.get_or_create(backend);
         let slots = ledger.running().iter().map(|slot| slot.entry);
         let sent: Vec<QueueEntry> = slots.filter(|entry| entry.key.flow == *flow).collect();
         let waiting = ledger.queue.iter().map(|held| held.entry);
         let waiting: Vec<QueueEntry> = waiting.filter(|entry| entry.key.flow == *flow).collect();
         for entry in sent {
-            self.ledgers.of(backend).finish(&entry.key);
-            self.give_up_unknown(context, entry, RETRY_AFTER);
+            self.ledgers.get_or_create(backend).finish(&entry.key);
+            self.end_as_unknown(context, entry, RETRY_AFTER);
         }
         for entry in waiting {
-            self.ledgers.of(backend).leave_queue(&entry.key);
-            self.refuse_known(context, entry, RefusalReason::NoBackend, RETRY_AFTER);
+            self.ledgers
+                .get_or_create(backend)
+                .remove_from_queue(&entry.key);
+            self.refuse_remembered(context, entry, RefusalReason::NoBackend, RETRY_AFTER);
         }
         self.start_next(context, backend);
     }
--- a/crates/cardamomwinch_coordination/src/traffic/handover.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/handover.rs
@@ -1,9 +1,9 @@
-//! Hands what only the home of a shard knows over to the next home, and takes
-//! it in there.
+//! Exports the state that only the home of a shard has for the next home, and imports it
+//! there.
 //!
-//! While a shard is frozen, its datagrams are dropped (callers send again) and
-//! replies of its servers are held back: they are handed to the next home, or
-//! applied here should the shard thaw.
+//! While a shard is frozen, its datagrams are dropped, because callers send again. Replies
+//! of its servers are held back, and are sent to the next home, or applied here if the
+//! shard thaws.
 
 use cardamomwinch_protocol::peer::hand_over::{
     ConnectionsItem, HandOverChunk, HandOverItem, PinItem, RecordItem,
@@ -39,33 +39,38 @@
 #[derive(Debug, Default)]
 pub(crate) struct FrozenShards {
     shards: SortedVector<ShardId, FrozenShard>,
-    /// Shards taken over whose lease is still to come, and how long that may take.
-    awaited: SortedVector<ShardId, Timestamp>,
-    /// Shards handed over, and how long the next home's lease may take to come.
-    handed_on: SortedVector<ShardId, Timestamp>,
+    /// Imported shards whose lease has not arrived, and until when it may arrive.
+    awaiting_lease: SortedVector<ShardId, Timestamp>,
+    /// Shards handed over, and until when the next home's lease may arrive.
+    recently_released: SortedVector<ShardId, Timestamp>,
 }
 
 impl FrozenShards {
-    /// Whether nothing may be decided about `shard`.
+    /// Whether no decision about `shard` is allowed.
     pub(crate) fn is_frozen(&self, shard: ShardId, now: Timestamp) -> bool {
         self.shards
             .get(&shard)
             .is_some_and(|frozen| now < frozen.until)
     }
 
-    /// Whether `shard` was handed over by or to this host just now, so that its next
-    /// lease is to be expected.
-    pub(crate) fn is_changing_hands(&self, shard: ShardId, now: Timestamp) -> bool {
-        let awaited = self.awaited.get(&shard).is_some_and(|until| now < *until);
-        awaited || self.was_handed_on(shard, now)
+    /// Whether `shard` was recently handed over by or to this host, so that its next lease
+    /// is expected soon.
+    pub(crate) fn is_moving(&self, shard: ShardId, now: Timestamp) -> bool {
+        let awaited = self
+            .awaiting_lease
+            .get(&shard)
+            .is_some_and(|until| now < *until);
+        awaited || self.was_released(shard, now)
     }
 
-    /// Whether this host handed `shard` over just now.
-    pub(crate) fn was_handed_on(&self, shard: ShardId, now: Timestamp) -> bool {
-        self.handed_on.get(&shard).is_some_and(|until| now < *until)
+    /// Whether this host recently handed `shard` over.
+    pub(crate) fn was_released(&self, shard: ShardId, now: Timestamp) -> bool {
+        self.recently_released
+            .get(&shard)
+            .is_some_and(|until| now < *until)
     }
 
-    /// Keeps a reply until it is known who is home.
+    /// Keeps a reply until the home is known.
     pub(crate) fn hold_back(&mut self, shard: ShardId, reply: &BackendReply<'_>) {
         if let Some(frozen) = self.shards.get_mut(&shard) {
             frozen.held_back.push(reply);
@@ -96,9 +101,8 @@
         }
     }
 
-    /// Packs what is known of the shard. Where it does not all fit, the next
-    /// home is told to treat every request that may have been sent until now as
-    /// perhaps known to an earlier home.
+    /// Packs the state of the shard. If it does not all fit, the chunks tell the next home
+    /// that an earlier home may know any request sent until now.
     fn export<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -126,18 +130,18 @@
             }
         }
         for connections in self.unpinned_of(context.snapshot, hand_over.shard, &left_out) {
-            // Without its number a server looks emptier than it is; that is put
-            // right as its flows close.
+            // Without its connection count a server seems emptier than it is, until its
+            // flows close.
             let _ = packer.add_last(HandOverItem::Connections(connections));
         }
         packer.finish(hand_over)
     }
 
-    /// The pins of flows that go with `shard`: those on its servers, and those
-    /// that the lookup table brings to its home although they are elsewhere.
-    /// First the ones that the next home cannot do without: flows off their
-    /// table whose callers echo no token, and flows opened so lately that a copy
-    /// of their opening may still come and would be placed, and run, again.
+    /// The pins of flows that move with `shard`: flows on its servers, and flows on other
+    /// servers whose datagrams the lookup table leads to its home. The first list holds
+    /// the pins that the next home needs. Their flows are not on the server that the table
+    /// selects, and either the caller echoes no token, or the flow was opened so recently
+    /// that a copy of the opening may still arrive, which would be placed and run again.
     fn pins_of<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -148,7 +152,7 @@
         let mut needed = Vec::new();
         let mut other = Vec::new();
         for (flow, pin) in self.pins.iter() {
-            let table = table_pick(context.snapshot, flow);
+            let table = server_by_table(context.snapshot, flow);
             let off_table = table.is_none_or(|entry| entry.id != pin.claim.backend);
             let counted = resolve::shard_of(context.snapshot, &pin.claim) == shard;
             let found_here = table.is_some_and(|entry| context.snapshot.shard_of(entry) == shard);
@@ -171,7 +175,7 @@
         (needed, other)
     }
 
-    /// The records of `shard` that have not expired, running ones first.
+    /// The records of `shard` that have not expired, running requests first.
     fn records_of<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -195,7 +199,7 @@
         left_out: &[PinItem],
     ) -> Vec<ConnectionsItem> {
         let ledgers = self.ledgers.iter();
-        let own = ledgers.filter(|(id, _)| is_in(snapshot, **id, shard));
+        let own = ledgers.filter(|(id, _)| belongs_to(snapshot, **id, shard));
         own.filter_map(|(backend, ledger)| {
             let backend = *backend;
             let pinned = left_out
@@ -210,9 +214,9 @@
         .collect()
     }
 
-    /// Forgets a shard that another host is home of now. Guards against a
-    /// request that waits here and, handed over, there as well: should this host
-    /// become home again, it must not send it.
+    /// Forgets a shard whose home is now another host. A request that waits here was
+    /// handed over and waits there as well; this host must not send it if it becomes the
+    /// home again.
     pub(crate) fn forget_shard<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -225,21 +229,21 @@
             frozen.handed_over = true;
             let lease = context.snapshot.configuration.limits.home_lease;
             self.frozen
-                .handed_on
+                .recently_released
                 .insert(shard, context.now.after(lease));
         }
         self.requests.retain(|_, record| record.shard != shard);
         let snapshot = context.snapshot;
         self.ledgers
-            .retain(|backend, _| !is_in(snapshot, backend, shard));
+            .retain(|backend, _| !belongs_to(snapshot, backend, shard));
         self.pins.retain(|flow, pin| {
             if pin.shard != shard || pin.role == PinRole::Learned {
                 return true;
             }
             pin.counted = false;
             pin.role = PinRole::Redirect;
-            // Its datagrams may still come here by the table.
-            let found_by = table_pick(snapshot, flow).map(|entry| snapshot.shard_of(entry));
+            // The lookup table may still lead its datagrams here.
+            let found_by = server_by_table(snapshot, flow).map(|entry| snapshot.shard_of(entry));
             let elsewhere = found_by.filter(|found_by| *found_by != shard);
             pin.shard = elsewhere.unwrap_or(shard);
             elsewhere.is_some()
@@ -257,11 +261,14 @@
         self.thaw(context);
     }
 
-    /// Sends on, or applies, what was held back for shards that are frozen no more.
+    /// Sends to their home, or applies, the replies held back for shards that are no
+    /// longer frozen.
     pub(crate) fn thaw<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
         let now = context.now;
-        self.frozen.awaited.retain(|_, until| now < *until);
-        self.frozen.handed_on.retain(|_, until| now < *until);
+        self.frozen.awaiting_lease.retain(|_, until| now < *until);
+        self.frozen
+            .recently_released
+            .retain(|_, until| now < *until);
         let mut thawed = Vec::new();
         self.frozen.shards.retain(|shard, frozen| {
             let keep = !frozen.handed_over && now < frozen.until;
@@ -285,14 +292,16 @@
             return;
         }
         let lease = context.snapshot.configuration.limits.home_lease;
-        self.frozen.awaited.insert(shard, context.now.after(lease));
+        self.frozen
+            .awaiting_lease
+            .insert(shard, context.now.after(lease));
         let mut whole = true;
         for item in &chunk.items {
             whole &= match item {
-                HandOverItem::Pin(pin) => self.take_pin(context, pin, shard),
-                HandOverItem::Record(record) => self.take_record(context, record, shard),
+                HandOverItem::Pin(pin) => self.import_pin(context, pin, shard),
+                HandOverItem::Record(record) => self.import_record(context, record, shard),
                 HandOverItem::Connections(connections) => {
-                    let ledger = self.ledgers.of(connections.backend);
+                    let ledger = self.ledgers.get_or_create(connections.backend);
                     ledger.connections += connections.connections;
                     ledger.unpinned += connections.connections;
                     true
@@ -310,7 +319,7 @@
         context.sink.emit(TrafficEffect::TookOver(report));
     }
 
-    fn take_pin<S: TrafficSink>(
+    fn import_pin<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         item: &PinItem,
@@ -320,17 +329,17 @@
         let mut counted = item.counted;
         if let Some(pin) = self.pins.get_mut(hash, &item.flow) {
             counted &= !(pin.counted && pin.claim == item.claim);
-            let taken = handover_items::pin_of(item, shard);
+            let imported = handover_items::pin_of(item, shard);
             let placed_here = pin.role == PinRole::Placed && pin.counted;
-            if placed_here && !taken.counted {
-                // This host is home of the server itself. A redirect from
-                // another shard that it becomes home of must not lead away.
+            if placed_here && !imported.counted {
+                // This host is the home of the server itself. A redirect of another shard
+                // that it becomes the home of must not replace the pin.
                 return true;
             }
             *pin = FlowPin {
-                disputed: pin.disputed || taken.disputed,
+                disputed: pin.disputed || imported.disputed,
                 last_seen: pin.last_seen.max(item.last_seen),
-                ..taken
+                ..imported
             };
         } else if self
             .pins
@@ -339,21 +348,21 @@
         {
             context.count(Counter::TableFull);
             if counted {
-                let ledger = self.ledgers.of(item.claim.backend);
+                let ledger = self.ledgers.get_or_create(item.claim.backend);
                 ledger.connections += 1;
                 ledger.unpinned += 1;
             }
             return false;
         }
         if counted {
-            self.ledgers.of(item.claim.backend).connections += 1;
+            self.ledgers.get_or_create(item.claim.backend).connections += 1;
         }
         true
     }
 
-    /// Takes a record in; of two about one request the one that got further
-    /// stays. `false` where it had to be left out.
-    fn take_record<S: TrafficSink>(
+    /// Imports a record; of two records of one request, the one further along is kept.
+    /// Returns `false` if the record could not be imported.
+    fn import_record<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         item: &RecordItem,
@@ -369,7 +378,7 @@
         };
         let hash = Self::hasher(context.snapshot).hash(&key.flow);
         if let Some(known) = self.requests.get(hash, &key) {
-            if progress(&known.state) >= progress(&record.state) {
+            if progress_rank(&known.state) >= progress_rank(&record.state) {
                 return true;
             }
             self.uncount_record(&key);
@@ -382,9 +391,9 @@
         }
         match waits {
             RequestState::Queued { backend, held, .. } => {
-                self.take_waiting(context, backend, queued, held.header.deadline);
+                self.import_waiting(context, backend, queued, held.header.deadline);
             }
-            RequestState::Running(running) => self.take_running(context, queued, &running),
+            RequestState::Running(running) => self.import_running(context, queued, &running),
             _ => {}
         }
         true
@@ -393,7 +402,7 @@
     fn uncount_record(&mut self, key: &RequestKey) {
         for (_, ledger) in self.ledgers.iter_mut() {
             ledger.finish(key);
-            ledger.leave_queue(key);
+            ledger.remove_from_queue(key);
         }
     }
 }
@@ -420,8 +429,8 @@
     }
 }
 
-/// The server that the table in force gives to `flow`.
-fn table_pick<'s>(snapshot: &'s RoutingSnapshot, flow: &FlowKey) -> Option<&'s BackendEntry> {
+/// The server that the lookup table in force selects for `flow`.
+fn server_by_table<'s>(snapshot: &'s RoutingSnapshot, flow: &FlowKey) -> Option<&'s BackendEntry> {
     let service = snapshot.service_of(flow.service)?;
     let hash = TrafficEngine::hasher(snapshot).hash(flow);
     let tables = snapshot.generations.first()?;
@@ -429,7 +438,7 @@
 }
 
 /// Whether the server `backend` belongs to `shard`.
-fn is_in(snapshot: &RoutingSnapshot, backend: BackendId, shard: ShardId) -> bool {
+fn belongs_to(snapshot: &RoutingSnapshot, backend: BackendId, shard: ShardId) -> bool {
     match snapshot.backend(backend) {
         Some(entry) => snapshot.shard_of(entry) == shard,
         None => {
@@ -439,7 +448,7 @@
     }
 }
 
-/// Running requests go first, because a slot stands behind each.
+/// Running requests come first, because each occupies a slot.
 fn export_rank(state: &RequestState) -> u8 {
     match state {
         RequestState::Running(_) => 2,
@@ -451,8 +460,8 @@
     }
 }
 
-/// How far a request has got, for choosing between two records of it.
-fn progress(state: &RequestState) -> u8 {
+/// How far a request has progressed, to choose between two records of it.
+fn progress_rank(state: &RequestState) -> u8 {
     match state {
         RequestState::Queued { .. } => 0,
         RequestState::Unknown | RequestState::Moved { .. } => 1,
--- a/crates/cardamomwinch_coordination/src/traffic/handover_items.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/handover_items.rs
@@ -1,4 +1,4 @@
-//! What a home knows, to and from the form in which it goes to the next home.
+//! Converts the state of a home to and from the items of a hand-over.
 
 use cardamomwinch_protocol::peer::hand_over::{
     HeldItem, PartItem, PartsItem, PinItem, RecordItem, RecordState,
@@ -12,16 +12,16 @@
     RequestState, RunningRequest,
 };
 
-/// Why something in a hand-over is not taken in.
+/// Why an item of a hand-over is not imported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum HandOverItemError {
-    /// More parts than an answer may have, or bits that do not fit their number.
+    /// More parts than an answer may have, or a bit set that does not match their number.
     #[snafu(display("{bits} words of bits for {total} parts"))]
     Parts {
-        /// The number of parts that it names.
+        /// The number of parts that the item names.
         total: u32,
-        /// The number of words.
+        /// The number of words in the bit set.
         bits: usize,
     },
     /// More parts are kept than a home keeps.
@@ -32,14 +32,14 @@
     },
 }
 
-/// A record with its key, as it is taken in.
+/// A record with its key, as it is imported.
 #[derive(Debug)]
 pub(crate) struct KeyedRecord {
     pub(crate) key: RequestKey,
     pub(crate) record: RequestRecord,
 }
 
-/// Names the server of a record whose state does not; nobody is to be sent it.
+/// The server of a record whose state names none; nothing is sent to it.
 const NO_BACKEND: BackendId = BackendId::new(0);
 
 impl From<&HeldRequest> for HeldItem {
@@ -123,7 +123,8 @@
             };
             (*backend, state)
         }
-        // Its caller has been told so, and the next home must not say otherwise.
+        // Its caller was told that the outcome is unknown, and the next home must not
+        // reply otherwise.
         RequestState::Running(running) if running.given_up => (NO_BACKEND, RecordState::Unknown),
         RequestState::Running(running) => (running.backend, running_state(running)),
         RequestState::Answered { attempt, kept } => {
@@ -134,7 +135,7 @@
             (NO_BACKEND, state)
         }
         RequestState::Refused { reason } => (NO_BACKEND, RecordState::Refused { reason: *reason }),
-        // It did not run here, but a copy may have been passed on and run.
+        // It did not run here, but a copy may have been relayed and run.
         RequestState::Moved { .. } | RequestState::Unknown => (NO_BACKEND, RecordState::Unknown),
     };
     RecordItem {
@@ -158,9 +159,9 @@
     }
 }
 
-/// The same record without the parts of its answer, where those make it too
-/// large for one message. A copy of the request is then answered "outcome
-/// unknown" instead of with the answer.
+/// The same record without the parts of its answer, for records that are too large for one
+/// message. A copy of the request is then answered with "outcome unknown" instead of the
+/// answer.
 pub(crate) fn without_parts(mut item: RecordItem) -> RecordItem {
     match &mut item.state {
         RecordState::Running { kept, .. } | RecordState::Answered { kept, .. } => *kept = None,
@@ -169,10 +170,9 @@
     item
 }
 
-/// Turns a record that was handed over with `shard` into one of this host.
+/// Converts a record that was handed over with `shard` into one of this host.
 ///
-/// # Errors
-/// Refuses parts that do not fit together.
+/// # Errors Returns an error if the parts are inconsistent.
 pub(crate) fn keyed_record(
     item: RecordItem,
     shard: ShardId,
@@ -221,8 +221,8 @@
     Ok(KeyedRecord { key, record })
 }
 
-/// The pin that `item` becomes at the next home of `shard`. One that is not to
-/// be counted there leads to the home of another server.
+/// The pin that `item` becomes at the next home of `shard`. If the flow is not counted
+/// there, the pin redirects to the home of another server.
 pub(crate) const fn pin_of(item: &PinItem, shard: ShardId) -> FlowPin {
     FlowPin {
         claim: item.claim,
--- a/crates/cardamomwinch_coordination/src/traffic/held_replies.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/held_replies.rs
@@ -1,20 +1,21 @@
-//! Replies of servers that are kept until it is known who is to account for them.
+//! Replies of servers that are kept until the host that accounts for them is known.
 
 use cardamomwinch_protocol::codec;
 use cardamomwinch_protocol::prelude::BackendReply;
 
-/// Replies that are held back at one place; more are dropped. Twice as many requests
-/// are answered at one host in the time that a home takes to change hands.
+/// At most this many replies are held back for one shard, or for a starting host; further
+/// replies are dropped. One host handles the answers of twice as many requests while a
+/// home moves.
 const HELD_BACK_LIMIT: usize = 256;
 
-/// Replies, as they came, bounded in number.
+/// Encoded replies in order of arrival, bounded in number.
 #[derive(Debug, Default)]
 pub(crate) struct HeldReplies {
     encoded: Vec<Box<[u8]>>,
 }
 
 impl HeldReplies {
-    /// Keeps `reply`, unless there are too many.
+    /// Keeps `reply` unless the limit is reached.
     pub(crate) fn push(&mut self, reply: &BackendReply<'_>) {
         let mut buffer = [0; codec::DATAGRAM_LIMIT];
         if self.encoded.len() < HELD_BACK_LIMIT
@@ -28,7 +29,7 @@
         self.encoded.is_empty()
     }
 
-    /// Gives each reply to `take`, in the order in which they came.
+    /// Passes each reply to `take`, in order of arrival.
     pub(crate) fn drain(self, mut take: impl FnMut(&BackendReply<'_>)) {
         for bytes in self.encoded {
             if let Ok(reply) = codec::decode::<BackendReply<'_>>(&bytes) {
--- a/crates/cardamomwinch_coordination/src/traffic/ledger.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/ledger.rs
@@ -1,5 +1,5 @@
-//! What a home counts for each backend server whose home it is. Only the home
-//! sends requests to the server, so that its own count is exact.
+//! The counts that a home keeps for each of its backend servers. Only the home sends
+//! requests to a server, so its own count is exact.
 
 use std::collections;
 use std::time;
@@ -15,13 +15,13 @@
 use crate::traffic::service_time::ServiceTimes;
 use crate::traffic::slots::SlotEstimate;
 
-/// A caller that is refused is told to wait at least this long.
-const SHORTEST_RETRY: time::Duration = time::Duration::from_millis(20);
-/// A caller that is refused is told to wait at most this long, so that a server
-/// that has become fast again is found out.
-const LONGEST_RETRY: time::Duration = time::Duration::from_secs(5);
+/// The shortest wait that a refused caller is given.
+const MIN_RETRY_AFTER: time::Duration = time::Duration::from_millis(20);
+/// The longest wait that a refused caller is given, so that callers notice when a server
+/// has become fast again.
+const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(5);
 
-/// A request without progress counts as taking a slot for this many timeouts.
+/// A request without progress counts as occupying a slot for this many timeouts.
 pub(super) const COUNTED_TIMEOUTS: u32 = 2;
 
 /// A request in a queue or in a slot.
@@ -36,51 +36,51 @@
 /// A request that waits for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingRequest {
-    /// Which.
+    /// The request.
     pub entry: QueueEntry,
-    /// It must not be sent earlier: it was shed a moment ago.
+    /// The earliest time to send it. A request that was shed waits for a pause.
     pub not_before: Timestamp,
-    /// When it is refused if no slot has come free.
-    pub give_up: Timestamp,
+    /// When it is refused if no slot has become free.
+    pub give_up_at: Timestamp,
 }
 
-/// Slots, connections and waiting requests of one backend server.
+/// Running and waiting requests, connections and slot estimate of one backend server.
 #[derive(Debug, Default)]
 pub struct ServerLedger {
     /// Flows placed on the server and not closed.
     pub connections: u32,
-    /// Those of `connections` that are not pinned here: an earlier home handed
-    /// over their number alone.
+    /// The part of `connections` without a pin here: an earlier home handed over only
+    /// their number.
     pub unpinned: u32,
     /// Requests waiting for a slot, oldest first.
     pub queue: collections::VecDeque<WaitingRequest>,
-    /// How long the server takes.
+    /// Measured service times of the server.
     pub service_times: ServiceTimes,
-    /// What else takes slots of the server.
+    /// Estimate of the slots that are occupied by other work.
     pub estimate: SlotEstimate,
-    /// When the server last said anything.
-    pub last_heard: Timestamp,
-    /// What happened since control was last told.
+    /// When the last reply of the server arrived.
+    pub last_reply: Timestamp,
+    /// Counts since the last report to control.
     pub unreported: LedgerCounts,
-    /// When the load report was made that was last compared with the count.
-    pub reconciled: Timestamp,
-    /// What was sent before this point is vouched for by a load report: the
-    /// server is busy with as many requests as this home counts.
-    pub vouched: Timestamp,
-    /// The answers that the server has sent, beside those that came.
+    /// When the last load report that was compared with the count was made.
+    pub last_report: Timestamp,
+    /// Requests sent before this time are confirmed by a load report, which showed as many
+    /// busy slots as this home counts, or all slots busy.
+    pub confirmed_before: Timestamp,
+    /// Compares answers sent by the server with answers received.
     pub answers: AnswerCount,
     /// Whether answers were under way when the last load report was made.
     pub(super) answers_under_way: bool,
-    /// When an earlier home handed requests over, until the lease has followed.
-    pub taken_over: Option<Timestamp>,
+    /// When an earlier home handed requests over, until the lease arrives.
+    pub taken_over_at: Option<Timestamp>,
     pub(super) running: Vec<RunningSlot>,
     pub(super) uncounted: u32,
 }
 
-/// What a server did since control was last told.
+/// What a server did since the last report to control.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerCounts {
-    /// Requests answered whole.
+    /// Requests whose answers are complete.
     pub answers: u32,
     /// Requests and openings shed.
     pub sheds: u32,
@@ -97,30 +97,30 @@
         &self.running
     }
 
-    /// Whether nothing is counted.
+    /// Whether all counts are zero.
     pub fn is_unused(&self) -> bool {
         self.connections == 0 && self.queue.is_empty() && self.running.is_empty()
     }
 
-    /// Requests running and waiting, per thousand slots: the load to compare.
-    /// A cold server has fewer slots to offer, so that it looks fuller.
+    /// Requests running and waiting, per thousand usable slots, for comparing servers. A
+    /// cold server has fewer usable slots, so its load is higher.
     pub fn load(&self, now: Timestamp, entry: &BackendEntry, view: BackendView) -> u64 {
         let held = u64::from(self.busy()) + self.queue.len() as u64;
         let usable = self.estimate.usable(now, entry.slots.get(), view);
         held * 1000 / u64::from(usable.max(1))
     }
 
-    /// Whether a slot is free. An overdue request does not count once the server
-    /// has answered others since: where its answer, or the copy of it that tells
-    /// this home, was lost, the slot would stay taken until the deadline. Where
-    /// it does run on, the server sheds what comes too much, and
-    /// [`SlotEstimate`] learns from that.
+    /// Whether a slot is free. An overdue request does not count once the server has
+    /// answered others since it was sent: if its answer, or the copy of the answer for
+    /// this home, was lost, the slot would stay occupied until the deadline. If the
+    /// request does still run, the server sheds excess requests, and [`SlotEstimate`] is
+    /// adjusted.
     pub fn has_free_slot(&self, now: Timestamp, entry: &BackendEntry, view: BackendView) -> bool {
         let occupied = self.busy() - self.uncounted;
         occupied < self.estimate.usable(now, entry.slots.get(), view)
     }
 
-    /// Whether one more flow may be placed.
+    /// Whether the server has room for one more flow.
     pub fn has_free_connection(&self, entry: &BackendEntry) -> bool {
         self.connections < entry.connections.get()
     }
@@ -137,8 +137,8 @@
         self.service_times.mean() * ahead / usable.max(1)
     }
 
-    /// When a refused caller should come back: once those ahead of it are
-    /// served, spread over as long again so that not all come back at once.
+    /// When a refused caller should try again: after the requests ahead of it are served,
+    /// plus up to the same time again so that callers do not all return at once.
     pub fn retry_after(
         &self,
         now: Timestamp,
@@ -147,19 +147,19 @@
         hash: FlowHash,
     ) -> time::Duration {
         let wait = self.expected_wait(now, entry, view);
-        let wait = wait.clamp(SHORTEST_RETRY, LONGEST_RETRY / 2);
+        let wait = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
         let spread = u32::from(hash.mixed_with(now.get()) as u8);
         wait + wait * spread / 256
     }
 
-    /// Requests of `flow` that wait.
-    pub fn waiting_of(&self, flow: &FlowKey) -> usize {
+    /// The number of waiting requests of `flow`.
+    pub fn waiting_in_flow(&self, flow: &FlowKey) -> usize {
         let waiting = self.queue.iter();
         waiting.filter(|held| held.entry.key.flow == *flow).count()
     }
 
-    /// Requests of `flow` that run.
-    pub fn running_of(&self, flow: &FlowKey) -> usize {
+    /// The number of running requests of `flow`.
+    pub fn running_in_flow(&self, flow: &FlowKey) -> usize {
         let first = self
             .running
             .partition_point(|slot| slot.entry.key.flow < *flow);
@@ -169,24 +169,25 @@
             .count()
     }
 
-    /// Takes the next request out of the queue: of those that may be sent at
-    /// `now`, the oldest one of a flow with the fewest requests running.
+    /// Removes and returns the next request of the queue: of those that may be sent at
+    /// `now`, the oldest of the flow with the fewest running requests.
     pub fn next_waiting(&mut self, now: Timestamp) -> Option<WaitingRequest> {
         let ready = self.queue.iter().enumerate();
         let ready = ready.filter(|(_, held)| held.not_before <= now);
-        let (position, _) = ready.min_by_key(|(_, held)| self.running_of(&held.entry.key.flow))?;
+        let (position, _) =
+            ready.min_by_key(|(_, held)| self.running_in_flow(&held.entry.key.flow))?;
         self.queue.remove(position)
     }
 
-    /// Takes a request out of the queue.
-    pub fn leave_queue(&mut self, key: &RequestKey) -> bool {
+    /// Removes a request from the queue. Returns whether it was there.
+    pub fn remove_from_queue(&mut self, key: &RequestKey) -> bool {
         let before = self.queue.len();
         self.queue.retain(|held| held.entry.key != *key);
         self.queue.len() < before
     }
 
-    /// Notes that a request was sent, here or by an earlier home. From `now` on it has as
-    /// long to make progress as any other.
+    /// Records that a request was sent, here or by an earlier home. Its time without
+    /// progress counts from `now`.
     pub fn start(
         &mut self,
         now: Timestamp,
@@ -210,8 +211,8 @@
         self.estimate.note_busy(self.busy());
     }
 
-    /// Frees the slot of a request. Nothing happens where it has none: an
-    /// answer that comes after the slot was freed must not free it again.
+    /// Frees the slot of a request and returns it. Returns `None` if the request has none:
+    /// an answer that arrives after the slot was freed must not free another one.
     pub fn finish(&mut self, key: &RequestKey) -> Option<RunningSlot> {
         let position = self.slot_position(key).ok()?;
         let slot = self.running.remove(position);
@@ -219,9 +220,9 @@
         Some(slot)
     }
 
-    /// Notes that a part of an answer came.
+    /// Records that a part of an answer arrived.
     pub fn note_progress(&mut self, now: Timestamp, key: &RequestKey) {
-        self.last_heard = now;
+        self.last_reply = now;
         if let Ok(position) = self.slot_position(key) {
             let slot = &mut self.running[position];
             slot.progress = now;
@@ -231,16 +232,16 @@
         }
     }
 
-    /// Notes that a request took `taken` to be answered.
-    pub fn note_answer(&mut self, now: Timestamp, taken: time::Duration) {
-        self.service_times.note(taken);
+    /// Records that a request was answered after `duration`.
+    pub fn note_answer(&mut self, now: Timestamp, duration: time::Duration) {
+        self.service_times.note(duration);
         self.estimate.note_answer(now);
-        self.last_heard = now;
+        self.last_reply = now;
         self.unreported.answers += 1;
     }
 
-    /// Takes overdue requests to be running after all, because the server shed
-    /// another one: for as long again as they have been running.
+    /// Counts overdue requests as running again, because the server shed another request:
+    /// for as long again as they have been running.
     pub fn count_overdue(&mut self, now: Timestamp) {
         for slot in &mut self.running {
             if !slot.counted {
@@ -251,7 +252,7 @@
         self.uncounted = 0;
     }
 
-    /// Forgets all that waits and runs, and returns it.
+    /// Removes and returns all waiting and running requests.
     pub fn clear(&mut self) -> Vec<QueueEntry> {
         self.uncounted = 0;
         let waiting = self.queue.drain(..).map(|held| held.entry);
@@ -272,29 +273,29 @@
 }
 
 impl ServerLedgers {
-    /// The ledger of `backend`, where there is one.
+    /// The ledger of `backend`, if there is one.
     pub fn get(&self, backend: BackendId) -> Option<&ServerLedger> {
         self.ledgers.get(&backend)
     }
 
-    /// The ledger of `backend`, created where there is none.
-    pub fn of(&mut self, backend: BackendId) -> &mut ServerLedger {
+    /// The ledger of `backend`, created if there is none.
+    pub fn get_or_create(&mut self, backend: BackendId) -> &mut ServerLedger {
         self.ledgers
             .get_or_insert_with(backend, ServerLedger::default)
     }
 
-    /// The servers that there are ledgers of.
+    /// The servers that have a ledger.
     pub fn servers(&self) -> Vec<BackendId> {
         self.ledgers.keys().copied().collect()
     }
 
-    /// Forgets the ledgers for which `keep` does not hold.
+    /// Keeps only the ledgers for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(BackendId, &ServerLedger) -> bool) {
         self.ledgers
             .retain(|backend, ledger| keep(*backend, ledger));
     }
 
-    /// All ledgers, to be changed.
+    /// All ledgers, mutable.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&BackendId, &mut ServerLedger)> {
         self.ledgers.iter_mut()
     }
--- a/crates/cardamomwinch_coordination/src/traffic/mod.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/mod.rs
@@ -1,14 +1,15 @@
-//! Decides about each datagram: which backend server its flow belongs to,
-//! which host is its home, and whether the request that it carries runs.
+//! Decides for each datagram which backend server its flow belongs to, which host is the
+//! home of that server, and whether the request in it runs.
 
 pub(crate) mod announcing;
 pub mod answer_count;
 pub(crate) mod caller_datagrams;
 pub(crate) mod context;
 pub(crate) mod dispatching;
-mod doubts;
+pub(crate) mod duplicates;
 pub mod effect;
 pub mod event;
+mod give_up_rules;
 pub(crate) mod giving_up;
 pub(crate) mod handover;
 pub mod handover_items;
@@ -19,7 +20,6 @@
 pub(crate) mod packing;
 pub(crate) mod pin_sweeping;
 pub mod pins;
-pub(crate) mod repeating;
 pub(crate) mod replies;
 mod reply_effects;
 pub mod requests;
@@ -44,7 +44,7 @@
 use crate::identity::{HostIdentity, ThreadPlace};
 use crate::routing::placement::PlacementChoice;
 use crate::snapshot::RoutingSnapshot;
-use crate::traffic::caller_datagrams::CallerPassage;
+use crate::traffic::caller_datagrams::RelayContext;
 use crate::traffic::context::EventContext;
 use crate::traffic::effect::TrafficSink;
 use crate::traffic::event::TrafficEvent;
@@ -56,13 +56,12 @@
 use crate::traffic::retry_budget::RetryBudgets;
 use crate::traffic::searching::SearchTable;
 
-/// A datagram that was relayed this often is dropped instead of relayed again.
+/// A datagram with this many relays is dropped instead of relayed again.
 ///
-/// A search asks each of at most [`SEARCH_LIMIT`] homes and then as many
-/// servers once.
+/// A search asks each of at most [`SEARCH_LIMIT`] homes once, and then as many servers.
 pub const HOP_LIMIT: u8 = 2 * SEARCH_LIMIT as u8 + 2;
 
-/// The decisions of one traffic thread.
+/// The state and decisions of one traffic thread.
 #[derive(Debug)]
 pub struct TrafficEngine {
     pub(crate) identity: HostIdentity,
@@ -79,10 +78,10 @@
     pub(crate) sweep_position: usize,
     pub(crate) next_observation: Timestamp,
     pub(crate) frozen: FrozenShards,
-    /// Replies that came before this host knew any other.
+    /// Replies that arrived before this host knew any other host.
     pub(crate) early_replies: HeldReplies,
     last_event: Timestamp,
-    slept_until: Option<Timestamp>,
+    woke_at: Option<Timestamp>,
 }
 
 impl TrafficEngine {
@@ -109,12 +108,12 @@
             frozen: FrozenShards::default(),
             early_replies: HeldReplies::default(),
             last_event: Timestamp::ZERO,
-            slept_until: None,
+            woke_at: None,
             bounds,
         }
     }
 
-    /// Places new flows by `placement`.
+    /// Sets the rule by which new flows are placed.
     #[must_use]
     pub fn with_placement(mut self, placement: PlacementChoice) -> Self {
         self.placement = placement;
@@ -131,13 +130,12 @@
         &self.requests
     }
 
-    /// What this thread counts for the servers that it is home of.
+    /// The counts for the servers whose home this thread is.
     pub fn ledgers(&self) -> &ServerLedgers {
         &self.ledgers
     }
 
-    /// Decides about `event` at `now` against `snapshot`, and gives the effects
-    /// to `sink`.
+    /// Handles `event` at `now` with `snapshot`, and passes the effects to `sink`.
     pub fn handle<S: TrafficSink>(
         &mut self,
         now: Timestamp,
@@ -152,7 +150,7 @@
             may_act: false,
             sink,
         };
-        self.notice_sleep(&mut context);
+        self.detect_pause(&mut context);
         context.may_act = self.may_act(now, snapshot);
         self.account_early_replies(&mut context);
         match event {
@@ -186,7 +184,7 @@
         match datagram {
             FabricDatagram::Caller(datagram) => {
                 context.count(Counter::CallerDatagram);
-                self.route(context, &datagram, CallerPassage::from_fabric());
+                self.route(context, &datagram, RelayContext::from_fabric());
             }
             FabricDatagram::Backend(reply) => {
                 context.count(Counter::BackendReply);
@@ -208,17 +206,17 @@
                 shard,
                 hops,
             } => {
-                let passage = CallerPassage {
+                let relay = RelayContext {
                     decided,
                     search,
                     shard: Some(shard),
                     hops,
                 };
-                self.route(context, &datagram, passage);
+                self.route(context, &datagram, relay);
             }
             RelayFrame::Backend { reply, shard, hops } => match reply.kind {
                 BackendReplyKind::UnknownFlow { .. } => {
-                    self.take_relayed_unknown(context, &reply, shard, hops);
+                    self.handle_relayed_unknown(context, &reply, shard, hops);
                 }
                 _ => self.take_relayed_reply(context, &reply, shard, hops),
             },
@@ -228,7 +226,7 @@
                 thread,
             } => self.learn(context, frame, flow, claim, thread),
             RelayFrame::Announced { flow, claim, shard } => {
-                self.take_announced(context, flow, claim, shard);
+                self.handle_announced(context, flow, claim, shard);
             }
         }
     }
@@ -237,27 +235,27 @@
         FlowHasher::new(snapshot.configuration.limits.flow_hash_seed)
     }
 
-    /// Guards against a process that was paused and acts on what it believed
-    /// before. A gap between two events longer than the tick shows the pause;
-    /// until control has published a snapshot made after the wake, nothing is
-    /// decided here. Control makes none before it has heard from others.
-    fn notice_sleep<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
+    /// Detects that the process was paused, so that it does not act on outdated state. A
+    /// gap between two events that is longer than the tick indicates a pause. No decisions
+    /// are made until control has published a snapshot made after the pause, which it does
+    /// only after it has received messages from other hosts.
+    fn detect_pause<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
         let gap = context.now.since(self.last_event);
         if self.last_event > Timestamp::ZERO && gap > self.bounds.sleep_gap {
-            self.slept_until = Some(context.now);
+            self.woke_at = Some(context.now);
             context.count(Counter::WokeLate);
         }
         self.last_event = self.last_event.max(context.now);
         if self
-            .slept_until
-            .is_some_and(|wake| context.snapshot.made > wake)
+            .woke_at
+            .is_some_and(|woke_at| context.snapshot.made > woke_at)
         {
-            self.slept_until = None;
+            self.woke_at = None;
         }
     }
 
-    /// Whether this thread may act on `snapshot`.
+    /// Whether this thread may make decisions by `snapshot`.
     pub(crate) fn may_act(&self, now: Timestamp, snapshot: &RoutingSnapshot) -> bool {
-        self.slept_until.is_none() && now < snapshot.fresh_until
+        self.woke_at.is_none() && now < snapshot.fresh_until
     }
 }
--- a/crates/cardamomwinch_coordination/src/traffic/observing.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/observing.rs
@@ -1,4 +1,4 @@
-//! Tells control, now and then, what backend servers did.
+//! Reports to control at intervals what backend servers did.
 
 use std::time;
 
@@ -33,9 +33,9 @@
     ledger: &mut ServerLedger,
 ) -> BackendObservation {
     let counts = std::mem::take(&mut ledger.unreported);
-    let heard = ledger.last_heard;
+    let last_reply = ledger.last_reply;
     let running = ledger.running().iter();
-    let unanswered = running.filter(|slot| slot.overdue && slot.sent >= heard);
+    let unanswered = running.filter(|slot| slot.overdue && slot.sent >= last_reply);
     let first_sent = unanswered.clone().map(|slot| slot.sent).min();
     BackendObservation {
         backend,
--- a/crates/cardamomwinch_coordination/src/traffic/opening.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/opening.rs
@@ -1,5 +1,5 @@
-//! What the home of a backend server does with openings, closings and other
-//! datagrams of flows that it serves.
+//! Handles openings, closings and other datagrams of flows at the home of their backend
+//! server.
 
 use cardamomwinch_protocol::prelude::{
     BackendKind, CallerDatagram, CallerKind, FlowSearch, RefusalReason, TokenClaim,
@@ -19,14 +19,14 @@
 use crate::traffic::resolve;
 use crate::traffic::serving::ServerKnowledge;
 
-/// Positions of the lookup table that are tried where the flow's own is out.
+/// Positions of the lookup table that are tried if the flow's own server is not available.
 const PROBE_LIMIT: u64 = 16;
-/// Up to this many servers of a service are all looked at where probing failed.
+/// If probing failed, all servers of a service are checked if there are at most this many.
 const SCAN_LIMIT: usize = 256;
 
 impl TrafficEngine {
-    /// Handles a datagram at the home of the server of `claim`, which its flow
-    /// is known to belong to.
+    /// Handles a datagram at the home of the server of `claim`, to which its flow is known
+    /// to belong.
     pub(crate) fn serve_at_home<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -49,14 +49,13 @@
         }
     }
 
-    /// Decides at one home after the other where an opening goes.
+    /// Decides at one home after another where an opening goes.
     ///
-    /// Guards against a second run of a request inside an opening: copies of it
-    /// meet hosts that have different versions in force, whose tables name
-    /// different servers, hence different homes. All of them ask the home of
-    /// the oldest generation's candidate first, and each home that passes the
-    /// opening on leaves a redirect, so that every copy goes the same way and
-    /// the home at its end recognises them.
+    /// Guards against a second run of the request in an opening: copies of it may reach
+    /// hosts with different versions in force, whose lookup tables select different
+    /// servers with different homes. All hosts ask the home of the oldest generation's
+    /// candidate first, and each home that relays the opening keeps a redirect. So every
+    /// copy takes the same path, and the home at its end recognises the copies.
     pub(crate) fn search_opening<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -65,17 +64,17 @@
     ) {
         let snapshot = context.snapshot;
         let list = snapshot.opening_candidates(routed.service.id, routed.hash);
-        // The sender started lately and knows no older generation, or this home
-        // is behind and does not know the newer candidate: the order starts
-        // anew. A home that itself started lately does not know the older
-        // candidate that it is asked for, and leaves the order alone.
+        // The sender started recently and knows no older generation, or this home has an
+        // outdated configuration and does not know the newer candidate: the search starts
+        // again with the first candidate. A home that itself started recently does not
+        // know the older candidate that it is asked about, and keeps the order.
         let known = list.contains(search.candidate.backend);
         let out_of_order = search.tried.is_empty() && (known || !snapshot.history_missing);
         let first = list.iter().next().filter(|_| out_of_order);
         let first = first.filter(|first| *first != search.candidate.backend);
         if let Some(first) = first.and_then(|id| snapshot.backend(id)) {
             search.candidate = TokenClaim::from(first);
-            return self.pursue(context, routed, search);
+            return self.continue_search(context, routed, search);
         }
         search.unsettled &= snapshot.history_missing;
         let Some(next) = resolve::next_candidate(snapshot, CallerKind::Open, routed, &search)
@@ -88,8 +87,8 @@
         let Some(request) = request else {
             return self.redirect(context, routed, search, next);
         };
-        // An earlier home may have placed the flow and run the request. The
-        // flow is opened all the same, without the request.
+        // An earlier home may have placed the flow and run the request. The flow is opened
+        // nevertheless, without the request.
         context.outcome_unknown(routed.datagram.flow, request.id, RETRY_AFTER);
         let bare = bare_opening(routed.datagram);
         let routed = RoutedDatagram {
@@ -99,7 +98,7 @@
         self.redirect(context, &routed, search, next);
     }
 
-    /// Passes an opening on to the home of another server, and remembers it.
+    /// Relays an opening to the home of another server, and keeps a redirect.
     fn redirect<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -135,7 +134,7 @@
             }
             context.count(Counter::OpeningRedirected);
         }
-        self.move_on(context, routed, search, next);
+        self.search_next(context, routed, search, next);
     }
 
     fn place_opening<S: TrafficSink>(
@@ -146,11 +145,10 @@
     ) {
         if search.unsettled && (routed.datagram.request.is_some() || !routed.datagram.echoes_token)
         {
-            // Neither this home nor a host before it knows which homes hosts
-            // that are behind in their configuration would choose, so that one
-            // of those may place the flow as well and run the request. The
-            // caller sends again, and meets a host that does know, or time
-            // passes until all have caught up.
+            // Neither this home nor a host before it knows which homes would be chosen by
+            // hosts with an outdated configuration, so one of those homes may place the
+            // flow as well and run the request. The caller sends again, until it reaches a
+            // host that knows or all hosts are up to date.
             return context.count(Counter::OpeningHeld);
         }
         if let Some((claim, reason)) = self.place(context, routed, search.candidate) {
@@ -163,8 +161,8 @@
         self.refuse_opening(context, routed, &search.candidate, reason, search.skipped);
     }
 
-    /// Refuses an opening at the home of the server of `claim`. Where another home
-    /// may have placed the flow, that one may have run the request.
+    /// Refuses an opening at the home of the server of `claim`. If another home may have
+    /// placed the flow, it may have run the request.
     fn refuse_opening<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -184,9 +182,9 @@
         }
     }
 
-    /// A server of another home, for a flow that none of this home's servers
-    /// has room for. Which it is follows from the flow alone, unless homes are
-    /// out of reach; the redirect keeps copies together in any case.
+    /// A server of another home, for a flow for which none of this home's servers has
+    /// room. The choice depends only on the flow, unless homes are unreachable; the
+    /// redirect sends copies the same way in any case.
     fn overflow_candidate<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -205,9 +203,9 @@
         })
     }
 
-    /// The home of the candidate of an opening cannot be reached. A home that
-    /// died is replaced within a lease, so the caller tries again; a domain
-    /// that is cut off may stay so for long, and its flows are placed elsewhere.
+    /// Handles an opening if the home of its candidate is unreachable. A home that died is
+    /// replaced within a lease, so the caller tries again. A domain may be cut off for
+    /// long, so its flows are placed elsewhere.
     pub(crate) fn skip_home_of_opening<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -216,7 +214,7 @@
     ) {
         let snapshot = context.snapshot;
         if !snapshot.is_cut_off(search.candidate.domain) {
-            return Self::without_home(context, routed, None);
+            return Self::answer_without_home(context, routed, None);
         }
         let newer = resolve::next_candidate(snapshot, CallerKind::Open, routed, &search);
         let next = newer.or_else(|| {
@@ -233,14 +231,13 @@
                         ..routed.subject()
                     },
                 );
-                self.move_on(context, routed, search, next);
+                self.search_next(context, routed, search, next);
             }
-            None => Self::without_home(context, routed, None),
+            None => Self::answer_without_home(context, routed, None),
         }
     }
 
-    /// The first server that `accept`s along a sequence that follows from the
-    /// flow alone.
+    /// The first server that `accept` allows, in an order that depends only on the flow.
     fn probe_table<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -280,7 +277,7 @@
         reason: DecisionReason,
         disputed: bool,
     ) {
-        if !self.pin(context, routed, claim, disputed) {
+        if !self.pin_flow(context, routed, claim, disputed) {
             return self.refuse_opening(
                 context,
                 routed,
@@ -299,8 +296,8 @@
             return caller_datagrams::forward(context, datagram, &claim, BackendKind::Open);
         };
         if disputed {
-            // Another home may have placed the flow too, and have run the
-            // request or have promised that it never runs.
+            // Another home may have placed the flow too, and have run the request or
+            // replied that it never runs.
             context.outcome_unknown(datagram.flow, request.id, RETRY_AFTER);
         } else {
             self.serve_request(context, routed, claim, request, ServerKnowledge::Known);
@@ -320,8 +317,8 @@
         }
         match datagram.request {
             Some(request) if datagram.token.is_none() && self.is_disputed(routed) => {
-                // A copy without token may reach another home that placed the
-                // flow as well, and run there or be refused for good.
+                // A copy without a token may reach another home that placed the flow as
+                // well, and run or be refused there.
                 context.outcome_unknown(datagram.flow, request.id, RETRY_AFTER);
             }
             Some(request) => {
@@ -347,24 +344,24 @@
 
     pub(crate) fn uncount(&mut self, pin: &FlowPin) {
         if pin.counted {
-            let ledger = self.ledgers.of(pin.claim.backend);
+            let ledger = self.ledgers.get_or_create(pin.claim.backend);
             ledger.connections = ledger.connections.saturating_sub(1);
         }
     }
 
-    /// Counts the closing of a flow whose pin was not handed over.
+    /// Uncounts a closed flow whose pin was not handed over.
     fn uncount_unpinned(&mut self, claim: &TokenClaim) {
-        let ledger = self.ledgers.of(claim.backend);
+        let ledger = self.ledgers.get_or_create(claim.backend);
         if ledger.unpinned > 0 {
             ledger.unpinned -= 1;
             ledger.connections = ledger.connections.saturating_sub(1);
         }
     }
 
-    /// Chooses the server of a new flow among those that this thread is home
-    /// of. A caller that echoes its token may be placed by load; any other gets
-    /// the server of the lookup table wherever that one has room, because the
-    /// table is what other hosts go by once this pin is lost.
+    /// Chooses the server of a new flow among those whose home this thread is. The flow of
+    /// a caller that echoes its token may be placed by load. Any other flow gets the
+    /// server that the lookup table selects if that server has room, because other hosts
+    /// use the table once this pin is lost.
     fn place<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -432,8 +429,9 @@
         free && !context.snapshot.is_ejected(entry.id)
     }
 
-    /// Holds `pin`, in place of an older or dead one where room is short.
-    pub(crate) fn hold_pin<S: TrafficSink>(
+    /// Inserts `pin`, and removes an old pin if the table is full. Returns whether there
+    /// was room.
+    pub(crate) fn insert_pin<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         hash: FlowHash,
@@ -451,8 +449,8 @@
         held
     }
 
-    /// Pins a flow to its server; `false` where no more flows can be held.
-    fn pin<S: TrafficSink>(
+    /// Pins a flow to its server; returns `false` if the table is full.
+    fn pin_flow<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
@@ -478,11 +476,11 @@
             announced: ConfigurationVersion::ZERO,
             echoes_token: routed.datagram.echoes_token,
         };
-        if !self.hold_pin(context, routed.hash, flow, pin) {
+        if !self.insert_pin(context, routed.hash, flow, pin) {
             return false;
         }
         context.count(Counter::FlowOpened);
-        self.ledgers.of(claim.backend).connections += 1;
+        self.ledgers.get_or_create(claim.backend).connections += 1;
         true
     }
 }
--- a/crates/cardamomwinch_coordination/src/traffic/packing.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/packing.rs
@@ -1,4 +1,5 @@
-//! Packs what a home knows into chunks of a hand-over, most needed first.
+//! Packs the state of a home into chunks of a hand-over. The caller adds the most
+//! important items first.
 
 use cardamomwinch_protocol::codec;
 use cardamomwinch_protocol::peer::hand_over::{
@@ -8,16 +9,16 @@
 use cardamomwinch_state::prelude::Timestamp;
 use snafu::Snafu;
 
-/// Chunks that are kept free for the numbers of connections, which come last.
+/// Chunks reserved for the connection counts, which are added last.
 const RESERVED_CHUNKS: usize = 2;
 
-/// The hand-over holds as much as it may, or the item is larger than a chunk.
+/// The hand-over is full, or the item is larger than a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("the hand-over has no room for the item"))]
 pub(crate) struct HandOverFullError;
 
-/// Fills chunks up to the bound of a hand-over.
+/// Fills chunks up to the limit of a hand-over.
 #[derive(Debug)]
 pub(crate) struct ChunkPacker {
     chunks: Vec<Vec<HandOverItem>>,
@@ -43,16 +44,14 @@
 
     /// Adds an item.
     ///
-    /// # Errors
-    /// Refuses what does not fit any more.
+    /// # Errors Returns an error if the item does not fit.
     pub(crate) fn add(&mut self, item: HandOverItem) -> Result<(), HandOverFullError> {
         self.add_within(item, usize::from(CHUNK_LIMIT) - RESERVED_CHUNKS)
     }
 
     /// Adds an item that may use the reserved chunks.
     ///
-    /// # Errors
-    /// Refuses what does not fit any more.
+    /// # Errors Returns an error if the item does not fit.
     pub(crate) fn add_last(&mut self, item: HandOverItem) -> Result<(), HandOverFullError> {
         self.add_within(item, CHUNK_LIMIT.into())
     }
@@ -76,12 +75,12 @@
         Ok(())
     }
 
-    /// Notes that something about requests sent before `point` is left out.
+    /// Records that state about requests sent before `point` is left out.
     pub(crate) fn cut_off(&mut self, point: Timestamp) {
         self.records_since = self.records_since.max(Some(point));
     }
 
-    /// The chunks.
+    /// Returns the numbered chunks.
     pub(crate) fn finish(self, hand_over: HandOverId) -> Vec<HandOverChunk> {
         let total = self.chunks.len() as u16;
         let records_since = self.records_since;
--- a/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
@@ -1,8 +1,8 @@
-//! Makes room among the pins: those whose loss costs least go first, and none
-//! that a request may still need.
+//! Removes pins to make room: those whose loss costs least first, and never a pin that a
+//! request may still need.
 //!
-//! Notices need no pin: whichever host gets one sends it straight to the caller
-//! that it names, so a caller that only listens loses nothing by a sweep.
+//! Notices need no pin: any host that receives one sends it directly to the caller that it
+//! names, so a caller that only listens loses nothing.
 
 use std::time;
 
@@ -15,33 +15,34 @@
 use crate::traffic::effect::TrafficSink;
 use crate::traffic::pins::{FlowPin, PinRole};
 
-/// Parts of the pin table that one tick sweeps.
+/// Parts of the pin table that are swept per tick.
 const PARTS_PER_TICK: usize = 64;
-/// Pins that are looked at, and no more than about these, to make room for one
-/// flow: where all are in use, refusing many flows must not cost much.
+/// About this many pins are checked at most to make room for one flow, so that refusing
+/// many flows is cheap if all pins are in use.
 const PINS_FOR_ROOM: usize = 2048;
-/// A learned pin that was not used for this long is forgotten.
+/// A learned pin is removed after this time without use.
 const LEARNED_IDLE: time::Duration = time::Duration::from_secs(60);
-/// Where room is short, pins whose loss a search makes good go after this.
+/// If the table is full, pins whose loss a search can make up for are removed after this
+/// time.
 const SEARCHABLE_IDLE: time::Duration = time::Duration::from_secs(600);
 
-/// Flows of one part that are looked at at once for where the table leads now.
+/// At most this many flows of one part are announced in one sweep.
 const ANNOUNCED_PER_PART: usize = 64;
 
-/// How short room is.
+/// How full the pin table is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PinPressure {
-    /// Only what is certainly dead goes.
+    /// Only pins of flows that have certainly ended are removed.
     Low,
-    /// More than seven eighths are taken.
+    /// More than seven eighths of the table are in use.
     High,
-    /// A new flow finds no room.
+    /// There is no room for a new flow.
     Full,
 }
 
 impl TrafficEngine {
     pub(crate) fn sweep_pins<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
-        let pressure = match self.pins_are_short() {
+        let pressure = match self.pins_nearly_full() {
             true => PinPressure::High,
             false => PinPressure::Low,
         };
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Whether more than seven eighths of the room are taken.
-    pub(crate) fn pins_are_short(&self) -> bool {
+    /// Whether more than seven eighths of the table are in use.
+    pub(crate) fn pins_nearly_full(&self) -> bool {
         self.pins.len() >= self.bounds.flows / 8 * 7
     }
 
@@ -70,26 +71,29 @@
         self.pins.len() < self.bounds.flows
     }
 
-    /// Sweeps the next part of the table and returns how many pins it held.
+    /// Sweeps the next part of the table and returns the number of pins that it held.
     fn sweep_next_pins<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         pressure: PinPressure,
     ) -> usize {
         let limits = &context.snapshot.configuration.limits;
-        let request_life = limits.request_lifetime + limits.clock_skew;
+        let request_retention = limits.request_lifetime + limits.clock_skew;
         let position = self.pin_position;
         self.pin_position = (position + 1) % FlowTable::<FlowPin>::part_count();
         let mut dropped = Vec::new();
         let mut seen = 0;
         let (now, version) = (context.now, context.snapshot.version());
-        let mut moved = Vec::new();
+        let mut to_announce = Vec::new();
         self.pins.retain_part(position, |flow, pin| {
             seen += 1;
-            let keep = now < keep_until(pin, request_life, pressure);
-            if keep && moved.len() < ANNOUNCED_PER_PART && announcing::is_due(pin, version) {
+            let keep = now < keep_until(pin, request_retention, pressure);
+            if keep
+                && to_announce.len() < ANNOUNCED_PER_PART
+                && announcing::needs_announcement(pin, version)
+            {
                 pin.announced = version;
-                moved.push((*flow, pin.claim));
+                to_announce.push((*flow, pin.claim));
             }
             if !keep {
                 dropped.push(*pin);
@@ -99,28 +103,32 @@
         for pin in dropped {
             self.uncount(&pin);
         }
-        for (flow, claim) in moved {
+        for (flow, claim) in to_announce {
             self.announce(context, flow, claim);
         }
         seen
     }
 }
 
-/// How long `pin` is kept. A request can only use a pin for `request_life` after
-/// the flow was last seen, because its deadline has passed then.
-fn keep_until(pin: &FlowPin, request_life: time::Duration, pressure: PinPressure) -> Timestamp {
+/// Until when `pin` is kept. A request can use a pin only for `request_retention` after the
+/// flow was last seen, because its deadline has passed after that.
+fn keep_until(
+    pin: &FlowPin,
+    request_retention: time::Duration,
+    pressure: PinPressure,
+) -> Timestamp {
     let idle = match (pin.role, pressure) {
         (PinRole::Learned, PinPressure::Full) => time::Duration::ZERO,
         (PinRole::Learned, _) => LEARNED_IDLE,
-        // Copies of the opening may come until the deadline of its request; the
-        // token or the home that it names knows the way afterwards.
-        (PinRole::Redirect, _) if pin.echoes_token => request_life,
-        // The token brings the flow's datagrams to its server without a pin.
+        // Copies of the opening may arrive until the deadline of its request. After that,
+        // datagrams carry a token, which leads to the server without the pin.
+        (PinRole::Redirect, _) if pin.echoes_token => request_retention,
+        // The token leads the flow's datagrams to its server without a pin.
         (PinRole::Placed, PinPressure::High | PinPressure::Full) if pin.echoes_token => {
-            request_life
+            request_retention
         }
-        // A search finds the server, at the cost of asking several.
-        (_, PinPressure::Full) => SEARCHABLE_IDLE.max(request_life),
+        // A search finds the server, at the cost of asking several servers.
+        (_, PinPressure::Full) => SEARCHABLE_IDLE.max(request_retention),
         _ => FLOW_LIFE,
     };
     pin.last_seen.after(idle)
--- a/crates/cardamomwinch_coordination/src/traffic/pins.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/pins.rs
@@ -6,13 +6,13 @@
 /// Why a thread remembers a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PinRole {
-    /// It placed the flow as home of the server, or took it over from a home.
+    /// It placed the flow as home of the server, or imported it from an earlier home.
     Placed,
-    /// It was told by the home, so as to send data straight to the server. The
-    /// home may know better since.
+    /// The home reported the server, so that data can be sent directly to it. The home's
+    /// pin may have changed since.
     Learned,
-    /// It passed the opening on to the home of the server. Copies of the
-    /// opening must go the same way, or two homes would place the flow.
+    /// It relayed the opening to the home of the server. Copies of the opening must go the
+    /// same way, or two homes would place the flow.
     Redirect,
 }
 
@@ -21,22 +21,22 @@
 pub struct FlowPin {
     /// The server.
     pub claim: TokenClaim,
-    /// The shard as whose home it is remembered: that of the server, or of the
-    /// server that a redirect leads away from.
+    /// The shard for which this thread keeps the pin: that of the server or, for a
+    /// redirect, that of the server that the flow was redirected from.
     pub shard: ShardId,
     /// Why it is remembered.
     pub role: PinRole,
-    /// Whether another home may have placed the flow as well, because one that
-    /// should have been asked could not be. Only requests that name the flow by
-    /// its token are run then.
+    /// Whether another home may have placed the flow as well, because one that should have
+    /// been asked was unreachable. If so, only requests with the flow's token are run.
     pub disputed: bool,
     /// When the flow was placed.
     pub since: Timestamp,
-    /// The last datagram of the flow that this thread saw.
+    /// When this thread last saw a datagram of the flow.
     pub last_seen: Timestamp,
     /// Whether this thread counts the flow as a connection of the server.
     pub counted: bool,
-    /// The version for which the home that the newest table leads to was told.
+    /// The newest version for which the flow was announced to the home that its lookup
+    /// table selects.
     pub announced: ConfigurationVersion,
     /// Whether the caller echoes the token, so that the flow survives the
     /// loss of this pin.
--- a/crates/cardamomwinch_coordination/src/traffic/replies.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/replies.rs
@@ -1,5 +1,6 @@
-//! The way of a backend server's reply. The fabric hands it to any host: that host
-//! sends on at once what concerns the caller, and tells the home of the server.
+//! Routes replies of backend servers. The fabric may deliver a reply to any host. That
+//! host sends answers and notices directly to the caller, and relays the reply to the home
+//! of the server.
 
 use cardamomwinch_protocol::prelude::{
     BackendReply, BackendReplyKind, CallerReplyKind, RelayFrame, TokenClaim,
@@ -14,8 +15,8 @@
 use crate::traffic::requests::{KEPT_PARTS_LIMIT, RequestKey};
 use crate::traffic::{HOP_LIMIT, TrafficEngine};
 
-/// A reply that was relayed so often meets hosts that disagree about the home. It goes
-/// to the host that had sent the request, which was home then.
+/// A reply that was relayed this many times has met hosts that disagree about the home. It
+/// is sent to the host that sent the request, which was the home at that time.
 const DISAGREEING_HOPS: u8 = 2;
 
 impl TrafficEngine {
@@ -24,24 +25,24 @@
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
     ) {
-        tell_caller(context, reply);
+        send_to_caller(context, reply);
         match reply.kind {
             BackendReplyKind::Notice { .. } => return,
             _ if context.snapshot.phase == ServingPhase::Starting => {
                 return self.early_replies.push(reply);
             }
-            BackendReplyKind::Opened => return self.tell_opened(context, reply),
+            BackendReplyKind::Opened => return self.send_opened(context, reply),
             _ => {}
         }
-        self.bring_to_home(context, reply);
+        self.route_reply_home(context, reply);
     }
 
-    /// Brings on the replies that came while this host was starting.
+    /// Processes the replies that arrived while this host was starting.
     ///
-    /// Guards against slots that stay taken: the fabric hands replies to a host as soon
-    /// as it is up, and one that knows no other host yet can tell the caller, but not
-    /// the home. It shows as servers that seem full, and as requests that their home
-    /// calls unknown though they were answered.
+    /// The fabric delivers replies to a host as soon as it is up. A host that does not
+    /// know the other hosts yet can send an answer to the caller, but not to the home. If
+    /// the replies were dropped, the home would count occupied slots, so that servers seem
+    /// full, and reply "outcome unknown" for requests that were answered.
     pub(crate) fn account_early_replies<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -51,18 +52,18 @@
         }
         let replies = std::mem::take(&mut self.early_replies);
         replies.drain(|reply| match reply.kind {
-            BackendReplyKind::Opened => self.tell_opened(context, reply),
-            _ => self.bring_to_home(context, reply),
+            BackendReplyKind::Opened => self.send_opened(context, reply),
+            _ => self.route_reply_home(context, reply),
         });
     }
 
-    fn bring_to_home<S: TrafficSink>(
+    fn route_reply_home<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
     ) {
         if let BackendReplyKind::UnknownFlow { .. } = reply.kind {
-            return self.take_unknown(context, reply);
+            return self.route_unknown_flow(context, reply);
         }
         let entry = context.snapshot.backend(reply.backend);
         match entry.map(|entry| context.snapshot.shard_of(entry)) {
@@ -71,10 +72,10 @@
         }
     }
 
-    /// Tells the caller that its flow is open, and gives it its token. Only the
-    /// server's word says so: if its datagram is lost on the way, the caller
-    /// must send its opening again instead of data for a flow that is not open.
-    pub(crate) fn tell_opened<S: TrafficSink>(
+    /// Tells the caller that its flow is open, and sends it its token. This happens only
+    /// after the server's reply: if the opening is lost on the way to the server, the
+    /// caller must repeat the opening instead of sending data for a flow that is not open.
+    pub(crate) fn send_opened<S: TrafficSink>(
         &self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
@@ -89,10 +90,9 @@
         }
     }
 
-    /// Brings a reply of a server that this host does not know to the host that
-    /// had sent it what it replies to, which knew it. This host may be behind in
-    /// its configuration; without the reply the slot would stay taken until the
-    /// deadline.
+    /// Relays a reply of a server that this host does not know to the host that sent the
+    /// request, which knew the server. This host may have an outdated configuration;
+    /// without the reply the slot would stay occupied until the deadline.
     fn account_by_sender<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -110,7 +110,7 @@
         reply: &BackendReply<'_>,
     ) {
         let relayed = context.snapshot.any_shard().is_some_and(|shard| {
-            let reply = shortened(reply);
+            let reply = without_long_payload(reply);
             let frame = RelayFrame::Backend {
                 reply,
                 shard,
@@ -125,8 +125,8 @@
         context.decide(reason, subject_of(reply, None, Some(reply.via)));
     }
 
-    /// Takes a reply that another host or thread passed on. What this host
-    /// knows of the server goes before what the sender took for its shard.
+    /// Handles a reply that another host or thread relayed. If this host knows the server,
+    /// its shard takes precedence over the one that the sender assumed.
     pub(crate) fn take_relayed_reply<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -135,7 +135,7 @@
         hops: u8,
     ) {
         if let BackendReplyKind::Opened = reply.kind {
-            return self.tell_opened(context, reply);
+            return self.send_opened(context, reply);
         }
         let entry = context.snapshot.backend(reply.backend);
         match entry.map(|entry| context.snapshot.shard_of(entry)) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Brings a reply to the thread that counts for its server.
+    /// Sends a reply to the thread that keeps the counts of its server.
     pub(crate) fn account<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -154,20 +154,20 @@
         hops: u8,
     ) {
         let frame = RelayFrame::Backend {
-            reply: shortened(reply),
+            reply: without_long_payload(reply),
             shard,
             hops: hops.saturating_add(1),
         };
-        let me = self.identity.host;
-        let believed = context.snapshot.shard(shard).home;
-        let home = believed
-            .filter(|home| *home == me || reply.via == me || hops < DISAGREEING_HOPS)
+        let this_host = self.identity.host;
+        let assumed_home = context.snapshot.shard(shard).home;
+        let home = assumed_home
+            .filter(|home| *home == this_host || reply.via == this_host || hops < DISAGREEING_HOPS)
             .filter(|home| {
-                let may_move = *home == me && hops < DISAGREEING_HOPS;
+                let may_move = *home == this_host && hops < DISAGREEING_HOPS;
                 !may_move || !self.is_sender_home(context, reply, shard)
             })
             .unwrap_or(reply.via);
-        if home == me {
+        if home == this_host {
             match self.place.owns(shard) {
                 true if self.frozen.is_frozen(shard, context.now) => {
                     self.frozen.hold_back(shard, reply);
@@ -188,13 +188,13 @@
         }
     }
 
-    /// Whether the host that had sent what `reply` answers is the home, although this one
-    /// takes itself for it.
+    /// Whether the host that sent the request of `reply` is the home, although this host
+    /// considers itself the home.
     ///
-    /// Guards against answers that end at a host which was just added: it takes itself for
-    /// the home, and others do, before it holds the lease. It shows as requests that the
-    /// home hands over as running though they were answered, and as a server that seems
-    /// full until they are given up. Who knows the request accounts for it in any case.
+    /// Guards against answers that end at a host that was just added: it and other hosts
+    /// consider it the home before it holds the lease. The home would hand over answered
+    /// requests as running, and the server would seem full until they are given up. A host
+    /// that has a record of the request accounts for its reply in any case.
     fn is_sender_home<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -203,7 +203,7 @@
     ) -> bool {
         let may_be_home = context.snapshot.lease_at(shard, context.now).is_some()
             || self.frozen.is_frozen(shard, context.now)
-            || self.frozen.is_changing_hands(shard, context.now);
+            || self.frozen.is_moving(shard, context.now);
         if may_be_home || reply.via == self.identity.host || !self.place.owns(shard) {
             return false;
         }
@@ -213,7 +213,7 @@
     }
 }
 
-/// The request that `reply` answers, where it answers one.
+/// The request that `reply` answers or sheds, if there is one.
 const fn request_of(reply: &BackendReply<'_>) -> Option<RequestId> {
     match reply.kind {
         BackendReplyKind::Answer { request, .. } => Some(request),
@@ -222,7 +222,8 @@
     }
 }
 
-/// What a decision about `reply` concerns, which belongs to `shard` and goes to `peer`.
+/// The subject of a decision about `reply`, which belongs to `shard` and is sent to
+/// `peer`.
 fn subject_of(
     reply: &BackendReply<'_>,
     shard: Option<ShardId>,
@@ -238,8 +239,8 @@
     }
 }
 
-/// Sends the caller what concerns it, whoever accounts for it.
-fn tell_caller<S: TrafficSink>(context: &mut EventContext<'_, S>, reply: &BackendReply<'_>) {
+/// Sends an answer or a notice to the caller, whichever host accounts for it.
+fn send_to_caller<S: TrafficSink>(context: &mut EventContext<'_, S>, reply: &BackendReply<'_>) {
     let kind = match reply.kind {
         BackendReplyKind::Answer {
             request,
@@ -260,8 +261,8 @@
     context.reply(reply.flow, kind);
 }
 
-/// Leaves the payload out where the answer is too long to be kept.
-fn shortened<'p>(reply: &BackendReply<'p>) -> BackendReply<'p> {
+/// Removes the payload if the answer has too many parts to be kept.
+fn without_long_payload<'p>(reply: &BackendReply<'p>) -> BackendReply<'p> {
     let mut reply = *reply;
     if let BackendReplyKind::Answer { part, payload, .. } = &mut reply.kind
         && part.total > KEPT_PARTS_LIMIT
@@ -271,7 +272,7 @@
     reply
 }
 
-/// How the request that `reply` is about is found.
+/// The key of the request that `reply` refers to.
 pub(super) const fn request_key(reply: &BackendReply<'_>, request: RequestId) -> RequestKey {
     RequestKey {
         flow: reply.flow,
--- a/crates/cardamomwinch_coordination/src/traffic/reply_effects.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/reply_effects.rs
@@ -1,5 +1,5 @@
-//! What a backend server's reply does at the home of the server: it answers a request,
-//! sheds it, or closes its flow.
+//! Applies replies of backend servers at the home of the server: a reply answers a
+//! request, sheds it, or closes its flow.
 
 use cardamomwinch_protocol::prelude::{
     AttemptNumber, BackendReply, BackendReplyKind, CallerKind, PartNumber, RefusalReason,
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Notes a part of an answer. A part of an earlier attempt is never mixed
-    /// into a later one; but a whole answer in one part ends the request,
-    /// whichever attempt gave it.
+    /// Records a part of an answer. A part of an earlier attempt is never mixed into a
+    /// later one, but an answer in a single part ends the request, whichever attempt it
+    /// belongs to.
     fn note_part<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -89,13 +89,16 @@
         }
         match noted.unwrap_or(PartOutcome::Ignored) {
             PartOutcome::Ignored => {}
-            PartOutcome::Progress => self.ledgers.of(backend).note_progress(context.now, key),
+            PartOutcome::Progress => self
+                .ledgers
+                .get_or_create(backend)
+                .note_progress(context.now, key),
             PartOutcome::Whole => {
                 context.count(Counter::RequestAnswered);
                 if given_up {
                     context.count(Counter::RequestAnsweredLate);
                 }
-                let ledger = self.ledgers.of(backend);
+                let ledger = self.ledgers.get_or_create(backend);
                 ledger.answers.note_seen();
                 if let Some(slot) = ledger.finish(key) {
                     ledger.note_answer(context.now, context.now.since(slot.sent));
@@ -104,9 +107,9 @@
             }
             PartOutcome::Superseded { attempt, deadline } => {
                 context.count(Counter::RequestAnswered);
-                let ledger = self.ledgers.of(backend);
+                let ledger = self.ledgers.get_or_create(backend);
                 ledger.answers.note_seen();
-                ledger.leave_queue(key);
+                ledger.remove_from_queue(key);
                 ledger.finish(key);
                 if let Some(attempt) = attempt {
                     dispatching::cancel(context, key, backend, attempt, deadline);
@@ -116,10 +119,9 @@
         }
     }
 
-    /// Takes a server's word that it did not run a request and will not. It
-    /// counts only for the attempt that is under way, and only while no part of
-    /// an answer has come: a doubled datagram may be shed in one copy and run
-    /// in the other.
+    /// Handles a shed: the server did not run a request and will not. It applies only to
+    /// the current attempt, and only while no part of an answer has arrived: of two copies
+    /// of a datagram, the server may shed one and run the other.
     fn note_shed<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -137,8 +139,8 @@
         }
         let opens = running.held.kind == CallerKind::Open;
         let given_up = running.given_up;
-        let ledger = self.ledgers.of(backend);
-        ledger.last_heard = context.now;
+        let ledger = self.ledgers.get_or_create(backend);
+        ledger.last_reply = context.now;
         ledger.unreported.sheds += 1;
         let pause = ledger.estimate.pause();
         let Some(slot) = ledger.finish(key) else {
@@ -150,13 +152,14 @@
         let busy = ledger.busy();
         ledger.estimate.note_shed(context.now, slots, busy);
         if given_up {
-            // Its caller reckons with a run that has been, not with one to come.
-            self.requests.put(hash, key, RequestState::Unknown);
+            // Its caller was told that the request may have run, so it must not run later.
+            self.requests
+                .replace_state(hash, key, RequestState::Unknown);
         } else if entry.is_some() && self.may_retry(context, &slot, attempt, pause) {
             self.queue_again(context, backend, &slot, pause);
         } else {
             let wait = pause.max(self.retry_after(context, backend, hash));
-            self.refuse_known(context, slot.entry, RefusalReason::Shed, wait);
+            self.refuse_remembered(context, slot.entry, RefusalReason::Shed, wait);
             if opens && let Some(pin) = self.pins.remove(hash, &key.flow) {
                 self.uncount(&pin);
             }
@@ -177,7 +180,7 @@
     }
 }
 
-/// A part of an answer, as it came.
+/// A part of an answer, as received.
 #[derive(Debug, Clone, Copy)]
 struct AnswerPart<'p> {
     attempt: AttemptNumber,
@@ -194,24 +197,23 @@
     }
 }
 
-/// What a part of an answer did.
+/// The effect of a part of an answer.
 #[derive(Debug, Clone, Copy)]
 enum PartOutcome {
-    /// Nothing: it was known, malformed, or of an attempt that is over.
+    /// None: it was known, malformed, or of an attempt that has ended.
     Ignored,
-    /// More parts have to come.
+    /// More parts are missing.
     Progress,
-    /// The attempt under way is answered whole.
+    /// The answer of the current attempt is complete.
     Whole,
-    /// An earlier attempt is answered whole; the one under way is not needed.
+    /// The answer of an earlier attempt is complete; the current one is not needed.
     Superseded {
         attempt: Option<AttemptNumber>,
         deadline: Timestamp,
     },
 }
 
-/// Notes a part in the state of its request, of which at most `room` more bytes
-/// may be kept.
+/// Records a part in the state of its request. At most `room` more bytes may be kept.
 fn note_in_state(state: &mut RequestState, answered: AnswerPart<'_>, room: usize) -> PartOutcome {
     let (current, begun, deadline) = match &*state {
         RequestState::Queued { attempt, held, .. } => (*attempt, false, held.header.deadline),
@@ -241,8 +243,9 @@
     PartOutcome::Whole
 }
 
-/// Keeps a part for a repeated request, unless the answer is long or too many
-/// bytes are held already; then what was kept of it is of no use either.
+/// Keeps a part for repeated requests, unless the answer has too many parts or too many
+/// bytes are held already. In that case the parts that were kept are dropped too, because
+/// an incomplete answer is useless.
 fn keep_part(running: &mut RunningRequest, answered: AnswerPart<'_>, room: usize) {
     if answered.part.total > KEPT_PARTS_LIMIT || answered.payload.len() > room {
         running.complete = false;
--- a/crates/cardamomwinch_coordination/src/traffic/requests.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/requests.rs
@@ -1,5 +1,5 @@
-//! Requests that a home remembers, so that none runs twice and each is
-//! answered once for all.
+//! Records of the requests that a home remembers, so that none runs twice and every copy
+//! gets the same reply.
 
 use cardamomwinch_protocol::prelude::{
     AttemptNumber, CallerKind, PartNumber, RefusalReason, RequestHeader,
@@ -13,7 +13,7 @@
 /// Answers of more parts than this are refused as malformed.
 pub const PARTS_LIMIT: u32 = 65_536;
 
-/// Names a request among all flows.
+/// Identifies a request among all flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey {
     /// The flow that the request belongs to.
@@ -22,18 +22,18 @@
     pub id: RequestId,
 }
 
-/// A request that may have to be sent to a backend server (again).
+/// A request that may have to be sent, or sent again, to a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldRequest {
-    /// What the caller said about the request.
+    /// The request header from the caller.
     pub header: RequestHeader,
-    /// What the caller's datagram did to its flow.
+    /// The kind of the caller's datagram: opening, data or closing.
     pub kind: CallerKind,
     /// Opaque bytes for the backend server.
     pub payload: Box<[u8]>,
 }
 
-/// Which parts of an answer have come.
+/// Which parts of an answer have arrived.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct PartTracker {
     pub(crate) total: u32,
@@ -42,7 +42,7 @@
 }
 
 impl PartTracker {
-    /// Notes a part; `true` where it is new.
+    /// Records a part; returns `true` if it is new.
     pub fn note(&mut self, part: PartNumber) -> bool {
         if part.total == 0 || part.total > PARTS_LIMIT || part.index >= part.total {
             return false;
@@ -62,12 +62,12 @@
         new
     }
 
-    /// Whether no part has come yet.
+    /// Whether no part has arrived.
     pub fn is_empty(&self) -> bool {
         self.seen == 0
     }
 
-    /// Whether every part has come.
+    /// Whether every part has arrived.
     pub fn is_whole(&self) -> bool {
         self.total > 0 && self.seen == self.total
     }
@@ -91,35 +91,35 @@
     pub attempt: AttemptNumber,
     /// When the last attempt was sent.
     pub sent: Timestamp,
-    /// What would be sent again.
+    /// The request as sent, for a retry.
     pub held: HeldRequest,
-    /// Which parts of the answer have come.
+    /// Which parts of the answer have arrived.
     pub tracker: PartTracker,
-    /// The parts themselves, where the answer is short.
+    /// The parts themselves, if the answer is short.
     pub kept: Vec<KeptPart>,
-    /// Whether every part that came was kept.
+    /// Whether every part that arrived was kept.
     pub complete: bool,
-    /// Whether the caller was told that the outcome is unknown. An answer that
-    /// comes all the same is still taken in: it frees the slot and tells how long
-    /// the server takes, without which long requests would never be measured.
+    /// Whether the caller was told that the outcome is unknown. An answer that arrives
+    /// later is still processed: it frees the slot and adds to the service times, which
+    /// would otherwise never include long requests.
     pub given_up: bool,
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestState {
     /// It waits for a slot of its server.
     Queued {
         /// The server.
         backend: BackendId,
-        /// The attempt that it waits to make.
+        /// The number of the next attempt.
         attempt: AttemptNumber,
-        /// What is to be sent.
+        /// The request to send.
         held: HeldRequest,
     },
     /// It was sent to its server.
     Running(Box<RunningRequest>),
-    /// It was answered; the answer is kept where it is short.
+    /// It was answered; a short answer is kept.
     Answered {
         /// The attempt that was answered.
         attempt: AttemptNumber,
@@ -131,8 +131,8 @@
         /// Why.
         reason: RefusalReason,
     },
-    /// Its server did not hold the flow, so that it did not run there; it was
-    /// passed on to the home of the next server that the flow may belong to.
+    /// Its server did not hold the flow, so the request did not run there. It was sent to
+    /// the home of the next server that the flow may belong to.
     Moved {
         /// The server.
         backend: BackendId,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Whether an attempt before the present one may have run.
+    /// Whether an attempt before the current one may have run.
     pub const fn may_have_run_before(&self) -> bool {
         match self {
             Self::Queued { attempt, .. } => attempt.0 > 0,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Whether it was sent, and its caller told that the outcome is unknown.
+    /// Whether it was sent, and its caller was told that the outcome is unknown.
     pub const fn is_given_up(&self) -> bool {
         match self {
             Self::Running(running) => running.given_up,
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Whether the request waits or runs, so that its last word is still to come.
-    pub const fn is_live(&self) -> bool {
+    /// Whether the request waits or runs, so that its final reply is pending.
+    pub const fn is_pending(&self) -> bool {
         matches!(self, Self::Queued { .. } | Self::Running(_))
     }
 }
@@ -185,22 +185,22 @@
 /// A remembered request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestRecord {
-    /// The shard of its server, whose home answers for it.
+    /// The shard of its server, whose home keeps this record.
     pub shard: ShardId,
-    /// When no copy of the request can be accepted any more.
+    /// When copies of the request are no longer accepted.
     pub expires: Timestamp,
     /// Whether running it twice is harmless.
     pub idempotent: bool,
-    /// Whether an earlier attempt may have run, so that "not run" must not be
-    /// said any more. An attempt that was shed did not run.
+    /// Whether an earlier attempt may have run, so that "not run" must no longer be
+    /// replied. An attempt that was shed did not run.
     pub may_have_run: bool,
-    /// Where it stands.
+    /// The state of the request.
     pub state: RequestState,
 }
 
-/// The requests that a home remembers, bounded in number. The table itself
-/// counts the bytes that its records hold, so that no way of changing,
-/// converting or forgetting a record can leave the count wrong.
+/// The requests that a home remembers, bounded in number. The table itself counts the
+/// bytes that its records hold, so that no change or removal of a record can make the
+/// count wrong.
 #[derive(Debug)]
 pub struct RequestTable {
     records: PartedTable<RequestKey, RequestRecord>,
@@ -243,7 +243,8 @@
         self.records.get(hash, key)
     }
 
-    /// Changes the record of a request, where there is one.
+    /// Applies `change` to the record of a request and returns its result, if there is a
+    /// record.
     pub fn change<R>(
         &mut self,
         hash: FlowHash,
@@ -257,8 +258,8 @@
         Some(result)
     }
 
-    /// Puts a request into `state` and returns the state it was in.
-    pub fn put(
+    /// Replaces the state of a request and returns the previous one.
+    pub fn replace_state(
         &mut self,
         hash: FlowHash,
         key: &RequestKey,
@@ -269,10 +270,9 @@
         })
     }
 
-    /// Remembers a request.
+    /// Adds or replaces the record of a request.
     ///
-    /// # Errors
-    /// Refuses a new request once the table is full.
+    /// # Errors Returns an error for a new request if the table is full.
     pub fn insert(
         &mut self,
         hash: FlowHash,
@@ -286,7 +286,7 @@
         Ok(())
     }
 
-    /// Forgets a request.
+    /// Removes and returns the record of a request.
     pub fn remove(&mut self, hash: FlowHash, key: &RequestKey) -> Option<RequestRecord> {
         let removed = self.records.remove(hash, key)?;
         self.held_bytes -= removed.state.held_bytes();
@@ -298,7 +298,7 @@
         self.records.iter()
     }
 
-    /// Keeps only the records for which `keep` holds.
+    /// Keeps only the records for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&RequestKey, &mut RequestRecord) -> bool) {
         let mut held_bytes = 0;
         self.records.retain(|key, record| {
@@ -311,12 +311,12 @@
         self.held_bytes = held_bytes;
     }
 
-    /// Forgets the expired records of one part of the table. Requests that wait
-    /// or run stay: whoever counts their slots ends them first.
+    /// Removes the expired records of one part of the table. Requests that wait or run
+    /// stay until the ledger has ended them.
     pub fn sweep_part(&mut self, position: usize, now: Timestamp) {
         let mut released = 0;
         self.records.retain_part(position, |_, record| {
-            let keep = record.expires > now || record.state.is_live();
+            let keep = record.expires > now || record.state.is_pending();
             if !keep {
                 released += record.state.held_bytes();
             }
--- a/crates/cardamomwinch_coordination/src/traffic/resolve.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/resolve.rs
@@ -1,4 +1,4 @@
-//! Finds the backend server that a datagram's flow belongs to.
+//! Finds the backend server to which a datagram's flow belongs.
 
 use cardamomwinch_protocol::prelude::{
     CallerDatagram, CallerKind, FlowSearch, SearchStage, TokenClaim, TriedServers,
@@ -23,7 +23,7 @@
         claim: TokenClaim,
         reason: DecisionReason,
     },
-    /// The flow is not known here; the homes of its candidates are to be asked.
+    /// The flow is not known here; the homes of its candidates have to be asked.
     Searched(FlowSearch),
     /// The flow's server has an address that now belongs to another service.
     Reassigned,
@@ -39,22 +39,23 @@
     ) -> FlowResolution {
         let datagram = routed.datagram;
         if let Some(claim) = self.claim_of_token(context, datagram) {
-            return guard(context, routed, claim, DecisionReason::Token);
+            return check_address(context, routed, claim, DecisionReason::Token);
         }
         let pin = self.pins.get(routed.hash, &datagram.flow);
-        if let Some(pin) = pin.filter(|pin| self.decides(context, datagram.kind, pin)) {
+        if let Some(pin) = pin.filter(|pin| self.is_conclusive(context, datagram.kind, pin)) {
             if routed.needs_home() && !self.is_authority(context, pin) {
-                // What was learned may be out of date; it says whom to ask first.
-                let search = routed.passage.search;
+                // A learned pin may be outdated; its server is the first candidate of the
+                // search.
+                let search = routed.relay.search;
                 let search = search.unwrap_or_else(|| self.new_search(context.snapshot, pin.claim));
                 return FlowResolution::Searched(search);
             }
-            return guard(context, routed, pin.claim, DecisionReason::Pin);
+            return check_address(context, routed, pin.claim, DecisionReason::Pin);
         }
-        if let Some(claim) = routed.passage.decided {
-            return guard(context, routed, claim, DecisionReason::RelayedDecision);
+        if let Some(claim) = routed.relay.decided {
+            return check_address(context, routed, claim, DecisionReason::RelayedDecision);
         }
-        if let Some(search) = routed.passage.search {
+        if let Some(search) = routed.relay.search {
             return FlowResolution::Searched(search);
         }
         let snapshot = context.snapshot;
@@ -84,11 +85,12 @@
         }
     }
 
-    /// Whether `pin` tells the server of a flow. Whoever only learned it, or
-    /// was the home once, may be out of date, which harms no datagram of an
-    /// open flow: the server then says that it does not hold the flow. An
-    /// opening, though, would lie on a server where no other host looks for it.
-    fn decides<S: TrafficSink>(
+    /// Whether `pin` determines the server of a flow. A pin that was only learned, or was
+    /// placed by this thread as an earlier home, may be outdated. This is harmless for
+    /// data of an open flow, because a server that does not hold the flow replies so. An
+    /// opening, however, would be placed on a server where no other host looks for the
+    /// flow.
+    fn is_conclusive<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
         kind: CallerKind,
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Whether this thread, as home of the server, knows best about a flow. It
-    /// may also have become home of a server that it had redirected the flow to.
+    /// Whether this thread, as home of the server, has the authoritative pin of a flow. It
+    /// may also have become the home of a server to which it had redirected the flow.
     pub(crate) fn is_authority<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -112,7 +114,7 @@
         pin.role != PinRole::Learned && self.is_home_of(context, &pin.claim)
     }
 
-    /// Whether this thread is home of the server of `claim`.
+    /// Whether this thread is the home of the server of `claim`.
     pub(crate) fn is_home_of<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -138,8 +140,8 @@
     }
 }
 
-/// The servers to ask about a flow: for an opening those that some host may
-/// place it on at present, else all that it may have been placed on.
+/// The candidate servers of a flow: for an opening those on which some host may place it
+/// now, otherwise all on which it may have been placed.
 pub(crate) fn candidates(
     snapshot: &RoutingSnapshot,
     kind: CallerKind,
@@ -153,7 +155,7 @@
     }
 }
 
-/// The next server that a search has to ask, where there is one.
+/// The next server that a search has to ask, if there is one.
 pub(crate) fn next_candidate(
     snapshot: &RoutingSnapshot,
     kind: CallerKind,
@@ -166,7 +168,7 @@
         .and_then(known)
 }
 
-fn guard<S: TrafficSink>(
+fn check_address<S: TrafficSink>(
     context: &mut EventContext<'_, S>,
     routed: &RoutedDatagram<'_, '_>,
     claim: TokenClaim,
--- a/crates/cardamomwinch_coordination/src/traffic/retry_budget.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/retry_budget.rs
@@ -1,11 +1,11 @@
-//! Bounds on how much of the load may be retries. Guards against a service that
-//! is overloaded being pushed further down by its own callers' retries.
+//! Limits the share of retries in the load, so that retries do not overload a service
+//! further.
 
 use cardamomwinch_state::prelude::{ServiceId, SortedVector};
 
-/// What one retry costs; a first try earns as many of these as the percentage.
+/// The cost of one retry. A first try earns the configured percentage as credit.
 const RETRY_COST: u32 = 100;
-/// Retries that may be made at once after a quiet time.
+/// The number of retries that may be made at once after a period without retries.
 const BURST: u32 = 10;
 
 /// The retry budgets of all services, a token bucket for each.
@@ -20,14 +20,14 @@
             .get_or_insert_with(service, || RETRY_COST * BURST)
     }
 
-    /// Notes a first try, which earns `percent` hundredths of a retry.
+    /// Records a first try, which earns `percent` hundredths of a retry.
     pub fn note_first_try(&mut self, service: ServiceId, percent: u32) {
         let credit = self.of(service);
         *credit = (*credit + percent).min(RETRY_COST * BURST);
     }
 
-    /// Pays for a retry, where the budget has it. At zero per cent there is
-    /// no retry at all.
+    /// Takes a retry from the budget; returns whether it covered the retry. At zero per
+    /// cent no retries are made.
     pub fn take(&mut self, service: ServiceId, percent: u32) -> bool {
         let credit = self.of(service);
         if percent == 0 || *credit < RETRY_COST {
--- a/crates/cardamomwinch_coordination/src/traffic/running_slot.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/running_slot.rs
@@ -1,4 +1,5 @@
-//! A request that was sent to its server, and when its caller must have the last word.
+//! Requests that were sent to their server, and when their callers must get the final
+//! reply.
 
 use std::time;
 
@@ -7,51 +8,50 @@
 use crate::decision::GivingUpCause;
 use crate::traffic::ledger::QueueEntry;
 
-/// A caller that has no word this long before its deadline gets one: a tick may
-/// come 100 ms late, and the word must reach the caller.
-const LAST_WORD_MARGIN: time::Duration = time::Duration::from_millis(200);
-/// Of the time that a request had when it was sent, the margin takes at most one
-/// part in this many, so that a short deadline is not spent on it.
-const LAST_WORD_SHARE: u32 = 4;
+/// A caller without a final reply gets one this long before its deadline: a tick may be
+/// 100 ms late, and the reply needs time to reach the caller.
+const FINAL_REPLY_MARGIN: time::Duration = time::Duration::from_millis(200);
+/// The margin is at most this fraction of the time that a request had when it was sent, so
+/// that it does not use up a short deadline.
+const FINAL_REPLY_DIVISOR: u32 = 4;
 
 /// A request that was sent and has not finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningSlot {
-    /// Which.
+    /// The request.
     pub entry: QueueEntry,
     /// When it was sent.
     pub sent: Timestamp,
-    /// When it was sent, or the last part of its answer came.
+    /// When it was sent, or when the last part of its answer arrived.
     pub progress: Timestamp,
-    /// When nobody waits for the answer any more.
+    /// When nobody waits for the answer any longer.
     pub deadline: Timestamp,
-    /// Whether it has made no progress for longer than the server usually takes.
+    /// Whether it has made no progress for longer than the usual service time.
     pub overdue: bool,
-    /// Whether it counts as taking a slot.
+    /// Whether it counts as occupying a slot.
     pub counted: bool,
-    /// It counts at least until this point.
+    /// Until when it counts at least.
     pub counted_until: Timestamp,
 }
 
-/// A request that is given up, and why.
+/// A request to give up, with the reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DoubtedRun {
-    /// Which.
+pub struct GivenUpRun {
+    /// The request.
     pub slot: RunningSlot,
-    /// Why.
+    /// The reason.
     pub cause: GivingUpCause,
 }
 
 impl RunningSlot {
-    /// When its caller must have got the last word, so that it arrives in time.
-    pub fn last_word(&self) -> Timestamp {
-        last_word(self.sent, self.deadline)
+    /// When the final reply must be sent so that it reaches the caller in time.
+    pub fn final_reply_due(&self) -> Timestamp {
+        final_reply_due(self.sent, self.deadline)
     }
 }
 
-/// When the caller of a request that was taken up at `begun` must have got its
-/// last word.
-pub fn last_word(begun: Timestamp, deadline: Timestamp) -> Timestamp {
-    let share = deadline.since(begun) / LAST_WORD_SHARE;
-    deadline.before(LAST_WORD_MARGIN.min(share))
+/// When the final reply about a request that was accepted at `begun` must be sent.
+pub fn final_reply_due(begun: Timestamp, deadline: Timestamp) -> Timestamp {
+    let share = deadline.since(begun) / FINAL_REPLY_DIVISOR;
+    deadline.before(FINAL_REPLY_MARGIN.min(share))
 }
--- a/crates/cardamomwinch_coordination/src/traffic/searching.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/searching.rs
@@ -1,6 +1,6 @@
-//! The search for the server of a flow whose datagram carries no token and
-//! whose pin the host that got it does not hold. The homes of all candidates
-//! are asked in turn for a pin; where none holds one, the servers themselves.
+//! Searches for the server of a flow if a datagram has no token and the host that received
+//! it has no pin. The homes of all candidates are asked in turn for a pin. If none has
+//! one, the servers themselves are asked.
 
 use cardamomwinch_protocol::prelude::{
     BackendKind, CallerDatagram, CallerKind, CallerReplyKind, FlowSearch, RelayFrame, ResetReason,
@@ -11,7 +11,7 @@
 use crate::counter::Counter;
 use crate::decision::DecisionReason;
 use crate::traffic::TrafficEngine;
-use crate::traffic::caller_datagrams::{self, HomePlace, RoutedDatagram};
+use crate::traffic::caller_datagrams::{self, HomeRoute, RoutedDatagram};
 use crate::traffic::context::{DecisionSubject, EventContext};
 use crate::traffic::effect::TrafficSink;
 use crate::traffic::pins::{FlowPin, PinRole};
@@ -19,26 +19,27 @@
 use crate::traffic::resolve;
 use crate::traffic::serving::ServerKnowledge;
 
-/// A search that waits for the word of a server.
+/// A search that waits for the reply of a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PendingSearch {
-    /// How far it has come.
+    /// The progress of the search.
     pub(crate) search: FlowSearch,
     /// When the server was asked.
     pub(crate) since: Timestamp,
-    /// The last datagram without a request, to be sent to the next server
-    /// where this one does not hold the flow.
+    /// The payload of the last datagram without a request, to be sent to the next server
+    /// if this one does not hold the flow.
     pub(crate) held: Option<Box<[u8]>>,
-    /// Servers whose word was taken already, so that a copy of it is not.
+    /// Servers whose "unknown flow" reply was handled already, so that copies of it are
+    /// ignored.
     pub(crate) refused: TriedServers,
 }
 
-/// Searches that wait for the word of a server, bounded in number.
+/// Searches that wait for the reply of a server, bounded in number.
 pub(crate) type SearchTable = FlowTable<PendingSearch>;
 
 impl TrafficEngine {
-    /// Brings a datagram to the home of the server that the search asks next.
-    pub(crate) fn pursue<S: TrafficSink>(
+    /// Sends a datagram to the home of the server that the search asks next.
+    pub(crate) fn continue_search<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
@@ -50,12 +51,12 @@
             decided: None,
             search: Some(search),
             shard,
-            hops: routed.passage.hops.saturating_add(1),
+            hops: routed.relay.hops.saturating_add(1),
         };
         match self.pass_to_home(context, routed, shard, frame) {
-            HomePlace::Here => self.search_at_home(context, routed, search),
-            HomePlace::Passed => {}
-            HomePlace::Nowhere => self.skip_home(context, routed, search),
+            HomeRoute::Here => self.search_at_home(context, routed, search),
+            HomeRoute::Forwarded => {}
+            HomeRoute::Unreachable => self.skip_home(context, routed, search),
         }
     }
 
@@ -65,15 +66,15 @@
         routed: &RoutedDatagram<'_, '_>,
         search: FlowSearch,
     ) {
-        // Guards against a circle: the redirect leads to a home that was asked
-        // and holds no pin any more, as after a death. The datagram would be
-        // dropped each time, and the caller hear nothing. A copy of an opening
-        // must follow its redirect nevertheless, or not be placed at all.
+        // Guards against a loop: the redirect may lead to a home that was already asked
+        // and has no pin any longer, for example after it died. The datagram would be
+        // dropped each time, and the caller would get no reply. A copy of an opening must
+        // follow its redirect nevertheless, or else must not be placed.
         let opens = routed.datagram.kind == CallerKind::Open;
         let redirect = self.redirect_of(routed);
         let redirect = redirect.filter(|next| opens || !search.tried.contains(next.backend));
         if let Some(next) = redirect {
-            return self.move_on(context, routed, search, next);
+            return self.search_next(context, routed, search, next);
         }
         match (routed.datagram.kind, search.stage) {
             (CallerKind::Open, _) => self.search_opening(context, routed, search),
@@ -87,8 +88,8 @@
         (pin.role == PinRole::Redirect).then_some(pin.claim)
     }
 
-    /// Goes on to `next`, unless that was asked before.
-    pub(crate) fn move_on<S: TrafficSink>(
+    /// Continues the search with `next`, unless that was asked before.
+    pub(crate) fn search_next<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
@@ -104,11 +105,11 @@
             ..routed.subject()
         };
         context.decide(DecisionReason::SearchMoved, subject);
-        self.pursue(context, routed, search);
+        self.continue_search(context, routed, search);
     }
 
-    /// This home holds no pin of the flow: asks the next one, or the servers
-    /// once no home is left.
+    /// Asks the next home, because this one has no pin of the flow, or the servers if no
+    /// home is left.
     fn search_homes<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -117,7 +118,7 @@
     ) {
         let kind = routed.datagram.kind;
         if let Some(next) = resolve::next_candidate(context.snapshot, kind, routed, &search) {
-            return self.move_on(context, routed, search, next);
+            return self.search_next(context, routed, search, next);
         }
         if kind == CallerKind::Close {
             return Self::close_everywhere(context, routed, &search);
@@ -127,8 +128,8 @@
         self.ask_server(context, routed, search);
     }
 
-    /// Closes a flow that no home knows on each server that may hold it.
-    /// Closing what is not open harms nothing.
+    /// Closes a flow that no home knows on each server that may hold it. Closing a flow
+    /// that is not open is harmless.
     fn close_everywhere<S: TrafficSink>(
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
@@ -146,9 +147,9 @@
         }
     }
 
-    /// Sends the datagram to the candidate, which says so where it does not
-    /// hold the flow. A server that does not hold a flow runs none of its
-    /// requests, so that asking one after the other runs none twice.
+    /// Sends the datagram to the candidate, which replies if it does not hold the flow. A
+    /// server that does not hold a flow runs none of its requests, so asking one server
+    /// after another runs none twice.
     fn ask_server<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -156,7 +157,8 @@
         search: FlowSearch,
     ) {
         let claim = search.candidate;
-        if !context.may_send(routed.datagram.flow.service, &claim) || self.was_moved(routed, &claim)
+        if !context.may_send(routed.datagram.flow.service, &claim)
+            || self.did_not_run_on(routed, &claim)
         {
             return self.ask_next_server(context, routed, search);
         }
@@ -176,10 +178,10 @@
         }
     }
 
-    /// Whether the request is known not to have run on the server of `claim`.
-    /// The record of one that did not run on another server of this home is
-    /// dropped, since it may run on this one.
-    fn was_moved(&mut self, routed: &RoutedDatagram<'_, '_>, claim: &TokenClaim) -> bool {
+    /// Whether the request is known not to have run on the server of `claim`. If its
+    /// record says that it did not run on another server of this home, the record is
+    /// dropped, because the request may run on this one.
+    fn did_not_run_on(&mut self, routed: &RoutedDatagram<'_, '_>, claim: &TokenClaim) -> bool {
         let Some(request) = routed.datagram.request else {
             return false;
         };
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Asks the next server, or tells the caller that none holds the flow.
+    /// Asks the next server, or resets the flow if none holds it.
     pub(crate) fn ask_next_server<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -235,16 +237,16 @@
         let kind = CallerKind::Carry;
         if let Some(next) = resolve::next_candidate(context.snapshot, kind, routed, &search) {
             context.count(Counter::SearchMoved);
-            return self.move_on(context, routed, search, next);
+            return self.search_next(context, routed, search, next);
         }
         if search.skipped {
-            // The flow may live where no home can be reached.
-            return Self::without_home(context, routed, None);
+            // The flow may be on a server whose home is unreachable.
+            return Self::answer_without_home(context, routed, None);
         }
         let flow = routed.datagram.flow;
         if let Some(request) = routed.datagram.request {
-            // No server that was asked has run it. A host that keeps other
-            // generations may ask others, so "not run" cannot be promised.
+            // No server that was asked has run it. A host that keeps other generations may
+            // ask other servers, so the reply cannot be "not run".
             context.outcome_unknown(flow, request.id, caller_datagrams::RETRY_AFTER);
         }
         context.count(Counter::FlowUnknown);
@@ -253,7 +255,7 @@
         context.reply(flow, CallerReplyKind::Reset { reason });
     }
 
-    /// The home of the candidate cannot be reached.
+    /// Continues a search if the home of the candidate is unreachable.
     fn skip_home<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -266,20 +268,20 @@
             return self.skip_home_of_opening(context, routed, search);
         }
         if let Some(next) = resolve::next_candidate(context.snapshot, kind, routed, &search) {
-            return self.move_on(context, routed, search, next);
+            return self.search_next(context, routed, search, next);
         }
-        Self::without_home(context, routed, None);
+        Self::answer_without_home(context, routed, None);
     }
 
-    /// Tells the host that got the datagram from the fabric where the flow
-    /// belongs, so that the next one goes straight to the server.
-    pub(crate) fn tell_origin<S: TrafficSink>(
+    /// Reports the server of the flow to the host that received the datagram from the
+    /// fabric, so that it sends the next one directly to the server.
+    pub(crate) fn notify_origin<S: TrafficSink>(
         &self,
         context: &mut EventContext<'_, S>,
         routed: &RoutedDatagram<'_, '_>,
         claim: TokenClaim,
     ) {
-        let Some(search) = routed.passage.search else {
+        let Some(search) = routed.relay.search else {
             return;
         };
         if routed.datagram.kind == CallerKind::Carry {
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Takes a home's word about the server of a flow.
+    /// Handles a home's report about the server of a flow.
     pub(crate) fn learn<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -336,15 +338,15 @@
             announced: ConfigurationVersion::ZERO,
             echoes_token: false,
         };
-        // Where room is short it is left to flows that need a pin more; the home
-        // is asked again each time.
-        if !self.pins_are_short() && self.hold_pin(context, hash, flow, pin) {
+        // If the table is nearly full, the room is left to flows that need a pin more; the
+        // home is then asked each time.
+        if !self.pins_nearly_full() && self.insert_pin(context, hash, flow, pin) {
             context.count(Counter::FlowLearned);
         }
     }
 }
 
-/// Builds anew what a caller sent, to be sent to another server.
-pub(crate) const fn carried<'p>(flow: FlowKey, payload: &'p [u8]) -> CallerDatagram<'p> {
+/// Rebuilds a caller's data datagram, to send it to another server.
+pub(crate) const fn carry_datagram<'p>(flow: FlowKey, payload: &'p [u8]) -> CallerDatagram<'p> {
     CallerDatagram::carry(flow, None, payload)
 }
--- a/crates/cardamomwinch_coordination/src/traffic/service_time.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/service_time.rs
@@ -1,18 +1,18 @@
-//! How long a backend server takes for a request, as the home measures it.
+//! Service times of a backend server as measured by its home.
 
 use std::time;
 
-/// Service time assumed of a server that has not answered yet.
+/// The service time assumed for a server that has not answered yet.
 const ASSUMED_SERVICE_TIME: time::Duration = time::Duration::from_millis(50);
-/// A new measurement counts one part in this many.
+/// The weight of a new measurement is one over this number.
 const SMOOTHING: u32 = 8;
-/// An attempt is overdue after the mean and this many times the deviation.
+/// An attempt is overdue after the mean plus this many times the deviation.
 const DEVIATIONS: u32 = 4;
-/// An attempt is never taken to be overdue earlier: a relayed copy of an answer
-/// may wait in a socket for a while.
-const SHORTEST_TIMEOUT: time::Duration = time::Duration::from_millis(250);
+/// An attempt is never overdue before this time, because a relayed copy of an answer may
+/// wait in a socket for a while.
+const MIN_ATTEMPT_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
-/// Smoothed service times of one server, as TCP smooths round trips.
+/// Smoothed service times of one server, computed like TCP round-trip times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceTimes {
     mean: time::Duration,
@@ -36,13 +36,13 @@
 
     /// How long a request may go without progress before it is overdue.
     pub fn attempt_timeout(&self) -> time::Duration {
-        (self.mean + self.deviation * DEVIATIONS).max(SHORTEST_TIMEOUT)
+        (self.mean + self.deviation * DEVIATIONS).max(MIN_ATTEMPT_TIMEOUT)
     }
 
-    /// Notes that a request took `taken`.
-    pub fn note(&mut self, taken: time::Duration) {
-        let distance = self.mean.abs_diff(taken);
+    /// Adds the measured time `duration` of a request.
+    pub fn note(&mut self, duration: time::Duration) {
+        let distance = self.mean.abs_diff(duration);
         self.deviation = (self.deviation * (SMOOTHING - 1) + distance) / SMOOTHING;
-        self.mean = (self.mean * (SMOOTHING - 1) + taken) / SMOOTHING;
+        self.mean = (self.mean * (SMOOTHING - 1) + duration) / SMOOTHING;
     }
 }
--- a/crates/cardamomwinch_coordination/src/traffic/serving.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/serving.rs
@@ -1,6 +1,6 @@
-//! What the home of a backend server does with requests that come to it: each
-//! is remembered before anything is done with it, so that none runs twice where
-//! it is not idempotent and each is answered once for all.
+//! Handles requests at the home of their backend server. Each request is remembered before
+//! anything is done with it, so that no request runs twice unless it is idempotent, and
+//! every copy gets the same reply.
 
 use std::time;
 
@@ -23,34 +23,32 @@
 use crate::traffic::requests::{HeldRequest, RequestKey, RequestRecord, RequestState};
 use crate::traffic::{resolve, running_slot};
 
-/// A request waits for at least this long before it is refused.
-const SHORTEST_PATIENCE: time::Duration = time::Duration::from_millis(500);
+/// A request waits at least this long before it is refused.
+const MIN_QUEUE_WAIT: time::Duration = time::Duration::from_millis(500);
 /// A request is refused once it has waited this many times as long as expected.
-const PATIENCE_FACTOR: u32 = 4;
-/// One flow may fill this part of a queue.
-const FLOW_SHARE: usize = 4;
-/// Requests that open their flow may fill this part of a queue.
-const OPENING_SHARE: usize = 2;
-/// Slots assumed of a server that is not in the configuration any more.
+const QUEUE_WAIT_FACTOR: u32 = 4;
+/// One flow may fill the queue up to its capacity divided by this number.
+const FLOW_QUEUE_DIVISOR: usize = 4;
+/// Requests in openings may fill the queue up to its capacity divided by this number.
+const OPENING_QUEUE_DIVISOR: usize = 2;
+/// Slots assumed for a server that is no longer in the configuration.
 const UNLISTED_SLOTS: SlotCount = SlotCount::new(2);
 
-/// How it is known that a flow belongs to the server that its request goes to.
+/// Whether a flow is known to belong to the server to which its request is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ServerKnowledge {
-    /// By its token, or by the pin of this home.
+    /// Known by its token or by the pin of this home.
     Known,
-    /// Not at all: the server is asked, and runs nothing of a flow that it does
-    /// not hold.
+    /// Unknown: the server is asked, and runs no request of a flow that it does not hold.
     ///
-    /// Guards against "not run" for a request that another home has run: it shows
-    /// as a caller that is answered and refused at once, where its flow lives on
-    /// another server than the one of the lookup table. What a server that is only
-    /// asked refuses says nothing of the flow's own, so that nothing but "outcome
-    /// unknown" is said.
+    /// If the flow is on another server than the one that the lookup table selects,
+    /// another home may have run the request. Its caller would get an answer and "not run"
+    /// for the same request. A refusal by a server that was only asked says nothing about
+    /// the flow's own server, so the only reply is "outcome unknown".
     Asked,
 }
 
-/// What is known about a request that has just come in.
+/// A request that has just arrived.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ArrivingRequest {
     pub(crate) key: RequestKey,
@@ -73,22 +71,22 @@
     ) {
         let arriving = arriving(context, routed, &claim, header, server);
         if self.requests.get(routed.hash, &arriving.key).is_some() {
-            return self.repeat(context, routed, claim, &arriving);
+            return self.handle_duplicate(context, routed, claim, &arriving);
         }
         if header.deadline <= context.now {
-            // Nobody waits any more, and an earlier copy may have run and been
-            // forgotten since, so that nothing true can be said.
+            // Nobody waits any longer, and an earlier copy may have run and been forgotten
+            // since, so no correct reply is possible.
             return context.count(Counter::RequestLate);
         }
         let limits = &context.snapshot.configuration.limits;
         let lifetime = limits.request_lifetime + limits.clock_skew;
         if header.deadline > context.now.after(lifetime) {
-            // A refusal is remembered by this home only: the next one could run
-            // a late copy once the deadline is near enough.
+            // Only this home would remember a refusal. The next home could run a late copy
+            // once the deadline is near enough.
             return context.outcome_unknown(arriving.key.flow, header.id, RETRY_AFTER);
         }
         if !header.idempotent && self.may_be_known_elsewhere(context, &claim, &header) {
-            let retry_after = knows_after(context, arriving.shard, &header);
+            let retry_after = wait_for_own_records(context, arriving.shard, &header);
             return context.outcome_unknown(arriving.key.flow, header.id, retry_after);
         }
         self.retry_budgets.note_first_try(
@@ -98,11 +96,11 @@
         self.admit(context, routed, claim, &arriving, AttemptNumber(0));
     }
 
-    /// Guards against a second run after the home has moved without a hand-over:
-    /// the earlier home may have run the request, and what it knew is lost. A
-    /// request can have been sent at most its longest lifetime before its
-    /// deadline, so one whose deadline is late enough is certainly newer than
-    /// this home's own records.
+    /// Whether an earlier home may have run the request. Guards against a second run after
+    /// the home has moved without a hand-over, when the records of the earlier home are
+    /// lost. A request cannot have been sent earlier than the maximum request lifetime
+    /// before its deadline, so a request whose deadline is late enough is certainly newer
+    /// than the start of this home's records.
     pub(crate) fn may_be_known_elsewhere<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -125,8 +123,8 @@
         header.deadline.before(lifetime) < lease.records_since
     }
 
-    /// Whether a home other than this one may have run the request, idempotent or
-    /// not, so that "not run" must not be said.
+    /// Whether another home may have run the request, idempotent or not, so that the reply
+    /// must not be "not run".
     fn may_have_run_elsewhere<S: TrafficSink>(
         context: &EventContext<'_, S>,
         arriving: &ArrivingRequest,
@@ -135,8 +133,7 @@
             || Self::predates_records(context, arriving.shard, &arriving.header)
     }
 
-    /// Queues a request for its server, or refuses it where it could not be
-    /// served in time.
+    /// Queues a request for its server, or refuses it if it could not be served in time.
     pub(crate) fn admit<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -158,11 +155,11 @@
         let hash = routed.hash;
         let room = match listed {
             Some(entry) => self.queue_room(entry, routed.datagram.kind),
-            // Nothing tells when a slot of an unknown server comes free.
+            // It is not known when a slot of an unlisted server becomes free.
             None => 0,
         };
         let now = context.now;
-        let ledger = self.ledgers.of(entry.id);
+        let ledger = self.ledgers.get_or_create(entry.id);
         let free = ledger.queue.is_empty() && ledger.has_free_slot(now, entry, view);
         if !free
             && !may_wait(
@@ -180,7 +177,7 @@
             return self.refuse_attempt(context, arriving, attempt, reason, retry_after);
         }
         let give_up = give_up_time(now, ledger, entry, view, arriving.header.deadline);
-        if self.payload_is_too_much(routed) {
+        if self.exceeds_held_bytes(routed) {
             context.count(Counter::TableFull);
             let reason = RefusalReason::TableFull;
             return self.refuse_attempt(context, arriving, attempt, reason, RETRY_AFTER);
@@ -188,38 +185,40 @@
         let state = RequestState::Queued {
             backend: entry.id,
             attempt,
-            held: held(routed, arriving.header),
+            held: held_request(routed, arriving.header),
         };
         if let Some(queued) = self.remember(context, arriving, state) {
-            self.ledgers.of(entry.id).queue.push_back(WaitingRequest {
-                entry: queued,
-                not_before: now,
-                give_up,
-            });
+            self.ledgers
+                .get_or_create(entry.id)
+                .queue
+                .push_back(WaitingRequest {
+                    entry: queued,
+                    not_before: now,
+                    give_up_at: give_up,
+                });
             self.start_queued(context, entry);
         }
     }
 
-    fn payload_is_too_much(&self, routed: &RoutedDatagram<'_, '_>) -> bool {
+    fn exceeds_held_bytes(&self, routed: &RoutedDatagram<'_, '_>) -> bool {
         let added = routed.datagram.payload.len();
         self.requests.held_bytes() + added > self.bounds.held_bytes
     }
 
-    /// How many requests may wait for `entry` before one of this kind. Guards
-    /// against a flood of new flows: it fills only its part of the queue, and
-    /// established flows still find room.
+    /// The number of requests that may wait for `entry` when one of this kind is queued. A
+    /// flood of new flows fills only a part of the queue, so that established flows still
+    /// find room.
     fn queue_room(&self, entry: &BackendEntry, kind: CallerKind) -> usize {
         let room = (entry.slots.get() * self.bounds.queue_per_slot) as usize;
         match kind {
-            CallerKind::Open => room.div_ceil(OPENING_SHARE),
+            CallerKind::Open => room.div_ceil(OPENING_QUEUE_DIVISOR),
             CallerKind::Carry | CallerKind::Close => room,
         }
     }
 
-    /// Remembers a request before anything is done with it; where it cannot be
-    /// remembered its caller is told that the outcome is unknown, because a
-    /// copy could still run after a refusal. The last quarter of the table is
-    /// kept for flows that are open already.
+    /// Remembers a request before anything is done with it. If the table has no room, the
+    /// reply is "outcome unknown", because a copy could still run after a refusal. The
+    /// last quarter of the table is reserved for flows that are already open.
     fn remember<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -249,10 +248,10 @@
         Some(QueueEntry { hash, key })
     }
 
-    /// Opens a flow at its server where the request that came with the opening
-    /// waits or was refused. Guards against a flow that its caller was told is
-    /// open while the server has never heard of it: the caller's next datagram
-    /// would find it unknown there, and the session would break.
+    /// Opens a flow at its server if the request in the opening waits or was refused.
+    /// Without this, the caller would consider the flow open while the server does not
+    /// know it; the caller's next datagram would reach an unknown flow, and the session
+    /// would break.
     pub(crate) fn open_without_request<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -280,8 +279,7 @@
         }
     }
 
-    /// Refuses the request of a datagram for good, or the opening where it
-    /// carries none.
+    /// Permanently refuses the request of a datagram, or the opening if it has no request.
     pub(crate) fn refuse_request<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -305,9 +303,9 @@
             server: ServerKnowledge::Known,
         };
         if self.requests.get(routed.hash, &arriving.key).is_some() {
-            return self.repeat_known(context, &arriving, RETRY_AFTER);
+            return self.resend_outcome(context, &arriving, RETRY_AFTER);
         }
-        // What holds before a request is run holds before "not run" is said.
+        // The checks before a request runs also apply before the reply "not run".
         if header.deadline <= context.now {
             return context.count(Counter::RequestLate);
         }
@@ -319,8 +317,8 @@
         self.refuse_arriving(context, &arriving, reason, RETRY_AFTER);
     }
 
-    /// Refuses an attempt. Where it is not the first one, an earlier one has
-    /// run: what is remembered of that stays, and "not run" is not said.
+    /// Refuses an attempt. If it is not the first one, an earlier attempt has run: its
+    /// record stays, and the reply is not "not run".
     fn refuse_attempt<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -345,7 +343,8 @@
         reason: RefusalReason,
         retry_after: time::Duration,
     ) {
-        // What it knew may be lost: whatever this home does not run may have run there.
+        // The records of an earlier home may be lost, and it may have run any request that
+        // this home does not run.
         if Self::may_have_run_elsewhere(context, arriving) {
             let ArrivingRequest { key, .. } = arriving;
             return context.outcome_unknown(key.flow, key.id, retry_after);
@@ -378,9 +377,9 @@
     }
 }
 
-/// How long it takes until a request like this one is certainly newer than the
-/// records of this home.
-fn knows_after<S: TrafficSink>(
+/// How long a caller must wait until a request like this one is certainly newer than the
+/// start of this home's records.
+fn wait_for_own_records<S: TrafficSink>(
     context: &EventContext<'_, S>,
     shard: ShardId,
     header: &RequestHeader,
@@ -393,8 +392,8 @@
         .max(RETRY_AFTER)
 }
 
-/// Whether a request may wait: the queue has room, its flow does not fill the
-/// queue alone, and there will be time left to serve it.
+/// Whether a request may wait: the queue has room, its flow has not used up its share of
+/// the queue, and there will be time left to serve it.
 fn may_wait(
     now: Timestamp,
     ledger: &ServerLedger,
@@ -404,15 +403,15 @@
     key: &RequestKey,
     header: &RequestHeader,
 ) -> bool {
-    let share = room.div_ceil(FLOW_SHARE);
+    let share = room.div_ceil(FLOW_QUEUE_DIVISOR);
     let needed = ledger.expected_wait(now, entry, view) + ledger.service_times.mean();
     ledger.queue.len() < room
-        && ledger.waiting_of(&key.flow) < share
+        && ledger.waiting_in_flow(&key.flow) < share
         && now.after(needed) < header.deadline
 }
 
-/// When a request that starts to wait now is refused: once it has waited far
-/// longer than expected, or could not be served in time any more.
+/// When a request that starts to wait now is refused: after it has waited much longer than
+/// expected, or when it could no longer be served in time.
 pub(crate) fn give_up_time(
     now: Timestamp,
     ledger: &ServerLedger,
@@ -421,14 +420,14 @@
     deadline: Timestamp,
 ) -> Timestamp {
     let expected = ledger.expected_wait(now, entry, view);
-    let patience = (expected * PATIENCE_FACTOR).max(SHORTEST_PATIENCE);
+    let max_wait = (expected * QUEUE_WAIT_FACTOR).max(MIN_QUEUE_WAIT);
     let latest = deadline.before(ledger.service_times.mean());
-    let latest = latest.min(running_slot::last_word(now, deadline));
-    now.after(patience).min(latest)
+    let latest = latest.min(running_slot::final_reply_due(now, deadline));
+    now.after(max_wait).min(latest)
 }
 
-/// Stands for a server that has left the configuration and was never known
-/// here: its flows are still served, on the word of their tokens.
+/// A placeholder for a server that was removed from the configuration and was never known
+/// here. Its flows are still served, because their tokens name it.
 fn unlisted_server(routed: &RoutedDatagram<'_, '_>, claim: &TokenClaim) -> BackendEntry {
     BackendEntry {
         id: claim.backend,
@@ -443,7 +442,7 @@
     }
 }
 
-fn held(routed: &RoutedDatagram<'_, '_>, header: RequestHeader) -> HeldRequest {
+fn held_request(routed: &RoutedDatagram<'_, '_>, header: RequestHeader) -> HeldRequest {
     HeldRequest {
         header,
         kind: routed.datagram.kind,
