--- a/crates/cardamomwinch_coordination/src/traffic/slots.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/slots.rs
@@ -1,12 +1,12 @@
-//! How many slots of a backend server its home may use. The home's own count of
-//! what it sent is exact; this estimates what else takes slots: requests that an
-//! earlier home sent, requests given up that still run, a server that is cold or
-//! has fewer slots than configured.
+//! Estimates how many slots of a backend server its home may use. The home's own count of
+//! sent requests is exact. The estimate covers other causes: requests that an earlier home
+//! sent, requests that were given up and still run, and a server that is cold or has fewer
+//! slots than configured.
 //!
-//! Three hints err each in its own way. A shed is certain, but tells of one
-//! instant. A load report lags, and may lie in both directions. The warm share
-//! is a guess. So none of them ever raises the number of usable slots above the
-//! configured one less the home's own count, and none lowers it below one.
+//! It uses three inexact inputs. A shed is certain, but applies to one instant. A load
+//! report is delayed, and may be too high or too low. The warm share is a guess. So none
+//! of them ever raises the number of usable slots above the configured one less the home's
+//! own count, and none lowers it below one.
 
 use std::time;
 
@@ -14,112 +14,115 @@
 
 use crate::snapshot::BackendView;
 
-/// A load report says nothing after this long.
+/// A load report is ignored after this time.
 pub const REPORT_FRESH_FOR: time::Duration = time::Duration::from_secs(3);
-/// A report of foreign work is doubted after this many answers without a shed.
-const CALM_ANSWERS: u32 = 8;
-/// A server whose reports are doubted is believed again after this long.
-const DOUBT_FOR: time::Duration = time::Duration::from_secs(30);
+/// Reports of other work are ignored after this many answers without a shed.
+const ANSWERS_UNTIL_IGNORED: u32 = 8;
+/// How long the reports of a server are ignored.
+const REPORTS_IGNORED_FOR: time::Duration = time::Duration::from_secs(30);
 /// The pause after the first shed.
 const FIRST_PAUSE: time::Duration = time::Duration::from_millis(20);
-/// The pause after many sheds in a row.
-const LONGEST_PAUSE: time::Duration = time::Duration::from_secs(1);
+/// The longest pause, after many sheds in a row.
+const MAX_PAUSE: time::Duration = time::Duration::from_secs(1);
 
-/// What takes slots of one server besides the requests that its home counts.
+/// An estimate of the slots of one server that are occupied by other work than the
+/// requests that its home counts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotEstimate {
-    /// When each slot that is assumed to be taken is assumed to be free again.
-    foreign: Vec<Timestamp>,
+    /// For each slot that is assumed to be occupied, when it is assumed to be free again.
+    busy_until: Vec<Timestamp>,
     pause: time::Duration,
     reported: u32,
     report_made: Timestamp,
-    doubted_until: Timestamp,
-    calm_answers: u32,
+    reports_ignored_until: Timestamp,
+    answers_since_shed: u32,
     busy_peak: u32,
 }
 
 impl Default for SlotEstimate {
     fn default() -> Self {
         Self {
-            foreign: Vec::new(),
+            busy_until: Vec::new(),
             pause: FIRST_PAUSE,
             reported: 0,
             report_made: Timestamp::ZERO,
-            doubted_until: Timestamp::ZERO,
-            calm_answers: 0,
+            reports_ignored_until: Timestamp::ZERO,
+            answers_since_shed: 0,
             busy_peak: 0,
         }
     }
 }
 
 impl SlotEstimate {
-    /// The slots that the home may fill, of `slots` that are configured.
+    /// The number of slots that the home may fill, out of `slots` configured ones.
     pub fn usable(&self, now: Timestamp, slots: u32, view: BackendView) -> u32 {
         let percent = u64::from(view.warm_percent.min(100));
         let warm = (u64::from(slots) * percent).div_ceil(100) as u32;
-        let seen = self.foreign.iter().filter(|end| **end > now).count() as u32;
+        let assumed = self.busy_until.iter().filter(|end| **end > now).count() as u32;
         let fresh = now.since(self.report_made) < REPORT_FRESH_FOR;
         let reported = if fresh { self.reported } else { 0 };
-        warm.saturating_sub(seen.max(reported)).max(1)
+        warm.saturating_sub(assumed.max(reported)).max(1)
     }
 
-    /// How long a request that was just shed should wait.
+    /// How long a request that was just shed must wait.
     pub const fn pause(&self) -> time::Duration {
         self.pause
     }
 
-    /// Notes how many requests the home has running.
+    /// Records how many requests of the home are running.
     pub(crate) fn note_busy(&mut self, busy: u32) {
         self.busy_peak = self.busy_peak.max(busy);
     }
 
-    /// Takes in a load report. It lags, so that only what exceeds the most that
-    /// the home had running since the report before can be foreign work.
-    pub(crate) fn take_report(&mut self, now: Timestamp, view: BackendView, busy: u32) {
+    /// Applies a load report. Reports are delayed, so only busy slots in excess of the
+    /// home's peak since the previous report count as other work.
+    pub(crate) fn apply_report(&mut self, now: Timestamp, view: BackendView, busy: u32) {
         let Some(report) = view.report.filter(|report| report.made > self.report_made) else {
             return;
         };
         let own = self.busy_peak.max(busy);
         self.busy_peak = busy;
         self.report_made = report.made;
-        self.reported = match now < self.doubted_until {
+        self.reported = match now < self.reports_ignored_until {
             true => 0,
             false => report.busy_slots.saturating_sub(own),
         };
     }
 
-    /// Takes a slot to be in use, for instance by a request that was given up.
-    pub(crate) fn note_lingering(&mut self, now: Timestamp, until: Timestamp) {
-        self.foreign.retain(|end| *end > now);
-        self.foreign.push(until);
+    /// Assumes a slot to be occupied until `until`, for example by a request that was
+    /// given up.
+    pub(crate) fn note_still_running(&mut self, now: Timestamp, until: Timestamp) {
+        self.busy_until.retain(|end| *end > now);
+        self.busy_until.push(until);
     }
 
-    /// Notes that the server shed a request while `busy` of `slots` were in use
-    /// here: all others must be taken. The pause doubles with each shed.
+    /// Records that the server shed a request while this home used `busy` of `slots`: all
+    /// other slots must be occupied. The pause doubles with each shed.
     pub(crate) fn note_shed(&mut self, now: Timestamp, slots: u32, busy: u32) {
         let until = now.after(self.pause);
-        self.foreign.retain(|end| *end > until);
-        let taken = slots.saturating_sub(busy) as usize;
-        let missing = taken.saturating_sub(self.foreign.len());
-        self.foreign.resize(self.foreign.len() + missing, until);
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-        self.calm_answers = 0;
-        self.doubted_until = now;
+        self.busy_until.retain(|end| *end > until);
+        let other = slots.saturating_sub(busy) as usize;
+        let missing = other.saturating_sub(self.busy_until.len());
+        self.busy_until
+            .resize(self.busy_until.len() + missing, until);
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        self.answers_since_shed = 0;
+        self.reports_ignored_until = now;
     }
 
-    /// Notes an answer. Guards against a server that reports foreign work for
-    /// ever: where it answers and sheds nothing, its reports are doubted for a
-    /// while. Should they be true, the next shed restores them.
+    /// Records an answer. If a server permanently reports other work but answers requests
+    /// and sheds none, its reports are ignored for a while. If they were correct, the next
+    /// shed ends that.
     pub(crate) fn note_answer(&mut self, now: Timestamp) {
         self.pause = FIRST_PAUSE;
         if self.reported == 0 {
             return;
         }
-        self.calm_answers += 1;
-        if self.calm_answers >= CALM_ANSWERS {
-            self.calm_answers = 0;
+        self.answers_since_shed += 1;
+        if self.answers_since_shed >= ANSWERS_UNTIL_IGNORED {
+            self.answers_since_shed = 0;
             self.reported = 0;
-            self.doubted_until = now.after(DOUBT_FOR);
+            self.reports_ignored_until = now.after(REPORTS_IGNORED_FOR);
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/traffic/sweeping.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/sweeping.rs
@@ -1,15 +1,15 @@
-//! Work that is done a little at a time with each tick: expiry of records.
+//! Removes expired request records, a part of the table at each tick.
 
 use cardamomwinch_state::prelude::{PartedTable, Timestamp};
 
 use crate::traffic::TrafficEngine;
 use crate::traffic::requests::RequestKey;
 
-/// Parts of the request table that one tick sweeps.
+/// Parts of the request table that are swept per tick.
 const PARTS_PER_TICK: usize = 128;
 
 impl TrafficEngine {
-    /// Forgets expired requests of the next parts of the table.
+    /// Removes the expired requests of the next parts of the table.
     pub(crate) fn sweep(&mut self, now: Timestamp) {
         for _ in 0..PARTS_PER_TICK {
             let position = self.sweep_position;
--- a/crates/cardamomwinch_coordination/src/traffic/taking_over.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/taking_over.rs
@@ -1,4 +1,4 @@
-//! Counts the requests that an earlier home has handed over.
+//! Imports waiting and running requests that an earlier home has handed over.
 
 use std::time;
 
@@ -11,12 +11,12 @@
 use crate::traffic::requests::RunningRequest;
 use crate::traffic::serving;
 
-/// The lease follows what is handed over within this time, or not at all.
+/// The lease follows the imported state within this time, or not at all.
 const TAKE_OVER_GRACE: time::Duration = time::Duration::from_secs(2);
 
 impl TrafficEngine {
     /// Queues a request that waited at the earlier home.
-    pub(crate) fn take_waiting<S: TrafficSink>(
+    pub(crate) fn import_waiting<S: TrafficSink>(
         &mut self,
         context: &EventContext<'_, S>,
         backend: BackendId,
@@ -25,37 +25,37 @@
     ) {
         let now = context.now;
         let view = context.snapshot.view(backend);
-        let ledger = self.ledgers.of(backend);
+        let ledger = self.ledgers.get_or_create(backend);
         let server = context.snapshot.backend(backend);
         let give_up = server.map_or(deadline, |server| {
             serving::give_up_time(now, ledger, server, view, deadline)
         });
-        ledger.taken_over = Some(now);
+        ledger.taken_over_at = Some(now);
         ledger.queue.push_back(WaitingRequest {
             entry,
             not_before: now,
-            give_up,
+            give_up_at: give_up,
         });
     }
 
-    /// Counts a request that the earlier home had sent.
-    pub(crate) fn take_running<S: TrafficSink>(
+    /// Counts a request that the earlier home has sent.
+    pub(crate) fn import_running<S: TrafficSink>(
         &mut self,
         context: &EventContext<'_, S>,
         entry: QueueEntry,
         running: &RunningRequest,
     ) {
-        let ledger = self.ledgers.of(running.backend);
-        ledger.taken_over = Some(context.now);
+        let ledger = self.ledgers.get_or_create(running.backend);
+        ledger.taken_over_at = Some(context.now);
         let deadline = running.held.header.deadline;
         ledger.start(context.now, entry, running.sent, deadline);
     }
 
-    /// Whether nothing may be decided about what waits or runs at `backend`,
-    /// since it is being handed over, in either direction. Guards against two
-    /// homes giving a request different last words: until the lease has moved
-    /// the one that is handed to keeps still, and where it does not come the
-    /// earlier home goes on, so that what was taken in is forgotten.
+    /// Whether no decision about the requests of `backend` is allowed, because its shard
+    /// is being handed over by or to this host. Two homes must not send different final
+    /// replies about one request, so the next home does nothing until it has the lease. If
+    /// the lease does not arrive, the earlier home continues, and this host forgets the
+    /// imported requests.
     pub(crate) fn is_changing_home<S: TrafficSink>(
         &mut self,
         context: &EventContext<'_, S>,
@@ -66,14 +66,14 @@
             return true;
         }
         let held = context.snapshot.lease_at(shard, context.now).is_some();
-        let ledger = self.ledgers.of(backend);
-        let Some(taken) = ledger.taken_over else {
+        let ledger = self.ledgers.get_or_create(backend);
+        let Some(taken_over_at) = ledger.taken_over_at else {
             return false;
         };
-        if !held && context.now.since(taken) < TAKE_OVER_GRACE {
+        if !held && context.now.since(taken_over_at) < TAKE_OVER_GRACE {
             return true;
         }
-        ledger.taken_over = None;
+        ledger.taken_over_at = None;
         if !held {
             for entry in ledger.clear() {
                 self.requests.remove(entry.hash, &entry.key);
--- a/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
@@ -1,6 +1,6 @@
-//! What is done where a backend server says that it does not hold a flow: a
-//! search goes on to the next server, a host that was out of date forgets what
-//! it learned, and only where the server was the right one is the flow gone.
+//! Handles replies of backend servers that do not hold a flow. A search continues with the
+//! next server, and a host with an outdated pin removes it. The flow is reset only if the
+//! server was the right one.
 
 use std::time;
 
@@ -15,7 +15,7 @@
 use crate::counter::Counter;
 use crate::decision::DecisionReason;
 use crate::traffic::TrafficEngine;
-use crate::traffic::caller_datagrams::{CallerPassage, RoutedDatagram};
+use crate::traffic::caller_datagrams::{RelayContext, RoutedDatagram};
 use crate::traffic::context::{DecisionSubject, EventContext};
 use crate::traffic::effect::TrafficSink;
 use crate::traffic::pins::{FlowPin, PinRole};
@@ -23,14 +23,14 @@
 use crate::traffic::resolve;
 use crate::traffic::searching::{self, PendingSearch};
 
-/// A search whose server has not spoken for this long is forgotten: it holds
-/// the flow, or its word was lost, and the next datagram asks anew.
-const SEARCH_KEPT_FOR: time::Duration = time::Duration::from_secs(5);
+/// A search is forgotten if its server has not replied for this long: either the server
+/// holds the flow, or its reply was lost and the next datagram asks again.
+const SEARCH_LIFETIME: time::Duration = time::Duration::from_secs(5);
 
 impl TrafficEngine {
-    /// Brings the word of a server to the host that had sent it the datagram,
-    /// which knows why it did, and to the home, which counts.
-    pub(crate) fn take_unknown<S: TrafficSink>(
+    /// Relays the reply to the host that sent the datagram, which knows why it did, and to
+    /// the home, which keeps the counts.
+    pub(crate) fn route_unknown_flow<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
@@ -46,22 +46,22 @@
             shard,
             hops: 0,
         };
-        let me = self.identity.host;
+        let this_host = self.identity.host;
         let home = known.and_then(|shard| snapshot.shard(shard).home);
         if let Some(home) = home.filter(|home| *home != reply.via) {
-            match home == me {
+            match home == this_host {
                 true => self.forget_at_home(context, reply, shard),
                 false => _ = context.relay(home, frame),
             }
         }
-        match reply.via == me {
-            true => self.judge_here(context, reply, shard, 0),
+        match reply.via == this_host {
+            true => self.handle_unknown_flow(context, reply, shard, 0),
             false => _ = context.relay(reply.via, frame),
         }
     }
 
-    /// Takes the word of a server that another host or thread passed on.
-    pub(crate) fn take_relayed_unknown<S: TrafficSink>(
+    /// Handles a reply that another host or thread relayed.
+    pub(crate) fn handle_relayed_unknown<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
@@ -69,13 +69,13 @@
         hops: u8,
     ) {
         match reply.via == self.identity.host {
-            true => self.judge_here(context, reply, shard, hops),
+            true => self.handle_unknown_flow(context, reply, shard, hops),
             false => self.forget_at_home(context, reply, shard),
         }
     }
 
-    /// The home of a server hears that it does not hold a flow that another
-    /// host sent it straight.
+    /// Removes the pin and requests of a flow at the home of a server that does not hold
+    /// it, after another host sent a datagram directly to the server.
     fn forget_at_home<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -99,8 +99,9 @@
         }
     }
 
-    /// Judges in each thread in turn, since any may have sent the datagram.
-    fn judge_here<S: TrafficSink>(
+    /// Tries each thread in turn, because any may have sent the datagram. Resets the flow
+    /// if none handles the reply.
+    fn handle_unknown_flow<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
@@ -115,7 +116,7 @@
         if hops == 0 && !self.place.owns(shard) {
             return context.pass_to_thread(self.place.owner(shard), frame(0));
         }
-        if self.judge(context, reply) {
+        if self.resolve_unknown_flow(context, reply) {
             return;
         }
         let next = hops.saturating_add(1);
@@ -126,8 +127,9 @@
         reset(context, reply.flow);
     }
 
-    /// Whether this thread knows why the server was sent the datagram.
-    fn judge<S: TrafficSink>(
+    /// Handles the reply if this thread knows why the datagram was sent to the server.
+    /// Returns whether it did.
+    fn resolve_unknown_flow<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
@@ -137,15 +139,17 @@
             request: Some(request),
             attempt,
         } = reply.kind
-            && self.judge_request(context, hash, reply, request, attempt)
+            && self.resolve_unknown_request(context, hash, reply, request, attempt)
         {
             return true;
         }
-        self.judge_search(context, hash, reply) || self.judge_pin(context, hash, reply)
+        self.resolve_unknown_search(context, hash, reply)
+            || self.resolve_unknown_pin(context, hash, reply)
     }
 
-    /// A request did not run, since its server does not hold the flow.
-    fn judge_request<S: TrafficSink>(
+    /// Handles the reply for a request, which did not run because its server does not hold
+    /// the flow. Returns whether the request is known here.
+    fn resolve_unknown_request<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         hash: FlowHash,
@@ -161,7 +165,7 @@
             return false;
         };
         let RequestState::Running(running) = &record.state else {
-            // A copy of what the server said before.
+            // A copy of an earlier reply.
             return true;
         };
         if running.backend != reply.backend || running.attempt != attempt {
@@ -174,17 +178,17 @@
         let backend = reply.backend;
         let state = self
             .requests
-            .put(hash, &key, RequestState::Moved { backend });
-        self.ledgers.of(backend).finish(&key);
+            .replace_state(hash, &key, RequestState::Moved { backend });
+        self.ledgers.get_or_create(backend).finish(&key);
         self.start_next(context, backend);
         if let Some(RequestState::Running(running)) = state {
             let held = running.held;
-            self.resume(context, flow, &held.payload, Some(held.header), search);
+            self.resume_search(context, flow, &held.payload, Some(held.header), search);
         }
         true
     }
 
-    /// The right server of a flow does not hold it (any more).
+    /// Ends a flow that its own server does not hold, or no longer holds.
     fn end_flow<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -196,7 +200,7 @@
         reset(context, reply.flow);
     }
 
-    fn judge_search<S: TrafficSink>(
+    fn resolve_unknown_search<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         hash: FlowHash,
@@ -214,13 +218,14 @@
         }
         pending.refused.note(reply.backend);
         if let Some(payload) = pending.held.take() {
-            self.resume(context, reply.flow, &payload, None, search);
+            self.resume_search(context, reply.flow, &payload, None, search);
         }
         true
     }
 
-    /// A pin is out of date. Only the home's word means that the flow is gone.
-    fn judge_pin<S: TrafficSink>(
+    /// Handles the reply for a pin, which is outdated. The flow has ended only if this
+    /// thread is the home of the server.
+    fn resolve_unknown_pin<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         hash: FlowHash,
@@ -245,8 +250,8 @@
         true
     }
 
-    /// Remembers that a server's word was taken, so that a copy of it that the
-    /// fabric made does not end a flow that lives elsewhere.
+    /// Remembers that a server's reply was handled, so that a duplicate made by the fabric
+    /// does not end a flow that is on another server.
     fn note_refused<S: TrafficSink>(
         &mut self,
         context: &EventContext<'_, S>,
@@ -262,12 +267,12 @@
             held: None,
             refused,
         };
-        // Where the table is full the copy is taken for news, and the caller
-        // opens its flow anew.
+        // If the table is full, a copy is handled as a new reply, and the caller opens its
+        // flow again.
         drop(self.searches.insert(hash, flow, pending));
     }
 
-    fn resume<S: TrafficSink>(
+    fn resume_search<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         flow: FlowKey,
@@ -278,21 +283,21 @@
         let Some(service) = context.snapshot.service_of(flow.service) else {
             return reset(context, flow);
         };
-        let mut datagram = searching::carried(flow, payload);
+        let mut datagram = searching::carry_datagram(flow, payload);
         datagram.request = request;
         let routed = RoutedDatagram {
             datagram: &datagram,
             service,
             hash: Self::hasher(context.snapshot).hash(&flow),
-            passage: CallerPassage {
+            relay: RelayContext {
                 search: Some(search),
-                ..CallerPassage::from_fabric()
+                ..RelayContext::from_fabric()
             },
         };
         self.ask_next_server(context, &routed, search);
     }
 
-    /// A server that a search has asked answers: the flow belongs to it.
+    /// Ends a search when the server that was asked answers: the flow belongs to it.
     pub(crate) fn confirm_search<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -318,8 +323,8 @@
             announced: ConfigurationVersion::ZERO,
             echoes_token: false,
         };
-        if self.hold_pin(context, hash, reply.flow, pin) {
-            self.ledgers.of(reply.backend).connections += 1;
+        if self.insert_pin(context, hash, reply.flow, pin) {
+            self.ledgers.get_or_create(reply.backend).connections += 1;
         }
         self.send_learned(context, reply.flow, &search, search.candidate);
     }
@@ -335,7 +340,7 @@
             return;
         }
         self.searches
-            .retain(|_, pending| now < pending.since.after(SEARCH_KEPT_FOR));
+            .retain(|_, pending| now < pending.since.after(SEARCH_LIFETIME));
     }
 }
 
--- a/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
@@ -1,5 +1,5 @@
-//! One traffic engine that is home of every shard of one failure domain, driven
-//! by hand against a snapshot made by hand.
+//! A test bench for one traffic engine that is the home of the only shard of its failure
+//! domain, with a hand-made snapshot.
 
 #![allow(clippy::unwrap_used, missing_docs, dead_code, unreachable_pub)]
 
@@ -18,9 +18,9 @@
 pub const START: Timestamp = Timestamp::new(1_000_000_000_000);
 pub const TICK: time::Duration = time::Duration::from_millis(50);
 
-/// What a caller was told.
+/// A message to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum CallerMessage {
     Opened(RoutingToken),
     Answer(RequestId, AttemptNumber, PartNumber, Vec<u8>),
     NotRun(Option<RequestId>, RefusalReason, time::Duration),
@@ -29,9 +29,9 @@
     Notice,
 }
 
-/// What a backend server was sent.
+/// A datagram that was sent to a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentDatagram {
     pub flow: FlowKey,
     pub backend: BackendId,
     pub kind: BackendKind,
@@ -39,40 +39,41 @@
     pub payload: Vec<u8>,
 }
 
-/// Everything that the engine wanted since it was last asked.
+/// The effects of the engine since the last call of [`EngineBench::take`].
 #[derive(Debug, Default, Clone)]
-pub struct Wanted {
-    pub told: Vec<(FlowKey, Told)>,
-    pub sent: Vec<Sent>,
+pub struct EngineOutput {
+    pub to_callers: Vec<(FlowKey, CallerMessage)>,
+    pub sent: Vec<SentDatagram>,
     pub relayed: Vec<(HostId, Option<RequestId>)>,
     pub counts: Vec<Counter>,
-    /// What is handed over to another home.
+    /// Chunks of a hand-over to another home.
     pub chunks: Vec<HandOverChunk>,
 }
 
-impl Wanted {
+impl EngineOutput {
     /// The requests sent to servers, without cancellations.
-    pub fn runs(&self) -> Vec<&Sent> {
+    pub fn runs(&self) -> Vec<&SentDatagram> {
         let sent = self.sent.iter();
         sent.filter(|sent| sent.request.is_some() && sent.kind != BackendKind::Cancel)
             .collect()
     }
 
-    pub fn cancellations(&self) -> Vec<&Sent> {
+    pub fn cancellations(&self) -> Vec<&SentDatagram> {
         let sent = self.sent.iter();
         sent.filter(|sent| sent.kind == BackendKind::Cancel)
             .collect()
     }
 
-    /// The final words about `request`.
-    pub fn finals(&self, request: RequestId) -> Vec<&Told> {
-        let told = self.told.iter().map(|(_, told)| told);
-        told.filter(|told| match told {
-            Told::NotRun(of, ..) => *of == Some(request),
-            Told::OutcomeUnknown(of, _) => *of == request,
-            _ => false,
-        })
-        .collect()
+    /// The final replies about `request`, other than answers.
+    pub fn final_replies(&self, request: RequestId) -> Vec<&CallerMessage> {
+        let messages = self.to_callers.iter().map(|(_, message)| message);
+        messages
+            .filter(|message| match message {
+                CallerMessage::NotRun(of, ..) => *of == Some(request),
+                CallerMessage::OutcomeUnknown(of, _) => *of == request,
+                _ => false,
+            })
+            .collect()
     }
 
     pub fn count(&self, counter: Counter) -> usize {
@@ -112,22 +113,23 @@
 }
 
 /// One engine with its snapshot and its clock.
-pub struct Bench {
+pub struct EngineBench {
     pub engine: TrafficEngine,
     pub snapshot: RoutingSnapshot,
     pub now: Timestamp,
-    pub wanted: Wanted,
+    pub output: EngineOutput,
     pub servers: Vec<BackendEntry>,
     /// The host.
     pub host: HostId,
-    /// Requests that may have been sent before may be known elsewhere only.
+    /// Requests that may have been sent before this time may be known to another home
+    /// only.
     pub records_since: Timestamp,
-    /// Whether control goes on publishing while time passes.
+    /// Whether control keeps renewing the lease while time passes.
     pub renews_lease: bool,
 }
 
-impl Bench {
-    /// A home of `servers` servers with `slots` slots each.
+impl EngineBench {
+    /// The home of `servers` servers with `slots` slots each.
     pub fn new(servers: u16, slots: u32) -> Self {
         Self::with_bounds(servers, slots, TrafficBounds::default())
     }
@@ -136,7 +138,7 @@
         Self::of_host("muc-nord-1", servers, slots, bounds)
     }
 
-    /// The engine of the host `name`, which is home.
+    /// The engine of the host `name`, which is the home.
     pub fn of_host(name: &str, servers: u16, slots: u32, bounds: TrafficBounds) -> Self {
         let identity = HostIdentity {
             host: host(name),
@@ -149,7 +151,7 @@
             engine: builder.build_traffic(ThreadPlace::ONLY),
             snapshot: snapshot(&servers),
             now: START,
-            wanted: Wanted::default(),
+            output: EngineOutput::default(),
             servers,
             renews_lease: true,
             host: identity.host,
@@ -159,7 +161,7 @@
         bench
     }
 
-    pub fn home(&self) -> ShardId {
+    pub fn home_shard(&self) -> ShardId {
         self.servers[0].shard(1)
     }
 
@@ -167,7 +169,7 @@
         self.servers[0].id
     }
 
-    /// Control publishes anew, with the lease held for some time.
+    /// Control publishes a new snapshot, with a renewed lease.
     pub fn renew(&mut self) {
         self.snapshot.made = self.now;
         self.snapshot.fresh_until = self.now.after(time::Duration::from_millis(1500));
@@ -184,28 +186,30 @@
                 records_since: self.records_since,
             }),
         };
-        self.snapshot.shards.insert(self.home(), view);
+        self.snapshot.shards.insert(self.home_shard(), view);
     }
 
-    /// Another host is home from now on.
+    /// Another host, or none, is the home from now on.
     pub fn lose_home(&mut self, to: Option<HostId>) {
         self.renews_lease = false;
         let view = ShardView {
             home: to,
             lease: None,
         };
-        self.snapshot.shards.insert(self.home(), view);
+        self.snapshot.shards.insert(self.home_shard(), view);
     }
 
-    pub fn view(&mut self, backend: BackendId, view: BackendView) {
+    pub fn set_view(&mut self, backend: BackendId, view: BackendView) {
         self.snapshot.backends.insert(backend, view);
     }
 
     pub fn handle(&mut self, event: TrafficEvent<'_>) {
-        let wanted = &mut self.wanted;
+        let output = &mut self.output;
         let mut sink = |effect: TrafficEffect<'_>| match effect {
-            TrafficEffect::ToCaller(reply) => wanted.told.push((reply.flow, told(reply.kind))),
-            TrafficEffect::ToBackend { datagram, .. } => wanted.sent.push(Sent {
+            TrafficEffect::ToCaller(reply) => output
+                .to_callers
+                .push((reply.flow, caller_message(reply.kind))),
+            TrafficEffect::ToBackend { datagram, .. } => output.sent.push(SentDatagram {
                 flow: datagram.flow,
                 backend: datagram.backend,
                 kind: datagram.kind,
@@ -219,22 +223,22 @@
                     | RelayFrame::Learned { .. }
                     | RelayFrame::Announced { .. } => None,
                 };
-                wanted.relayed.push((host, of));
+                output.relayed.push((host, of));
             }
-            TrafficEffect::Count(counter) => wanted.counts.push(counter),
-            TrafficEffect::HandOver { chunk } => wanted.chunks.push(chunk),
+            TrafficEffect::Count(counter) => output.counts.push(counter),
+            TrafficEffect::HandOver { chunk } => output.chunks.push(chunk),
             _ => {}
         };
         self.engine
             .handle(self.now, &self.snapshot, event, &mut sink);
     }
 
-    pub fn take(&mut self) -> Wanted {
-        std::mem::take(&mut self.wanted)
+    pub fn take(&mut self) -> EngineOutput {
+        std::mem::take(&mut self.output)
     }
 
-    /// Lets time pass in ticks, with control renewing what it publishes.
-    pub fn pass(&mut self, duration: time::Duration) {
+    /// Advances the clock in ticks, with control renewing its snapshot.
+    pub fn advance(&mut self, duration: time::Duration) {
         let end = self.now.after(duration);
         while self.now < end {
             self.now = self.now.after(TICK).min(end);
@@ -243,17 +247,17 @@
         }
     }
 
-    pub fn pass_ms(&mut self, millis: u64) {
-        self.pass(time::Duration::from_millis(millis));
+    pub fn advance_ms(&mut self, millis: u64) {
+        self.advance(time::Duration::from_millis(millis));
     }
 
     pub fn caller(&mut self, datagram: CallerDatagram<'_>) {
         self.handle(TrafficEvent::Fabric(FabricDatagram::Caller(datagram)));
     }
 
-    /// The server that was sent the opening of a flow says that it is open.
-    pub fn opened(&mut self, number: u16) {
-        let sent = self.wanted.sent.iter().rev();
+    /// The server that received the opening of a flow replies that it is open.
+    pub fn confirm_open(&mut self, number: u16) {
+        let sent = self.output.sent.iter().rev();
         let mut openings = sent.filter(|sent| sent.kind == BackendKind::Open);
         let opening = openings.find(|sent| sent.flow == flow(number));
         let backend = opening.expect("the server got the opening").backend;
@@ -263,10 +267,10 @@
     /// Opens a flow and returns its token.
     pub fn open(&mut self, number: u16) -> RoutingToken {
         self.caller(CallerDatagram::open(flow(number), b""));
-        self.opened(number);
-        let of_flow = self.wanted.told.iter().rev();
-        let token = of_flow.into_iter().find_map(|(of, told)| match told {
-            Told::Opened(token) if *of == flow(number) => Some(*token),
+        self.confirm_open(number);
+        let of_flow = self.output.to_callers.iter().rev();
+        let token = of_flow.into_iter().find_map(|(of, message)| match message {
+            CallerMessage::Opened(token) if *of == flow(number) => Some(*token),
             _ => None,
         });
         token.expect("the opening was answered")
@@ -281,7 +285,7 @@
     }
 
     /// A request on an open flow.
-    pub fn ask(&mut self, number: u16, token: RoutingToken, header: RequestHeader) {
+    pub fn send_request(&mut self, number: u16, token: RoutingToken, header: RequestHeader) {
         let datagram = CallerDatagram::carry(flow(number), Some(token), b"payload");
         self.caller(datagram.with_request(header));
     }
@@ -296,7 +300,7 @@
         self.handle(TrafficEvent::Fabric(FabricDatagram::Backend(reply)));
     }
 
-    pub fn answer(&mut self, number: u16, sent: &Sent) {
+    pub fn answer(&mut self, number: u16, sent: &SentDatagram) {
         let held = sent.request.unwrap();
         let kind = BackendReplyKind::Answer {
             request: held.id,
@@ -307,7 +311,7 @@
         self.reply(number, sent.backend, kind);
     }
 
-    pub fn shed(&mut self, number: u16, sent: &Sent) {
+    pub fn shed(&mut self, number: u16, sent: &SentDatagram) {
         let held = sent.request.unwrap();
         let kind = BackendReplyKind::Shed {
             request: Some(held.id),
@@ -317,26 +321,26 @@
     }
 }
 
-fn told(kind: CallerReplyKind<'_>) -> Told {
+fn caller_message(kind: CallerReplyKind<'_>) -> CallerMessage {
     match kind {
-        CallerReplyKind::Opened { token } => Told::Opened(token),
+        CallerReplyKind::Opened { token } => CallerMessage::Opened(token),
         CallerReplyKind::Answer {
             request,
             attempt,
             part,
             payload,
-        } => Told::Answer(request, attempt, part, payload.to_vec()),
-        CallerReplyKind::Notice { .. } => Told::Notice,
+        } => CallerMessage::Answer(request, attempt, part, payload.to_vec()),
+        CallerReplyKind::Notice { .. } => CallerMessage::Notice,
         CallerReplyKind::NotRun {
             request,
             reason,
             retry_after,
-        } => Told::NotRun(request, reason, retry_after),
+        } => CallerMessage::NotRun(request, reason, retry_after),
         CallerReplyKind::OutcomeUnknown {
             request,
             retry_after,
-        } => Told::OutcomeUnknown(request, retry_after),
-        CallerReplyKind::Reset { reason } => Told::Reset(reason),
+        } => CallerMessage::OutcomeUnknown(request, retry_after),
+        CallerReplyKind::Reset { reason } => CallerMessage::Reset(reason),
     }
 }
 
--- a/crates/cardamomwinch_coordination/tests/replies_brought_home.rs
+++ b/crates/cardamomwinch_coordination/tests/replies_brought_home.rs
@@ -1,10 +1,10 @@
-//! The way of a server's reply to the home that counts the slots of the server.
+//! How a server's reply reaches the home that counts the slots of the server.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod admission_support;
 
-use admission_support::{Bench, Told, host, request};
+use admission_support::{CallerMessage, EngineBench, host, request};
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_coordination::snapshot::ServingPhase;
 use cardamomwinch_protocol::prelude::*;
@@ -21,26 +21,26 @@
     }
 }
 
-/// A host that is not the home of the server, which `home` is.
-fn host_beside(home: &str) -> Bench {
-    let mut bench = Bench::of_host(OTHER, 1, 2, TrafficBounds::default());
+/// A host that considers `home` the home of the server.
+fn host_beside(home: &str) -> EngineBench {
+    let mut bench = EngineBench::of_host(OTHER, 1, 2, TrafficBounds::default());
     bench.lose_home(Some(host(home)));
     bench
 }
 
-/// A host is added while sessions go on. The fabric hands it the answers of two
-/// requests before it knows any other host: it told the callers and dropped what the
-/// home has to know. The home counted both slots of the server as taken for a second
-/// and a half, and refused the next request of a session as if the server were full.
+/// Guards against answers that never reach the home: a host is added, and the fabric
+/// delivers answers to it before it knows any other host. If it sent them only to the
+/// callers, the home would count the slots of the server as occupied, for example for 1.5
+/// seconds, and refuse the next request as if the server were full.
 #[test]
-fn a_starting_host_tells_the_home_once_it_knows_it() {
+fn a_starting_host_relays_replies_once_it_knows_the_home() {
     let mut bench = host_beside(HOME);
     bench.snapshot.phase = ServingPhase::Starting;
     let server = bench.server();
     bench.reply(1, server, answer());
     let early = bench.take();
     assert!(
-        matches!(early.told[..], [(_, Told::Answer(..))]),
+        matches!(early.to_callers[..], [(_, CallerMessage::Answer(..))]),
         "{early:?}"
     );
     assert!(early.relayed.is_empty());
@@ -50,18 +50,19 @@
     let later = bench.take();
     assert_eq!(later.relayed, [(host(HOME), None)]);
     assert!(
-        later.told.is_empty(),
+        later.to_callers.is_empty(),
         "the caller has the answer: {later:?}"
     );
     bench.handle(TrafficEvent::Tick);
     assert!(bench.take().relayed.is_empty());
 }
 
-/// While a host is added, two hosts take each other for the home, and a third holds
-/// the lease. An answer went to and fro until it was dropped, and its slot stayed taken.
-/// The host that had sent the request was home then, or knows who is.
+/// Guards against an answer that is relayed back and forth until it is dropped, so that
+/// its slot stays occupied: while a host is added, two hosts consider each other the home,
+/// and a third holds the lease. The host that sent the request was the home then, or knows
+/// the home.
 #[test]
-fn a_reply_that_goes_to_and_fro_is_brought_to_the_sender_of_the_request() {
+fn a_reply_relayed_back_and_forth_is_sent_to_the_sender_of_the_request() {
     let mut bench = host_beside("muc-nord-3");
     let reply = BackendReply {
         flow: admission_support::flow(1),
@@ -69,7 +70,7 @@
         via: host(HOME),
         kind: answer(),
     };
-    let shard = bench.home();
+    let shard = bench.home_shard();
     let mut bring = |hops| {
         let frame = RelayFrame::Backend { reply, shard, hops };
         bench.handle(TrafficEvent::Relay(RelayEnvelope {
@@ -79,20 +80,20 @@
         }));
         bench.take().relayed
     };
-    // The believed home is not listed here, so that nothing can be sent to it.
+    // The assumed home is not in the host list, so nothing can be sent to it.
     assert_eq!(bring(1), []);
     assert_eq!(bring(2), [(host(HOME), None)]);
 }
 
-/// A reply comes to the home by two other hosts. It must end there: sent on to the host
-/// that had sent the request, which takes this one for the home, it would go round until
-/// it is dropped.
+/// A reply reaches the home through two other hosts. The home must process it: if it
+/// relayed the reply to the host that sent the request, which considers this host the
+/// home, the reply would be relayed in a loop until it is dropped.
 #[test]
 fn a_home_keeps_a_reply_however_often_it_was_relayed() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 5000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     bench.take();
     let reply = BackendReply {
         flow: admission_support::flow(1),
@@ -100,7 +101,7 @@
         via: host(OTHER),
         kind: answer(),
     };
-    let shard = bench.home();
+    let shard = bench.home_shard();
     bench.handle(TrafficEvent::Relay(RelayEnvelope {
         sender: host(OTHER),
         version: bench.snapshot.version(),
@@ -110,15 +111,16 @@
             hops: 3,
         },
     }));
-    let wanted = bench.take();
-    assert!(wanted.relayed.is_empty(), "{wanted:?}");
-    assert_eq!(wanted.count(Counter::RequestAnswered), 1);
+    let output = bench.take();
+    assert!(output.relayed.is_empty(), "{output:?}");
+    assert_eq!(output.count(Counter::RequestAnswered), 1);
 }
 
-/// Servers that seem full while a host is added: it takes itself for the home before it
-/// holds the lease, and kept answers that the home which sent the requests waited for.
+/// Guards against servers that seem full while a host is added: it considers itself the
+/// home before it holds the lease, and must not keep answers for which the home that sent
+/// the requests waits.
 #[test]
-fn a_host_without_the_lease_brings_a_reply_to_the_home_that_sent_the_request() {
+fn a_host_without_the_lease_relays_a_reply_to_the_home_that_sent_the_request() {
     let mut bench = host_beside(OTHER);
     let reply = BackendReply {
         flow: admission_support::flow(1),
@@ -126,7 +128,7 @@
         via: host(HOME),
         kind: answer(),
     };
-    let shard = bench.home();
+    let shard = bench.home_shard();
     let frame = |hops| RelayFrame::Backend { reply, shard, hops };
     bench.handle(TrafficEvent::Relay(RelayEnvelope {
         sender: host("muc-nord-3"),
@@ -136,14 +138,14 @@
     assert_eq!(bench.take().relayed, [(host(HOME), None)]);
 }
 
-/// Slots that stay taken where a lease lapses for a moment: who has the request accounts
-/// for its answer, with a lease or without.
+/// Guards against slots that stay occupied if a lease expires for a short time: the host
+/// that has a record of the request accounts for its answer, with or without a lease.
 #[test]
 fn a_host_that_knows_the_request_keeps_its_reply_without_a_lease() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 5000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     bench.take();
     bench.lose_home(Some(host(HOME)));
     let reply = BackendReply {
@@ -152,7 +154,7 @@
         via: host(OTHER),
         kind: answer(),
     };
-    let shard = bench.home();
+    let shard = bench.home_shard();
     bench.handle(TrafficEvent::Relay(RelayEnvelope {
         sender: host(OTHER),
         version: bench.snapshot.version(),
@@ -162,7 +164,7 @@
             hops: 1,
         },
     }));
-    let wanted = bench.take();
-    assert!(wanted.relayed.is_empty(), "{wanted:?}");
-    assert_eq!(wanted.count(Counter::RequestAnswered), 1);
+    let output = bench.take();
+    assert!(output.relayed.is_empty(), "{output:?}");
+    assert_eq!(output.count(Counter::RequestAnswered), 1);
 }
--- a/crates/cardamomwinch_coordination/tests/requests_at_most_once.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_at_most_once.rs
@@ -1,4 +1,4 @@
-//! What the home remembers of requests, and what it may say about them.
+//! Which requests the home remembers, and what it may reply about them.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -6,12 +6,12 @@
 
 use std::time;
 
-use admission_support::{Bench, Sent, Told, flow, request, service_address};
+use admission_support::{CallerMessage, EngineBench, SentDatagram, flow, request, service_address};
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_protocol::prelude::*;
 use yare::parameterized;
 
-/// How far a request has got when its copy comes.
+/// The state of a request when its copy arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Queued,
@@ -21,19 +21,19 @@
     Unknown,
 }
 
-fn bring_to(bench: &mut Bench, token: RoutingToken, header: RequestHeader, stage: Stage) {
+fn bring_to(bench: &mut EngineBench, token: RoutingToken, header: RequestHeader, stage: Stage) {
     if stage == Stage::Queued || stage == Stage::Refused {
         for number in 100..102 {
             let filler = bench.header(number, false, 5000);
-            bench.ask(1, token, filler);
+            bench.send_request(1, token, filler);
         }
     }
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs().last().map(|sent| (*sent).clone());
     match stage {
         Stage::Queued | Stage::Running => {}
         Stage::Answered => bench.answer(1, &sent.unwrap()),
-        Stage::Refused => bench.pass_ms(1500),
+        Stage::Refused => bench.advance_ms(1500),
         Stage::Unknown => {
             let backend = bench.server();
             let kind = BackendReplyKind::UnknownFlow {
@@ -46,8 +46,8 @@
     bench.take();
 }
 
-/// Guards against a doubled datagram that runs twice, or is told something else than the
-/// first copy, wherever that one has got.
+/// Guards against a duplicated datagram that runs twice, or gets another reply than the
+/// first copy, in every state of the request.
 #[parameterized(
     queued = { Stage::Queued },
     running = { Stage::Running },
@@ -56,84 +56,98 @@
     unknown = { Stage::Unknown },
 )]
 fn a_copy_never_runs(stage: Stage) {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 8000);
     bring_to(&mut bench, token, header, stage);
-    bench.ask(1, token, header);
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty(), "ran twice: {wanted:?}");
-    let words: Vec<&Told> = wanted.told.iter().map(|(_, told)| told).collect();
+    bench.send_request(1, token, header);
+    let output = bench.take();
+    assert!(output.runs().is_empty(), "ran twice: {output:?}");
+    let messages: Vec<&CallerMessage> = output
+        .to_callers
+        .iter()
+        .map(|(_, message)| message)
+        .collect();
     match stage {
-        Stage::Queued | Stage::Running => assert!(words.is_empty(), "{words:?}"),
-        Stage::Answered => assert!(matches!(words[..], [Told::Answer(..)]), "{words:?}"),
-        Stage::Refused => assert!(matches!(words[..], [Told::NotRun(..)]), "{words:?}"),
-        Stage::Unknown => assert!(matches!(words[..], [Told::OutcomeUnknown(..)]), "{words:?}"),
+        Stage::Queued | Stage::Running => assert!(messages.is_empty(), "{messages:?}"),
+        Stage::Answered => assert!(
+            matches!(messages[..], [CallerMessage::Answer(..)]),
+            "{messages:?}"
+        ),
+        Stage::Refused => assert!(
+            matches!(messages[..], [CallerMessage::NotRun(..)]),
+            "{messages:?}"
+        ),
+        Stage::Unknown => assert!(
+            matches!(messages[..], [CallerMessage::OutcomeUnknown(..)]),
+            "{messages:?}"
+        ),
     }
 }
 
-/// A copy comes in the last instant in which it would be accepted. The record
-/// must still be there: it outlives the deadline by the skew of the clocks.
+/// Guards against a copy that runs because the record of the request has expired: the
+/// record must outlive the deadline by the clock skew, because a copy is accepted until
+/// then.
 #[test]
 fn a_record_outlives_every_copy_that_is_accepted() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 2000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs()[0].clone();
     bench.answer(1, &sent);
-    bench.pass_ms(1999);
-    bench.ask(1, token, header);
+    bench.advance_ms(1999);
+    bench.send_request(1, token, header);
     assert!(bench.take().runs().is_empty());
-    bench.pass_ms(100);
-    bench.ask(1, token, header);
+    bench.advance_ms(100);
+    bench.send_request(1, token, header);
     assert!(bench.take().runs().is_empty());
-    bench.pass_ms(2000);
+    bench.advance_ms(2000);
     assert_eq!(bench.engine.remembered_requests().len(), 0);
-    bench.ask(1, token, header);
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty());
-    assert_eq!(wanted.count(Counter::RequestLate), 1);
+    bench.send_request(1, token, header);
+    let output = bench.take();
+    assert!(output.runs().is_empty());
+    assert_eq!(output.count(Counter::RequestLate), 1);
 }
 
-/// A query is sent, no answer comes in time, and it is sent again; the server
-/// sheds the second attempt, and no retry is left. The first attempt may have
-/// run, so that "not run" would be a lie.
+/// A request gets no answer in time and is sent again; the server sheds the second
+/// attempt, and no retry is left. The first attempt may have run, so the reply must not be
+/// "not run".
 #[test]
 fn a_request_that_may_have_run_is_never_called_not_run() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, true, 9000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     bench.take();
-    bench.pass_ms(800);
+    bench.advance_ms(800);
     let second = bench.take().runs()[0].clone();
     assert_eq!(second.request.unwrap().attempt, AttemptNumber(1));
     let mut next = Some(second);
-    let mut finals = Vec::new();
+    let mut final_replies = Vec::new();
     for _ in 0..10 {
         let Some(sent) = next else { break };
         bench.shed(1, &sent);
-        bench.pass_ms(1200);
-        let wanted = bench.take();
-        finals.extend(wanted.finals(request(1)).into_iter().cloned());
-        next = wanted.runs().first().map(|sent| (*sent).clone());
+        bench.advance_ms(1200);
+        let output = bench.take();
+        final_replies.extend(output.final_replies(request(1)).into_iter().cloned());
+        next = output.runs().first().map(|sent| (*sent).clone());
     }
     assert!(
-        matches!(finals[..], [Told::OutcomeUnknown(..)]),
-        "{finals:?}"
+        matches!(final_replies[..], [CallerMessage::OutcomeUnknown(..)]),
+        "{final_replies:?}"
     );
 }
 
-/// An idempotent download was answered but not kept; its caller sends it again
-/// while every slot and the queue are full. It has run before, so that it must
-/// not be refused as "not run".
+/// The answer of an idempotent download was not kept, and its caller repeats the request
+/// while every slot and the queue are full. The request has run before, so it must not be
+/// refused as "not run".
 #[test]
 fn a_repeated_download_is_never_called_not_run() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = EngineBench::new(1, 1);
     let token = bench.open(1);
     let header = bench.header(1, true, 9000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs()[0].clone();
     for index in 0..30 {
         let part = PartNumber { index, total: 30 };
@@ -141,18 +155,21 @@
     }
     for number in 2..40 {
         let filler = bench.header(number, false, 9000);
-        bench.ask(1, token, filler);
+        bench.send_request(1, token, filler);
     }
     bench.take();
-    bench.ask(1, token, header);
-    let wanted = bench.take();
+    bench.send_request(1, token, header);
+    let output = bench.take();
     assert!(
-        matches!(wanted.finals(request(1))[..], [Told::OutcomeUnknown(..)]),
-        "{wanted:?}"
+        matches!(
+            output.final_replies(request(1))[..],
+            [CallerMessage::OutcomeUnknown(..)]
+        ),
+        "{output:?}"
     );
 }
 
-fn part_of(sent: &Sent, part: PartNumber) -> BackendReplyKind<'static> {
+fn part_of(sent: &SentDatagram, part: PartNumber) -> BackendReplyKind<'static> {
     let held = sent.request.unwrap();
     BackendReplyKind::Answer {
         request: held.id,
@@ -162,15 +179,15 @@
     }
 }
 
-/// A datagram to the server is doubled on its way: the server runs one copy and
-/// sheds the other. Once a part of the answer has come, the shed must count for
-/// nothing: another run would be the second.
+/// A datagram to the server is duplicated on its way: the server runs one copy and sheds
+/// the other. Once a part of the answer has arrived, the shed must be ignored, or the
+/// request would run a second time.
 #[test]
-fn a_shed_copy_of_a_running_request_counts_for_nothing() {
-    let mut bench = Bench::new(1, 2);
+fn a_shed_copy_of_a_running_request_is_ignored() {
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 5000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs()[0].clone();
     bench.reply(
         1,
@@ -178,10 +195,10 @@
         part_of(&sent, PartNumber { index: 0, total: 2 }),
     );
     bench.shed(1, &sent);
-    bench.pass_ms(1000);
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty());
-    assert!(wanted.finals(request(1)).is_empty());
+    bench.advance_ms(1000);
+    let output = bench.take();
+    assert!(output.runs().is_empty());
+    assert!(output.final_replies(request(1)).is_empty());
     bench.reply(
         1,
         sent.backend,
@@ -190,89 +207,90 @@
     assert_eq!(bench.take().count(Counter::RequestAnswered), 1);
 }
 
-/// The same, but the answer comes while the shed copy's request waits for its
-/// next attempt. It has run: the next attempt must not be made.
+/// A datagram to the server is duplicated on its way, and one copy is shed. The answer to
+/// the other arrives while the request waits for its next attempt. The request has run, so
+/// the next attempt must not be made.
 #[test]
-fn an_answer_to_an_attempt_taken_for_shed_stops_the_next() {
-    let mut bench = Bench::new(1, 2);
+fn an_answer_to_a_shed_attempt_stops_the_next() {
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 5000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs()[0].clone();
     bench.shed(1, &sent);
     bench.answer(1, &sent);
-    bench.pass_ms(1000);
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty());
-    assert_eq!(wanted.count(Counter::RequestAnswered), 1);
+    bench.advance_ms(1000);
+    let output = bench.take();
+    assert!(output.runs().is_empty());
+    assert_eq!(output.count(Counter::RequestAnswered), 1);
 }
 
-/// A request is given up at its deadline, and its answer comes later, twice.
-/// The slot was freed once; were it freed again, the home would send more than
-/// the server has slots for.
+/// A request is given up at its deadline, and its answer arrives later, twice. Its slot
+/// was freed once; if it were freed again, the home would send more requests than the
+/// server has slots.
 #[test]
 fn a_late_answer_frees_no_second_slot() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 300);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let late = bench.take().runs()[0].clone();
-    bench.pass_ms(1000);
+    bench.advance_ms(1000);
     for number in 2..4 {
         let header = bench.header(number, false, 5000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
     }
     assert_eq!(bench.take().runs().len(), 2);
     bench.answer(1, &late);
     bench.answer(1, &late);
     let header = bench.header(9, false, 5000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     assert!(bench.take().runs().is_empty());
     let ledger = bench.engine.ledgers().get(late.backend).unwrap();
     assert_eq!(ledger.busy(), 2);
 }
 
-/// The table of requests is full. A request that cannot be remembered cannot be
-/// promised "not run", since a copy of it may run later; it gets "outcome
-/// unknown", is not sent, and the table stays within its bound.
+/// The table of requests is full. The reply for a request that cannot be remembered must
+/// not be "not run", because a copy of it may run later. It gets "outcome unknown", is not
+/// sent, and the table stays within its bound.
 #[test]
-fn a_full_table_refuses_nothing_falsely() {
+fn a_request_without_room_in_the_table_gets_an_unknown_outcome() {
     let bounds = TrafficBounds {
         request_records: 4,
         ..TrafficBounds::default()
     };
-    let mut bench = Bench::with_bounds(1, 100, bounds);
+    let mut bench = EngineBench::with_bounds(1, 100, bounds);
     let token = bench.open(1);
     for number in 0..4 {
         let header = bench.header(number, false, 5000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
     }
     assert_eq!(bench.take().runs().len(), 4);
     let header = bench.header(9, false, 5000);
-    bench.ask(1, token, header);
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty());
+    bench.send_request(1, token, header);
+    let output = bench.take();
+    assert!(output.runs().is_empty());
     assert!(matches!(
-        wanted.finals(request(9))[..],
-        [Told::OutcomeUnknown(..)]
+        output.final_replies(request(9))[..],
+        [CallerMessage::OutcomeUnknown(..)]
     ));
     assert_eq!(bench.engine.remembered_requests().len(), 4);
 }
 
-/// Requests of every fate come and go: answered, shed, refused, expired,
-/// cancelled. If any way left its bytes counted, the host would slowly lose its
-/// memory bound and then keep no answer any more.
+/// Guards against held bytes that stay counted after a request was answered, shed,
+/// refused, expired or cancelled: the count would reach its limit, and answers would no
+/// longer be kept.
 #[test]
-fn held_bytes_return_to_nothing() {
-    let mut bench = Bench::new(1, 2);
+fn held_bytes_return_to_zero() {
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     for round in 0..20_u64 {
         for index in 0..10 {
             let number = round * 10 + index;
             let header = bench.header(number, index % 2 == 0, 400 + 100 * index);
-            bench.ask(1, token, header);
+            bench.send_request(1, token, header);
         }
-        let runs: Vec<Sent> = bench.take().runs().into_iter().cloned().collect();
+        let runs: Vec<SentDatagram> = bench.take().runs().into_iter().cloned().collect();
         for (position, sent) in runs.iter().enumerate() {
             match (position + round as usize) % 3 {
                 0 => bench.answer(1, sent),
@@ -280,7 +298,7 @@
                 _ => {}
             }
         }
-        bench.pass_ms(150);
+        bench.advance_ms(150);
         let counted = bench.engine.remembered_requests();
         let summed: usize = counted
             .iter()
@@ -288,7 +306,7 @@
             .sum();
         assert_eq!(counted.held_bytes(), summed);
     }
-    bench.pass(time::Duration::from_secs(15));
+    bench.advance(time::Duration::from_secs(15));
     assert_eq!(bench.engine.remembered_requests().held_bytes(), 0);
     assert_eq!(bench.engine.remembered_requests().len(), 0);
     assert_eq!(
@@ -297,34 +315,37 @@
     );
 }
 
-/// A new flow opens with a request while every slot and the queue are taken.
-/// The caller is told that its request did not run, and that its flow is open
-/// once the server says so. The server must have heard of the flow: else the caller's next packet
-/// finds it unknown there, and the session breaks.
+/// A new flow opens with a request while every slot and the queue are full. The caller
+/// gets "not run" for its request, and its flow is open once the server replies so. The
+/// server must have received the opening, or the caller's next packet would reach an
+/// unknown flow and the session would break.
 #[test]
 fn a_flow_whose_first_request_is_refused_is_still_opened() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = EngineBench::new(1, 1);
     for number in 10..20 {
         let filler = bench.header(1, false, 9000);
         let token = bench.open(number);
-        bench.ask(number, token, filler);
+        bench.send_request(number, token, filler);
     }
     bench.take();
     let header = bench.header(1, false, 5000);
     bench.caller(CallerDatagram::open(flow(2), b"first").with_request(header));
-    bench.opened(2);
-    let wanted = bench.take();
-    let of_flow: Vec<&Told> = wanted
-        .told
+    bench.confirm_open(2);
+    let output = bench.take();
+    let of_flow: Vec<&CallerMessage> = output
+        .to_callers
         .iter()
         .filter(|(of, _)| *of == flow(2))
-        .map(|(_, told)| told)
+        .map(|(_, message)| message)
         .collect();
     assert!(
-        matches!(of_flow[..], [Told::NotRun(..), Told::Opened(_)]),
+        matches!(
+            of_flow[..],
+            [CallerMessage::NotRun(..), CallerMessage::Opened(_)]
+        ),
         "{of_flow:?}"
     );
-    let opened: Vec<&Sent> = wanted
+    let opened: Vec<&SentDatagram> = output
         .sent
         .iter()
         .filter(|sent| sent.flow == flow(2))
--- a/crates/cardamomwinch_coordination/tests/requests_given_up.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_given_up.rs
@@ -1,4 +1,4 @@
-//! What a caller is told, and when, about a request that its home gives up.
+//! Which reply a caller gets, and when, about a request that its home gives up.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -6,128 +6,141 @@
 
 use std::time;
 
-use admission_support::{Bench, Sent, Told, host, request};
+use admission_support::{CallerMessage, EngineBench, SentDatagram, host, request};
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_coordination::snapshot::{BackendView, ReportedLoad};
 use cardamomwinch_protocol::prelude::*;
 
-/// Guards against a caller that hears nothing of a request whose server fell silent, because
-/// the word sent at the deadline comes after it.
+/// Guards against a caller that gets no reply about a request whose server has become
+/// silent, because a reply sent at the deadline arrives after it.
 #[test]
-fn a_request_that_runs_until_its_deadline_gets_its_last_word_before() {
-    let mut bench = Bench::new(1, 2);
+fn a_request_that_runs_until_its_deadline_gets_its_final_reply_before() {
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(7, false, 1000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     bench.take();
-    bench.pass_ms(750);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
-    bench.pass_ms(100);
-    let wanted = bench.take();
+    bench.advance_ms(750);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
+    bench.advance_ms(100);
+    let output = bench.take();
     assert!(
-        matches!(wanted.finals(request(7))[..], [Told::OutcomeUnknown(..)]),
-        "{wanted:?}"
+        matches!(
+            output.final_replies(request(7))[..],
+            [CallerMessage::OutcomeUnknown(..)]
+        ),
+        "{output:?}"
+    );
+    assert!(output.cancellations().is_empty());
+    bench.advance_ms(200);
+    let output = bench.take();
+    assert_eq!(
+        output.final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
+    assert_eq!(output.cancellations().len(), 1);
+    bench.advance_ms(3000);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
     );
-    assert!(wanted.cancellations().is_empty());
-    bench.pass_ms(200);
-    let wanted = bench.take();
-    assert_eq!(wanted.finals(request(7)), Vec::<&Told>::new());
-    assert_eq!(wanted.cancellations().len(), 1);
-    bench.pass_ms(3000);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
 }
 
-/// Both slots of a server hang. A third request waits in the queue and hears
-/// nothing until its deadline, though the home knows much earlier that no slot
-/// comes free in time. It must be refused as not run long before, with a time
-/// to come back, and a copy that comes later must get the same word.
+/// Guards against a waiting request that gets no reply until its deadline: both slots of a
+/// server hang, and the home knows much earlier that none becomes free in time. The
+/// request must be refused as not run long before, with a time to try again, and a later
+/// copy must get the same reply.
 #[test]
 fn a_request_that_waits_too_long_is_refused_before_its_deadline() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     for number in 1..=3 {
         let header = bench.header(number, false, 9000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
     }
     let late = bench.header(3, false, 9000);
     assert_eq!(bench.take().runs().len(), 2);
-    bench.pass_ms(2000);
-    let wanted = bench.take();
-    let Some(Told::NotRun(_, RefusalReason::Full, after)) =
-        wanted.finals(request(3)).first().copied()
+    bench.advance_ms(2000);
+    let output = bench.take();
+    let Some(CallerMessage::NotRun(_, RefusalReason::Full, after)) =
+        output.final_replies(request(3)).first().copied()
     else {
-        panic!("not refused: {wanted:?}");
+        panic!("not refused: {output:?}");
     };
     assert!(*after > time::Duration::ZERO);
-    bench.ask(1, token, late);
-    let wanted = bench.take();
+    bench.send_request(1, token, late);
+    let output = bench.take();
     assert!(matches!(
-        wanted.finals(request(3))[..],
-        [Told::NotRun(Some(_), RefusalReason::Full, _)]
+        output.final_replies(request(3))[..],
+        [CallerMessage::NotRun(Some(_), RefusalReason::Full, _)]
     ));
-    assert!(wanted.runs().is_empty());
+    assert!(output.runs().is_empty());
 }
 
-/// The home of a server loses its lease while a request waits for a slot there.
-/// The request was never sent, but only the next home may say so: it must be
-/// brought there, and must not be sent from here when a slot comes free.
+/// The home of a server loses its lease while a request waits for a slot. The request was
+/// never sent, but only the next home may reply so: it must be relayed there, and must not
+/// be sent from here when a slot becomes free.
 #[test]
 fn a_waiting_request_goes_to_the_next_home_when_the_lease_is_lost() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     for number in 1..=3 {
         let header = bench.header(number, false, 9000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
     }
     let first = bench.take().runs()[0].clone();
     bench.lose_home(Some(host("muc-nord-2")));
     bench.answer(1, &first);
     assert!(bench.take().runs().is_empty(), "sent after the lease ended");
-    bench.pass_ms(100);
-    let wanted = bench.take();
-    let brought: Vec<_> = wanted
+    bench.advance_ms(100);
+    let output = bench.take();
+    let brought: Vec<_> = output
         .relayed
         .iter()
         .filter(|(_, of)| of.is_some())
         .collect();
     assert_eq!(brought, [&(host("muc-nord-2"), Some(request(3)))]);
-    assert!(wanted.runs().is_empty());
-    bench.pass_ms(2000);
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty());
-    assert!(wanted.finals(request(3)).is_empty(), "{wanted:?}");
+    assert!(output.runs().is_empty());
+    bench.advance_ms(2000);
+    let output = bench.take();
+    assert!(output.runs().is_empty());
+    assert!(output.final_replies(request(3)).is_empty(), "{output:?}");
 }
 
-/// The same, but nobody is home any more. "Not run" cannot be promised, since a
-/// copy may reach the next home; silence until the deadline helps nobody.
+/// The home of a server loses its lease while a request waits, and there is no next home
+/// yet. The reply must not be "not run", because a copy may reach the next home, and it
+/// must not be delayed until the deadline.
 #[test]
-fn a_waiting_request_without_any_home_gets_a_final_word_at_once() {
-    let mut bench = Bench::new(1, 1);
+fn a_waiting_request_without_any_home_gets_a_final_reply_at_once() {
+    let mut bench = EngineBench::new(1, 1);
     let token = bench.open(1);
     for number in 1..=2 {
         let header = bench.header(number, true, 9000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
     }
     bench.take();
     bench.lose_home(None);
-    bench.pass_ms(100);
-    let wanted = bench.take();
+    bench.advance_ms(100);
+    let output = bench.take();
     assert!(matches!(
-        wanted.finals(request(2))[..],
-        [Told::OutcomeUnknown(..)]
+        output.final_replies(request(2))[..],
+        [CallerMessage::OutcomeUnknown(..)]
     ));
 }
 
-/// The lease ran out while the control thread hung; the snapshot still shows
-/// it. An answer frees a slot, and the waiting request must not be sent: the
-/// next home may be running it already.
+/// The lease expired while the control thread hung; the snapshot still contains it. An
+/// answer frees a slot, but the waiting request must not be sent, because the next home
+/// may already be running it.
 #[test]
 fn nothing_is_sent_after_the_end_of_the_lease() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = EngineBench::new(1, 1);
     let token = bench.open(1);
     for number in 1..=2 {
         let header = bench.header(number, false, 9000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
     }
     let first = bench.take().runs()[0].clone();
     bench.hold_until(bench.now.after(time::Duration::from_millis(300)));
@@ -136,63 +149,63 @@
     assert!(bench.take().runs().is_empty());
 }
 
-/// A caller (or someone who means harm) sends requests with a deadline a year
-/// away. Each is refused, but the record of the refusal stayed for a year, so
-/// that the table filled and every honest request got "outcome unknown".
+/// Guards against a full table of requests: a caller sends requests with a deadline a year
+/// away. Each is refused, but if the record of the refusal stayed for a year, the table
+/// would fill and every other request would get "outcome unknown".
 #[test]
 fn far_deadlines_do_not_fill_the_table() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     for number in 0..100 {
         let header = bench.header(number, true, 31_536_000_000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
     }
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty());
-    bench.pass_ms(30_000);
+    let output = bench.take();
+    assert!(output.runs().is_empty());
+    bench.advance_ms(30_000);
     assert_eq!(bench.engine.remembered_requests().len(), 0);
-    assert_eq!(wanted.count(Counter::RequestDispatched), 0);
+    assert_eq!(output.count(Counter::RequestDispatched), 0);
 }
 
-/// A server sheds the request of an established flow. The request did not run,
-/// and its flow cannot move to another server: a pause later there may be a
-/// slot. Only once the retry budget is spent is the caller told to come back.
+/// A server sheds the request of an established flow. The request did not run, and its
+/// flow cannot move to another server, but after a pause a slot may be free. So the
+/// request is sent again unless the retry budget is used up.
 #[test]
 fn a_shed_request_is_sent_again_to_its_server() {
-    let mut bench = Bench::new(2, 2);
+    let mut bench = EngineBench::new(2, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 5000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let first = bench.take().runs()[0].clone();
     bench.shed(1, &first);
-    assert!(bench.take().finals(request(1)).is_empty());
-    bench.pass_ms(1000);
-    let wanted = bench.take();
-    let [second] = wanted.runs()[..] else {
-        panic!("not sent again: {wanted:?}");
+    assert!(bench.take().final_replies(request(1)).is_empty());
+    bench.advance_ms(1000);
+    let output = bench.take();
+    let [second] = output.runs()[..] else {
+        panic!("not sent again: {output:?}");
     };
     assert_eq!(second.backend, first.backend);
     assert_eq!(second.request.unwrap().attempt, AttemptNumber(1));
-    // A late copy of the first attempt's fate says nothing about the second.
+    // A late copy of the first attempt's shed does not affect the second.
     bench.shed(1, &first);
     let second = second.clone();
     bench.answer(1, &second);
-    let wanted = bench.take();
-    assert!(wanted.finals(request(1)).is_empty(), "{wanted:?}");
-    assert_eq!(wanted.count(Counter::RequestAnswered), 1);
+    let output = bench.take();
+    assert!(output.final_replies(request(1)).is_empty(), "{output:?}");
+    assert_eq!(output.count(Counter::RequestAnswered), 1);
 }
 
-/// A download of thirty parts is answered whole, but not kept. The caller lost
-/// a part and sends the request again. It is idempotent: it may run again, as
-/// an attempt of its own, so that parts of two runs are never mixed.
+/// The answer of a download in thirty parts is complete, but was not kept. The caller lost
+/// a part and repeats the request. If it is idempotent it may run again, as a new attempt,
+/// so that parts of two runs are never mixed.
 #[test]
 fn a_lost_part_of_an_answer_not_kept_runs_an_idempotent_request_again() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     for idempotent in [true, false] {
         let number = u64::from(idempotent);
         let header = bench.header(number, idempotent, 5000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
         let sent = bench.take().runs()[0].clone();
         for index in 0..30 {
             let kind = BackendReplyKind::Answer {
@@ -204,214 +217,244 @@
             bench.reply(1, sent.backend, kind);
         }
         bench.take();
-        bench.ask(1, token, header);
-        let wanted = bench.take();
+        bench.send_request(1, token, header);
+        let output = bench.take();
         if idempotent {
-            let again = wanted.runs()[0].request.unwrap();
+            let again = output.runs()[0].request.unwrap();
             assert_eq!(again.attempt, AttemptNumber(1));
         } else {
-            assert!(wanted.runs().is_empty());
+            assert!(output.runs().is_empty());
             assert!(matches!(
-                wanted.finals(header.id)[..],
-                [Told::OutcomeUnknown(..)]
+                output.final_replies(header.id)[..],
+                [CallerMessage::OutcomeUnknown(..)]
             ));
         }
     }
 }
 
-/// Guards against a caller of a new home that comes back too early, so that its next request
-/// ends with an unknown outcome as well.
+/// Guards against a caller of a new home that tries again too early, so that the outcome
+/// of its next request is unknown as well.
 #[test]
-fn a_caller_of_a_new_home_is_told_when_the_home_will_know() {
-    let mut bench = Bench::new(1, 2);
-    bench.pass_ms(1000);
+fn a_caller_of_a_new_home_is_sent_a_sufficient_wait() {
+    let mut bench = EngineBench::new(1, 2);
+    bench.advance_ms(1000);
     bench.records_since = bench.now;
     bench.renew();
     let token = bench.open(1);
     let header = bench.header(1, false, 4000);
-    bench.ask(1, token, header);
-    let wanted = bench.take();
-    let [Told::OutcomeUnknown(_, after)] = wanted.finals(request(1))[..] else {
-        panic!("{wanted:?}");
+    bench.send_request(1, token, header);
+    let output = bench.take();
+    let [CallerMessage::OutcomeUnknown(_, after)] = output.final_replies(request(1))[..] else {
+        panic!("{output:?}");
     };
     let after = *after;
-    bench.pass(after);
+    bench.advance(after);
     let header = bench.header(2, false, 4000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     assert_eq!(
         bench.take().runs().len(),
         1,
-        "told to come back after {after:?}"
+        "message to come back after {after:?}"
     );
 }
 
-/// Guards against a caller that waits until its deadline because the one datagram to the
-/// server was lost, and its copies are taken for copies of a request that runs.
+/// Guards against a caller that waits until its deadline because the only datagram to the
+/// server was lost and its copies are ignored as copies of a running request.
 #[test]
 fn a_request_that_the_server_does_not_work_on_is_given_up_at_once() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(7, false, 9000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     bench.take();
-    bench.pass_ms(500);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
+    bench.advance_ms(500);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
     report(&mut bench, 0);
-    bench.pass_ms(100);
-    let wanted = bench.take();
-    let [Told::OutcomeUnknown(_, after)] = wanted.finals(request(7))[..] else {
-        panic!("{wanted:?}");
+    bench.advance_ms(100);
+    let output = bench.take();
+    let [CallerMessage::OutcomeUnknown(_, after)] = output.final_replies(request(7))[..] else {
+        panic!("{output:?}");
     };
     assert!(*after > time::Duration::ZERO);
-    bench.ask(1, token, header);
-    let wanted = bench.take();
-    assert!(wanted.runs().is_empty());
+    bench.send_request(1, token, header);
+    let output = bench.take();
+    assert!(output.runs().is_empty());
     assert!(matches!(
-        wanted.finals(request(7))[..],
-        [Told::OutcomeUnknown(..)]
+        output.final_replies(request(7))[..],
+        [CallerMessage::OutcomeUnknown(..)]
     ));
 }
 
-/// A long export runs for one and a half seconds where the server usually takes fifty
-/// milliseconds. Its server counts it in every report. It must not be given up,
-/// or the caller would be told that the outcome is unknown of a request that is
-/// well under way.
+/// A long export runs for 1.5 seconds on a server that usually takes 50 milliseconds. The
+/// server counts it in every report. It must not be given up, or the caller would get
+/// "outcome unknown" for a request that is making progress.
 #[test]
 fn a_long_request_that_the_server_counts_is_not_given_up() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(7, false, 9000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs()[0].clone();
     for number in 8..10 {
-        bench.pass_ms(500);
+        bench.advance_ms(500);
         report(&mut bench, 1);
-        bench.pass_ms(100);
-        // The server answers others meanwhile, so that it is not stuck.
+        bench.advance_ms(100);
+        // The server answers other requests meanwhile, so it is not stuck.
         let header = bench.header(number, false, 9000);
-        bench.ask(1, token, header);
+        bench.send_request(1, token, header);
         let other = bench.take().runs()[0].clone();
         bench.answer(1, &other);
     }
-    bench.pass_ms(300);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
+    bench.advance_ms(300);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
     bench.answer(1, &sent);
     assert_eq!(bench.take().count(Counter::RequestAnswered), 1);
 }
 
-/// Guards against a request being given up for taking a little longer than the first one
-/// that its server ever answered here, before any load report speaks of either.
+/// Guards against a request being given up because it takes a little longer than the first
+/// one that its server answered, before there is any load report.
 #[test]
 fn a_request_that_takes_as_long_as_the_one_beside_it_is_not_given_up() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let tokens = [1, 2].map(|number| bench.open(number));
     for (number, token) in (1..).zip(tokens) {
         let header = bench.header(number.into(), false, 5500);
-        bench.ask(number, token, header);
+        bench.send_request(number, token, header);
     }
     let sent: Vec<_> = bench.take().runs().into_iter().cloned().collect();
-    bench.pass_ms(1000);
+    bench.advance_ms(1000);
     bench.answer(1, &sent[0]);
-    bench.pass_ms(50);
-    assert_eq!(bench.take().finals(request(2)), Vec::<&Told>::new());
+    bench.advance_ms(50);
+    assert_eq!(
+        bench.take().final_replies(request(2)),
+        Vec::<&CallerMessage>::new()
+    );
     bench.answer(2, &sent[1]);
     assert_eq!(bench.take().count(Counter::RequestAnswered), 1);
 }
 
 /// Guards against a late answer that is lost because its request was given up, and against
-/// a slot that it leaves taken.
+/// its slot staying occupied.
 #[test]
 fn a_late_answer_of_a_request_given_up_reaches_the_caller() {
-    let mut bench = Bench::new(1, 1);
+    let mut bench = EngineBench::new(1, 1);
     let token = bench.open(1);
     let header = bench.header(7, false, 9000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs()[0].clone();
-    bench.pass_ms(500);
+    bench.advance_ms(500);
     report(&mut bench, 0);
-    bench.pass_ms(100);
-    assert_eq!(bench.take().finals(request(7)).len(), 1);
+    bench.advance_ms(100);
+    assert_eq!(bench.take().final_replies(request(7)).len(), 1);
     for _ in 0..2 {
         bench.answer(1, &sent);
-        let wanted = bench.take();
-        let answered = |told: &Told| matches!(told, Told::Answer(of, ..) if *of == request(7));
-        assert!(wanted.told.iter().any(|(_, told)| answered(told)));
+        let output = bench.take();
+        let answered = |message: &CallerMessage| matches!(message, CallerMessage::Answer(of, ..) if *of == request(7));
+        assert!(
+            output
+                .to_callers
+                .iter()
+                .any(|(_, message)| answered(message))
+        );
     }
-    bench.ask(1, token, header);
-    let wanted = bench.take();
-    assert!(matches!(wanted.told[..], [(_, Told::Answer(..))]));
-    bench.pass_ms(9000);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
+    bench.send_request(1, token, header);
+    let output = bench.take();
+    assert!(matches!(
+        output.to_callers[..],
+        [(_, CallerMessage::Answer(..))]
+    ));
+    bench.advance_ms(9000);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
 }
 
-/// A server that has sent no answer when its home first asks it, and a request on it that
-/// ran for a second.
-fn ask_counted_server(bench: &mut Bench) -> Sent {
+/// Creates a server that has sent no answer at its first load report, with a request that
+/// has run for a second.
+fn run_on_counted_server(bench: &mut EngineBench) -> SentDatagram {
     report_answers(bench, 0, Some(0));
-    bench.pass_ms(100);
+    bench.advance_ms(100);
     let token = bench.open(1);
     let header = bench.header(7, false, 9000);
-    bench.ask(1, token, header);
+    bench.send_request(1, token, header);
     let sent = bench.take().runs()[0].clone();
-    bench.pass_ms(1000);
+    bench.advance_ms(1000);
     sent
 }
 
 /// Guards against a request being given up although its answer is on its way, because the
-/// load report that was asked for meanwhile does not count it any more.
+/// load report that was fetched meanwhile no longer counts it.
 #[test]
 fn a_request_whose_answer_is_on_its_way_is_not_given_up() {
-    let mut bench = Bench::new(1, 2);
-    let sent = ask_counted_server(&mut bench);
+    let mut bench = EngineBench::new(1, 2);
+    let sent = run_on_counted_server(&mut bench);
     report_answers(&mut bench, 0, Some(1));
-    bench.pass_ms(150);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
+    bench.advance_ms(150);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
     bench.answer(1, &sent);
-    bench.pass_ms(1000);
+    bench.advance_ms(1000);
     report_answers(&mut bench, 0, Some(1));
-    bench.pass_ms(100);
-    let wanted = bench.take();
-    assert_eq!(wanted.count(Counter::RequestAnswered), 1);
-    assert_eq!(wanted.finals(request(7)), Vec::<&Told>::new());
+    bench.advance_ms(100);
+    let output = bench.take();
+    assert_eq!(output.count(Counter::RequestAnswered), 1);
+    assert_eq!(
+        output.final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
 }
 
-/// Guards against a caller waiting for its deadline where the answer was lost: it is given
-/// up at the second report that knows of the answer.
+/// Guards against a caller waiting until its deadline if the answer was lost: the request
+/// is given up at the second report that counts the answer.
 #[test]
 fn a_request_whose_answer_does_not_come_until_the_next_report_is_given_up() {
-    let mut bench = Bench::new(1, 2);
-    ask_counted_server(&mut bench);
+    let mut bench = EngineBench::new(1, 2);
+    run_on_counted_server(&mut bench);
     report_answers(&mut bench, 0, Some(1));
-    bench.pass_ms(1000);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
+    bench.advance_ms(1000);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
     report_answers(&mut bench, 0, Some(1));
-    bench.pass_ms(100);
-    assert_eq!(bench.take().finals(request(7)).len(), 1);
+    bench.advance_ms(100);
+    assert_eq!(bench.take().final_replies(request(7)).len(), 1);
 }
 
-/// Guards against a caller waiting for a second report where the request never reached its
-/// server, which the first one shows: it counts neither a run nor an answer.
+/// Guards against a caller waiting for a second report if the request never reached its
+/// server: the first report shows this, because it counts neither a running request nor an
+/// answer.
 #[test]
 fn a_request_that_its_server_has_neither_run_nor_answered_is_given_up_at_once() {
-    let mut bench = Bench::new(1, 2);
-    ask_counted_server(&mut bench);
+    let mut bench = EngineBench::new(1, 2);
+    run_on_counted_server(&mut bench);
     report_answers(&mut bench, 0, Some(0));
-    bench.pass_ms(100);
-    assert_eq!(bench.take().finals(request(7)).len(), 1);
+    bench.advance_ms(100);
+    assert_eq!(bench.take().final_replies(request(7)).len(), 1);
 }
 
-/// Guards against a request being given up by a report that was made before it was sent and
-/// came much later, as where the control thread of its home has no processor time.
+/// Guards against a request being given up because of a report that was fetched before the
+/// request was sent and arrived much later, for example because the control thread of the
+/// home had no processor time.
 #[test]
 fn a_request_that_was_sent_after_the_report_was_asked_for_is_not_given_up() {
-    let mut bench = Bench::new(1, 2);
+    let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     bench.take();
     let asked = bench.now;
-    bench.pass_ms(20);
+    bench.advance_ms(20);
     let header = bench.header(7, false, 9000);
-    bench.ask(1, token, header);
-    bench.pass_ms(500);
+    bench.send_request(1, token, header);
+    bench.advance_ms(500);
     let backend = bench.server();
     let report = ReportedLoad {
         asked,
@@ -423,31 +466,34 @@
         report: Some(report),
         ..BackendView::default()
     };
-    bench.view(backend, view);
-    bench.pass_ms(100);
-    assert_eq!(bench.take().finals(request(7)), Vec::<&Told>::new());
+    bench.set_view(backend, view);
+    bench.advance_ms(100);
+    assert_eq!(
+        bench.take().final_replies(request(7)),
+        Vec::<&CallerMessage>::new()
+    );
 }
 
-/// Guards against the count of a server that started again: it begins anew, and the answer
-/// of a request that is on its way must not be waited for in vain for ever.
+/// Guards against waiting forever for an answer after a server has restarted: its answer
+/// count starts again at zero.
 #[test]
-fn a_server_that_counts_anew_is_believed_from_then_on() {
-    let mut bench = Bench::new(1, 2);
+fn an_answer_count_that_starts_again_is_used_from_then_on() {
+    let mut bench = EngineBench::new(1, 2);
     report_answers(&mut bench, 0, Some(500));
-    bench.pass_ms(100);
-    ask_counted_server(&mut bench);
+    bench.advance_ms(100);
+    run_on_counted_server(&mut bench);
     report_answers(&mut bench, 0, Some(0));
-    bench.pass_ms(100);
-    assert_eq!(bench.take().finals(request(7)).len(), 1);
+    bench.advance_ms(100);
+    assert_eq!(bench.take().final_replies(request(7)).len(), 1);
 }
 
-/// The server says now how many slots are busy.
-fn report(bench: &mut Bench, busy_slots: u32) {
+/// Makes a load report of the server with the number of busy slots.
+fn report(bench: &mut EngineBench, busy_slots: u32) {
     report_answers(bench, busy_slots, None);
 }
 
-/// The server says now how many slots are busy, and how many answers it has sent.
-fn report_answers(bench: &mut Bench, busy_slots: u32, answers: Option<u64>) {
+/// Makes a load report of the server with the number of busy slots and of answers sent.
+fn report_answers(bench: &mut EngineBench, busy_slots: u32, answers: Option<u64>) {
     let view = BackendView {
         report: Some(ReportedLoad {
             asked: bench.now,
@@ -458,5 +504,5 @@
         ..BackendView::default()
     };
     let backend = bench.server();
-    bench.view(backend, view);
+    bench.set_view(backend, view);
 }
--- a/crates/cardamomwinch_coordination/tests/requests_random.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_random.rs
@@ -1,5 +1,5 @@
-//! What must hold for every request, whatever callers, servers and the network
-//! do, in whichever order: many seeded stories against one home.
+//! Invariants of every request, checked in many seeded random scenarios of callers,
+//! servers and the network against one home.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,14 +7,14 @@
 
 use std::time;
 
-use admission_support::{Bench, Sent, Told, host};
+use admission_support::{CallerMessage, EngineBench, SentDatagram, host};
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_protocol::prelude::*;
 use cardamomwinch_state::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const STORIES: u64 = 150;
+const SCENARIO_COUNT: u64 = 150;
 const STEPS: usize = 400;
 const FLOWS: u16 = 6;
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 struct ReplyInFlight {
     at: Timestamp,
-    sent: Sent,
+    sent: SentDatagram,
     kind: ReplyKind,
 }
 
@@ -33,38 +33,38 @@
     UnknownFlow,
 }
 
-/// What has become of one request.
+/// The observed outcome of one request.
 #[derive(Debug, Default, Clone)]
-struct RequestFate {
+struct RequestOutcome {
     idempotent: bool,
     runs: u32,
     not_run: bool,
     unknown: bool,
     answer_parts: u32,
     copies: u32,
-    /// Another host was asked, which speaks from then on.
+    /// The request was relayed to another host, which replies from then on.
     relayed: bool,
 }
 
-struct Story {
+struct RandomScenario {
     seed: u64,
     random: SmallRng,
-    bench: Bench,
+    bench: EngineBench,
     tokens: Vec<RoutingToken>,
     replies: Vec<ReplyInFlight>,
-    fates: SortedVector<RequestId, RequestFate>,
+    outcomes: SortedVector<RequestId, RequestOutcome>,
     headers: Vec<(u16, RequestHeader)>,
     without_lease_until: Option<Timestamp>,
 }
 
-impl Story {
+impl RandomScenario {
     fn new(seed: u64) -> Self {
         let bounds = TrafficBounds {
             request_records: 60,
             held_bytes: 400,
             ..TrafficBounds::default()
         };
-        let mut bench = Bench::with_bounds(2, 2, bounds);
+        let mut bench = EngineBench::with_bounds(2, 2, bounds);
         let tokens = (0..FLOWS).map(|number| bench.open(number)).collect();
         bench.take();
         Self {
@@ -73,7 +73,7 @@
             bench,
             tokens,
             replies: Vec::new(),
-            fates: SortedVector::new(),
+            outcomes: SortedVector::new(),
             headers: Vec::new(),
             without_lease_until: None,
         }
@@ -82,49 +82,49 @@
     fn run(mut self) {
         for _ in 0..STEPS {
             match self.random.random_range(0..100) {
-                0..30 => self.ask_new(),
-                30..45 => self.ask_again(),
+                0..30 => self.send_new_request(),
+                30..45 => self.send_copy(),
                 45..47 => self.lose_lease(),
-                _ => self.pass(),
+                _ => self.advance(),
             }
             self.settle();
         }
-        self.bench.pass(time::Duration::from_secs(3));
+        self.bench.advance(time::Duration::from_secs(3));
         self.regain_lease();
-        self.bench.pass(time::Duration::from_secs(20));
+        self.bench.advance(time::Duration::from_secs(20));
         self.settle();
         self.check_end();
     }
 
-    fn ask_new(&mut self) {
+    fn send_new_request(&mut self) {
         let number = self.headers.len() as u64 + 1;
         let flow = self.random.random_range(0..FLOWS);
         let idempotent = self.random.random_bool(0.5);
         let millis = self.random.random_range(50..5000);
         let header = self.bench.header(number, idempotent, millis);
         self.headers.push((flow, header));
-        let fate = RequestFate {
+        let outcome = RequestOutcome {
             idempotent,
-            ..RequestFate::default()
+            ..RequestOutcome::default()
         };
-        self.fates.insert(header.id, fate);
-        self.ask(flow, header);
+        self.outcomes.insert(header.id, outcome);
+        self.send_request(flow, header);
     }
 
-    fn ask_again(&mut self) {
+    fn send_copy(&mut self) {
         if self.headers.is_empty() {
             return;
         }
         let first = self.headers.len().saturating_sub(20);
         let position = self.random.random_range(first..self.headers.len());
         let (flow, header) = self.headers[position];
-        self.fates.get_mut(&header.id).unwrap().copies += 1;
-        self.ask(flow, header);
+        self.outcomes.get_mut(&header.id).unwrap().copies += 1;
+        self.send_request(flow, header);
     }
 
-    fn ask(&mut self, flow: u16, header: RequestHeader) {
+    fn send_request(&mut self, flow: u16, header: RequestHeader) {
         let token = self.tokens[usize::from(flow)];
-        self.bench.ask(flow, token, header);
+        self.bench.send_request(flow, token, header);
     }
 
     fn lose_lease(&mut self) {
@@ -134,7 +134,7 @@
             self.bench.lose_home(next);
             let until = self.bench.now.after(time::Duration::from_secs(2));
             self.without_lease_until = Some(until);
-            // Replies come before the next tick has looked at what waits.
+            // Replies arrive before the next tick reviews the waiting requests.
             for reply in std::mem::take(&mut self.replies) {
                 self.deliver(&reply);
                 self.settle();
@@ -149,9 +149,9 @@
         self.bench.renew();
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         let millis = self.random.random_range(1..150);
-        self.bench.pass_ms(millis);
+        self.bench.advance_ms(millis);
         let now = self.bench.now;
         if self.without_lease_until.is_some_and(|until| until <= now) {
             self.regain_lease();
@@ -189,45 +189,47 @@
         self.bench.reply(flow, reply.sent.backend, kind);
     }
 
-    /// Lets servers react to what was sent, and notes what callers were told.
+    /// Lets servers react to requests, and records messages to callers.
     fn settle(&mut self) {
         loop {
-            let wanted = self.bench.take();
-            for id in wanted.relayed.iter().filter_map(|(_, id)| *id) {
-                self.fates.get_mut(&id).unwrap().relayed = true;
+            let output = self.bench.take();
+            for id in output.relayed.iter().filter_map(|(_, id)| *id) {
+                self.outcomes.get_mut(&id).unwrap().relayed = true;
             }
-            if wanted.told.is_empty() && wanted.sent.is_empty() {
+            if output.to_callers.is_empty() && output.sent.is_empty() {
                 return;
             }
-            for (_, told) in &wanted.told {
-                self.note_told(told);
+            for (_, message) in &output.to_callers {
+                self.note_message(message);
             }
-            for sent in wanted.runs() {
+            for sent in output.runs() {
                 self.react(sent);
             }
         }
     }
 
-    fn note_told(&mut self, told: &Told) {
+    fn note_message(&mut self, message: &CallerMessage) {
         let seed = self.seed;
-        match told {
-            Told::NotRun(Some(id), ..) => {
-                let fate = self.fates.get_mut(id).unwrap();
-                assert_eq!(fate.runs, 0, "seed {seed}: {id:?} ran, then was not run");
-                fate.not_run = true;
+        match message {
+            CallerMessage::NotRun(Some(id), ..) => {
+                let outcome = self.outcomes.get_mut(id).unwrap();
+                assert_eq!(outcome.runs, 0, "seed {seed}: {id:?} ran, then was not run");
+                outcome.not_run = true;
             }
-            Told::OutcomeUnknown(id, _) => self.fates.get_mut(id).unwrap().unknown = true,
-            Told::Answer(id, ..) => self.fates.get_mut(id).unwrap().answer_parts += 1,
+            CallerMessage::OutcomeUnknown(id, _) => {
+                self.outcomes.get_mut(id).unwrap().unknown = true;
+            }
+            CallerMessage::Answer(id, ..) => self.outcomes.get_mut(id).unwrap().answer_parts += 1,
             _ => {}
         }
     }
 
-    fn react(&mut self, sent: &Sent) {
+    fn react(&mut self, sent: &SentDatagram) {
         let held = sent.request.unwrap();
         let lease = self
             .bench
             .snapshot
-            .lease_at(self.bench.home(), self.bench.now);
+            .lease_at(self.bench.home_shard(), self.bench.now);
         assert!(lease.is_some(), "seed {}: sent without lease", self.seed);
         let late = self.bench.now > held.start_before;
         match self.random.random_range(0..100) {
@@ -246,16 +248,19 @@
 
     fn note_run(&mut self, id: RequestId) {
         let seed = self.seed;
-        let fate = self.fates.get_mut(&id).unwrap();
-        fate.runs += 1;
-        assert!(!fate.not_run, "seed {seed}: {id:?} was not run, then ran");
+        let outcome = self.outcomes.get_mut(&id).unwrap();
+        outcome.runs += 1;
+        assert!(
+            !outcome.not_run,
+            "seed {seed}: {id:?} was not run, then ran"
+        );
         assert!(
-            fate.runs == 1 || fate.idempotent,
+            outcome.runs == 1 || outcome.idempotent,
             "seed {seed}: {id:?} ran twice"
         );
     }
 
-    fn answer(&mut self, sent: &Sent) {
+    fn answer(&mut self, sent: &SentDatagram) {
         let total = match self.random.random_bool(0.7) {
             true => 1,
             false => self.random.random_range(2..12),
@@ -268,7 +273,7 @@
         }
     }
 
-    fn reply(&mut self, sent: &Sent, kind: ReplyKind) {
+    fn reply(&mut self, sent: &SentDatagram, kind: ReplyKind) {
         let copies = if self.random.random_bool(0.1) { 2 } else { 1 };
         for _ in 0..copies {
             let millis = self.random.random_range(1..600);
@@ -282,9 +287,10 @@
 
     fn check_end(&self) {
         let seed = self.seed;
-        for (id, fate) in self.fates.iter() {
-            let heard = fate.relayed || fate.not_run || fate.unknown || fate.answer_parts > 0;
-            assert!(heard, "seed {seed}: nobody spoke about {id:?}: {fate:?}");
+        for (id, outcome) in self.outcomes.iter() {
+            let replied =
+                outcome.relayed || outcome.not_run || outcome.unknown || outcome.answer_parts > 0;
+            assert!(replied, "seed {seed}: no reply about {id:?}: {outcome:?}");
         }
         let requests = self.bench.engine.remembered_requests();
         assert_eq!(requests.len(), 0, "seed {seed}");
@@ -296,11 +302,12 @@
     }
 }
 
-/// Guards against requests that run twice, run although they were called "not run", end
-/// without a word or stay counted, whatever servers, replies, leases and tables do.
+/// Guards against requests that run twice, run although the reply was "not run", end
+/// without a reply or stay counted, for any sequence of replies, lost leases and full
+/// tables.
 #[test]
-fn every_request_ends_once_and_truly() {
-    for seed in 0..STORIES {
-        Story::new(seed).run();
+fn every_request_gets_a_correct_final_reply() {
+    for seed in 0..SCENARIO_COUNT {
+        RandomScenario::new(seed).run();
     }
 }
