--- a/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Where the home of a shard was found.
+/// How a datagram reaches the home of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HomeRoute {
     /// This thread is the home.
@@ -178,14 +178,14 @@
         routed: &RoutedDatagram<'_, '_>,
         shard: ShardId,
     ) -> Option<HostId> {
-        let near = |host: &&HostId| {
+        let in_domain = |host: &&HostId| {
             let entry = context.snapshot.hosts.get(**host);
             entry.is_some_and(|entry| entry.domain == shard.domain)
         };
-        let helpers = &context.snapshot.helpers;
-        let count = helpers.iter().filter(near).count();
-        let turn = usize::from(routed.relay.hops).checked_rem(count)?;
-        helpers.iter().filter(near).nth(turn).copied()
+        let relay_peers = &context.snapshot.helpers;
+        let count = relay_peers.iter().filter(in_domain).count();
+        let index = usize::from(routed.relay.hops).checked_rem(count)?;
+        relay_peers.iter().filter(in_domain).nth(index).copied()
     }
 
     /// Passes `frame` to the thread, of this host or another, that is the home of `shard`,
@@ -258,8 +258,8 @@
         routed.relay.hops > 1 && self.frozen.was_released(shard, context.now)
     }
 
-    /// Handles a datagram if no home of its server is reachable. Data that needs no
-    /// decision is still forwarded. A request is never answered with "not run", because a
+    /// Handles a datagram if no home of its server is reachable. A closing is still sent to
+    /// its server if that is known. A request is never answered with "not run", because a
     /// copy of it may have reached the home on another path.
     pub(crate) fn answer_without_home<S: TrafficSink>(
         context: &mut EventContext<'_, S>,
@@ -295,11 +295,11 @@
         datagram: &CallerDatagram<'_>,
         relay: RelayContext,
     ) {
-        let helpers = &context.snapshot.helpers;
-        if relay.hops > RELAY_PEER_HOP_LIMIT || helpers.is_empty() {
+        let relay_peers = &context.snapshot.helpers;
+        if relay.hops > RELAY_PEER_HOP_LIMIT || relay_peers.is_empty() {
             return context.count(Counter::Unconfirmed);
         }
-        let pick = usize::from(datagram.flow.caller.port()) % helpers.len();
+        let pick = usize::from(datagram.flow.caller.port()) % relay_peers.len();
         let Some(shard) = relay.shard.or_else(|| context.snapshot.any_shard()) else {
             return context.count(Counter::Unconfirmed);
         };
@@ -313,11 +313,11 @@
         let subject = DecisionSubject {
             flow: Some(datagram.flow),
             request: datagram.request.map(|header| header.id),
-            peer: Some(helpers[pick]),
+            peer: Some(relay_peers[pick]),
             ..DecisionSubject::default()
         };
         context.decide(DecisionReason::RelayedUnconfirmed, subject);
-        context.relay(helpers[pick], frame);
+        context.relay(relay_peers[pick], frame);
     }
 
     /// Answers a datagram that cannot be sent to any home. A request gets "outcome
--- a/crates/cardamomwinch_coordination/src/traffic/mod.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/mod.rs
@@ -1,5 +1,9 @@
 //! Decides for each datagram which backend server its flow belongs to, which host is the
 //! home of that server, and whether the request in it runs.
+//!
+//! The home of a server is the host that holds the lease of the server's shard. Only the
+//! home sends requests to the server and counts its connections. Data without a request
+//! goes directly to the server, from any host that knows the server by a token or a pin.
 
 pub(crate) mod announcing;
 pub mod answer_count;
--- a/crates/cardamomwinch_coordination/tests/admission_slots.rs
+++ b/crates/cardamomwinch_coordination/tests/admission_slots.rs
@@ -55,7 +55,7 @@
     let token = bench.open(1);
     for number in 2..1000 {
         let header = bench.header(1, false, 5000);
-        bench.caller(CallerDatagram::open(flow(number), b"").with_request(header));
+        bench.receive(CallerDatagram::open(flow(number), b"").with_request(header));
     }
     bench.take();
     let header = bench.header(7, false, 5000);
@@ -340,7 +340,7 @@
     bench.snapshot.configuration = std::sync::Arc::new(in_force);
     bench.advance_ms(300);
     assert!(bench.engine.ledgers().get(gone).is_some(), "a request runs");
-    bench.caller(CallerDatagram {
+    bench.receive(CallerDatagram {
         kind: CallerKind::Close,
         ..CallerDatagram::carry(flow(1), Some(token), b"")
     });
--- a/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
@@ -174,11 +174,11 @@
         self.snapshot.made = self.now;
         self.snapshot.fresh_until = self.now.after(time::Duration::from_millis(1500));
         if self.renews_lease {
-            self.hold_until(self.now.after(time::Duration::from_millis(1400)));
+            self.hold_lease_until(self.now.after(time::Duration::from_millis(1400)));
         }
     }
 
-    pub fn hold_until(&mut self, held_until: Timestamp) {
+    pub fn hold_lease_until(&mut self, held_until: Timestamp) {
         let view = ShardView {
             home: Some(self.host),
             lease: Some(HomeLease {
@@ -251,7 +251,7 @@
         self.advance(time::Duration::from_millis(millis));
     }
 
-    pub fn caller(&mut self, datagram: CallerDatagram<'_>) {
+    pub fn receive(&mut self, datagram: CallerDatagram<'_>) {
         self.handle(TrafficEvent::Fabric(FabricDatagram::Caller(datagram)));
     }
 
@@ -266,7 +266,7 @@
 
     /// Opens a flow and returns its token.
     pub fn open(&mut self, number: u16) -> RoutingToken {
-        self.caller(CallerDatagram::open(flow(number), b""));
+        self.receive(CallerDatagram::open(flow(number), b""));
         self.confirm_open(number);
         let of_flow = self.output.to_callers.iter().rev();
         let token = of_flow.into_iter().find_map(|(of, message)| match message {
@@ -287,7 +287,7 @@
     /// A request on an open flow.
     pub fn send_request(&mut self, number: u16, token: RoutingToken, header: RequestHeader) {
         let datagram = CallerDatagram::carry(flow(number), Some(token), b"payload");
-        self.caller(datagram.with_request(header));
+        self.receive(datagram.with_request(header));
     }
 
     pub fn reply(&mut self, number: u16, backend: BackendId, kind: BackendReplyKind<'_>) {
--- a/crates/cardamomwinch_coordination/tests/requests_at_most_once.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_at_most_once.rs
@@ -329,7 +329,7 @@
     }
     bench.take();
     let header = bench.header(1, false, 5000);
-    bench.caller(CallerDatagram::open(flow(2), b"first").with_request(header));
+    bench.receive(CallerDatagram::open(flow(2), b"first").with_request(header));
     bench.confirm_open(2);
     let output = bench.take();
     let of_flow: Vec<&CallerMessage> = output
--- a/crates/cardamomwinch_coordination/tests/requests_given_up.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_given_up.rs
@@ -143,7 +143,7 @@
         bench.send_request(1, token, header);
     }
     let first = bench.take().runs()[0].clone();
-    bench.hold_until(bench.now.after(time::Duration::from_millis(300)));
+    bench.hold_lease_until(bench.now.after(time::Duration::from_millis(300)));
     bench.now = bench.now.after(time::Duration::from_millis(400));
     bench.answer(1, &first);
     assert!(bench.take().runs().is_empty());
--- a/crates/cardamomwinch_coordination/tests/requests_searched.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_searched.rs
@@ -27,7 +27,7 @@
 /// Sends a request of a flow without a token, for which this home has no pin.
 fn send_from_stranger(bench: &mut EngineBench, header: RequestHeader) {
     let datagram = CallerDatagram::carry(flow(STRANGER), None, b"payload");
-    bench.caller(datagram.with_request(header));
+    bench.receive(datagram.with_request(header));
 }
 
 fn assert_unknown(output: &EngineOutput, header: RequestHeader) {
