--- a/crates/cardamomwinch_coordination/src/traffic/mod.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/mod.rs
@@ -192,7 +192,7 @@
             }
             FabricDatagram::Backend(reply) => {
                 context.count(Counter::BackendReply);
-                self.take_reply(context, &reply);
+                self.handle_reply(context, &reply);
             }
         }
     }
@@ -222,13 +222,13 @@
                 BackendReplyKind::UnknownFlow { .. } => {
                     self.handle_relayed_unknown(context, &reply, shard, hops);
                 }
-                _ => self.take_relayed_reply(context, &reply, shard, hops),
+                _ => self.handle_relayed_reply(context, &reply, shard, hops),
             },
             RelayFrame::Learned {
                 flow,
                 claim,
                 thread,
-            } => self.learn(context, frame, flow, claim, thread),
+            } => self.handle_learned(context, frame, flow, claim, thread),
             RelayFrame::Announced { flow, claim, shard } => {
                 self.handle_announced(context, flow, claim, shard);
             }
--- a/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
@@ -19,7 +19,7 @@
 const PARTS_PER_TICK: usize = 64;
 /// About this many pins are checked at most to make room for one flow, so that refusing
 /// many flows is cheap if all pins are in use.
-const PINS_FOR_ROOM: usize = 2048;
+const MAX_PINS_CHECKED: usize = 2048;
 /// A learned pin is removed after this time without use.
 const LEARNED_IDLE: time::Duration = time::Duration::from_secs(60);
 /// If the table is full, pins whose loss a search can make up for are removed after this
@@ -63,7 +63,7 @@
     ) -> bool {
         let mut seen = 0;
         for _ in 0..FlowTable::<FlowPin>::part_count() {
-            if self.pins.len() < self.bounds.flows || seen >= PINS_FOR_ROOM {
+            if self.pins.len() < self.bounds.flows || seen >= MAX_PINS_CHECKED {
                 break;
             }
             seen += self.sweep_next_pins(context, PinPressure::Full);
--- a/crates/cardamomwinch_coordination/src/traffic/replies.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/replies.rs
@@ -20,7 +20,7 @@
 const DISAGREEING_HOPS: u8 = 2;
 
 impl TrafficEngine {
-    pub(crate) fn take_reply<S: TrafficSink>(
+    pub(crate) fn handle_reply<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
@@ -41,8 +41,8 @@
     ///
     /// The fabric delivers replies to a host as soon as it is up. A host that does not
     /// know the other hosts yet can send an answer to the caller, but not to the home. If
-    /// the replies were dropped, the home would count occupied slots, so that servers seem
-    /// full, and reply "outcome unknown" for requests that were answered.
+    /// the replies were dropped, the home would count slots as occupied, so that servers
+    /// seem full, and would reply "outcome unknown" for requests that were answered.
     pub(crate) fn account_early_replies<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -127,7 +127,7 @@
 
     /// Handles a reply that another host or thread relayed. If this host knows the server,
     /// its shard takes precedence over the one that the sender assumed.
-    pub(crate) fn take_relayed_reply<S: TrafficSink>(
+    pub(crate) fn handle_relayed_reply<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
--- a/crates/cardamomwinch_coordination/src/traffic/searching.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/searching.rs
@@ -310,7 +310,7 @@
     }
 
     /// Handles a home's report about the server of a flow.
-    pub(crate) fn learn<S: TrafficSink>(
+    pub(crate) fn handle_learned<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         frame: RelayFrame<'_>,
--- a/crates/cardamomwinch_coordination/src/traffic/slots.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/slots.rs
@@ -15,11 +15,11 @@
 use crate::snapshot::BackendView;
 
 /// A load report is ignored after this time.
-pub const REPORT_FRESH_FOR: time::Duration = time::Duration::from_secs(3);
+pub const MAX_REPORT_AGE: time::Duration = time::Duration::from_secs(3);
 /// Reports of other work are ignored after this many answers without a shed.
 const ANSWERS_UNTIL_IGNORED: u32 = 8;
 /// How long the reports of a server are ignored.
-const REPORTS_IGNORED_FOR: time::Duration = time::Duration::from_secs(30);
+const REPORT_IGNORE_DURATION: time::Duration = time::Duration::from_secs(30);
 /// The pause after the first shed.
 const FIRST_PAUSE: time::Duration = time::Duration::from_millis(20);
 /// The longest pause, after many sheds in a row.
@@ -59,7 +59,7 @@
         let percent = u64::from(view.warm_percent.min(100));
         let warm = (u64::from(slots) * percent).div_ceil(100) as u32;
         let assumed = self.busy_until.iter().filter(|end| **end > now).count() as u32;
-        let fresh = now.since(self.report_made) < REPORT_FRESH_FOR;
+        let fresh = now.since(self.report_made) < MAX_REPORT_AGE;
         let reported = if fresh { self.reported } else { 0 };
         warm.saturating_sub(assumed.max(reported)).max(1)
     }
@@ -122,7 +122,7 @@
         if self.answers_since_shed >= ANSWERS_UNTIL_IGNORED {
             self.answers_since_shed = 0;
             self.reported = 0;
-            self.reports_ignored_until = now.after(REPORTS_IGNORED_FOR);
+            self.reports_ignored_until = now.after(REPORT_IGNORE_DURATION);
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
@@ -116,7 +116,7 @@
         if hops == 0 && !self.place.owns(shard) {
             return context.pass_to_thread(self.place.owner(shard), frame(0));
         }
-        if self.resolve_unknown_flow(context, reply) {
+        if self.try_handle_unknown(context, reply) {
             return;
         }
         let next = hops.saturating_add(1);
@@ -129,7 +129,7 @@
 
     /// Handles the reply if this thread knows why the datagram was sent to the server.
     /// Returns whether it did.
-    fn resolve_unknown_flow<S: TrafficSink>(
+    fn try_handle_unknown<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         reply: &BackendReply<'_>,
@@ -139,17 +139,17 @@
             request: Some(request),
             attempt,
         } = reply.kind
-            && self.resolve_unknown_request(context, hash, reply, request, attempt)
+            && self.handle_unknown_request(context, hash, reply, request, attempt)
         {
             return true;
         }
-        self.resolve_unknown_search(context, hash, reply)
-            || self.resolve_unknown_pin(context, hash, reply)
+        self.handle_unknown_search(context, hash, reply)
+            || self.handle_unknown_pin(context, hash, reply)
     }
 
     /// Handles the reply for a request, which did not run because its server does not hold
     /// the flow. Returns whether the request is known here.
-    fn resolve_unknown_request<S: TrafficSink>(
+    fn handle_unknown_request<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         hash: FlowHash,
@@ -200,7 +200,7 @@
         reset(context, reply.flow);
     }
 
-    fn resolve_unknown_search<S: TrafficSink>(
+    fn handle_unknown_search<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         hash: FlowHash,
@@ -225,7 +225,7 @@
 
     /// Handles the reply for a pin, which is outdated. The flow has ended only if this
     /// thread is the home of the server.
-    fn resolve_unknown_pin<S: TrafficSink>(
+    fn handle_unknown_pin<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
         hash: FlowHash,
