--- a/crates/cardamomwinch_coordination/src/control/health/asking.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/asking.rs
@@ -1,29 +1,29 @@
-//! When the load endpoint of a server is asked.
+//! Schedules the probes of a server's load endpoint.
 
 use std::time;
 
 use cardamomwinch_state::flow;
 use cardamomwinch_state::prelude::{BackendId, Timestamp};
 
-/// How often an endpoint is asked.
+/// The usual interval between two probes.
 const ASK_INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// Each interval is longer or shorter by up to one part in this many, so that
-/// homes do not ask in step.
+/// Each interval is longer or shorter by up to one part in this many, so that homes do not
+/// probe at the same times.
 const JITTER_PARTS: u32 = 8;
 /// The longest interval while a server is ejected.
 const LONGEST_INTERVAL: time::Duration = time::Duration::from_secs(30);
 
-/// The schedule of one server's questions.
+/// The probe schedule of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AskSchedule {
-    /// When the endpoint was asked last.
+    /// When the last probe was sent.
     pub(crate) asked: Timestamp,
     next: Timestamp,
     interval: time::Duration,
     seed: u64,
     open: bool,
     backs_off: bool,
-    /// Questions in a row that were not answered.
+    /// Number of failed probes in a row.
     pub(crate) failures: u32,
 }
 
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Whether the endpoint is to be asked now; notes that it is.
+    /// Returns whether the endpoint must be probed now; if so, records the probe as sent.
     pub(crate) fn ask_if_due(&mut self, now: Timestamp) -> bool {
         if now < self.next {
             return false;
         }
-        // A question that was never answered at all counts as failed.
+        // A probe without any outcome counts as failed.
         self.failures += u32::from(self.open);
         self.open = true;
         self.asked = now;
@@ -73,12 +73,12 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Asks at intervals that double, because the server is ejected.
+    /// Doubles the interval with each probe, because the server is ejected.
     pub(crate) fn back_off(&mut self) {
         self.backs_off = true;
     }
 
-    /// Asks as often as usual.
+    /// Returns to the usual interval.
     pub(crate) fn resume(&mut self, now: Timestamp) {
         self.backs_off = false;
         self.interval = ASK_INTERVAL;
--- a/crates/cardamomwinch_coordination/src/control/health/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/mod.rs
@@ -1,12 +1,12 @@
-//! Health of the backend servers that this host is the home of. Only the home
-//! asks a server's load endpoint, and only the home sees all of its traffic, so
-//! that nobody else needs to know.
+//! Health of the backend servers that this host is the home of. Only the home probes a
+//! server's load endpoint, and only the home sees all of its traffic, so no other host
+//! needs to track its health.
 //!
-//! Endpoint and traffic may both mislead; what the home sees itself goes first.
-//! A server that answers requests is well, whatever its endpoint says. One that
-//! leaves requests without a word, while others of its failure domain answer,
-//! is ejected: it gets no new flows, but keeps those it has. Where no server of
-//! a domain answers the fault lies between here and there, and none is ejected.
+//! Both endpoint and traffic may mislead; what the home observes itself takes precedence. A
+//! server that answers requests is healthy, whatever its endpoint reports. A server that
+//! leaves requests unanswered, while others of its failure domain answer, is ejected: it
+//! gets no new flows, but keeps those it has. If no server of a domain answers, the fault
+//! is probably in between, and none is ejected.
 
 pub(crate) mod asking;
 pub mod observation;
@@ -28,19 +28,19 @@
 use crate::control::health::warmth::ColdServers;
 use crate::snapshot::{BackendView, ShardView};
 
-/// How often it is looked up which servers this host is the home of.
+/// How often the set of servers that this host is the home of is updated.
 const FOLLOW_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Which way a server's health went.
+/// How a server's health changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthTurn {
-    /// It gets no new flows, because it seems to fail.
+    /// It gets no new flows, because it appears to fail.
     Ejected,
-    /// It gets new flows again, slowly.
+    /// It gets new flows again, few at first.
     Returned,
-    /// It says that it drains, and gets no new flows.
+    /// It reports that it drains, and gets no new flows.
     Draining,
-    /// It does not say so any more.
+    /// It no longer reports that it drains.
     DrainingEnded,
 }
 
@@ -53,16 +53,16 @@
     pub service: ServiceId,
     /// Its shard.
     pub shard: ShardId,
-    /// Which way its health went.
+    /// How its health changed.
     pub turn: HealthTurn,
 }
 
-/// A load endpoint that is to be asked now.
+/// A probe of a load endpoint to send now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadQuestion {
     /// The server.
     pub backend: BackendId,
-    /// Where the endpoint is.
+    /// The address of the endpoint.
     pub address: net::SocketAddr,
 }
 
@@ -75,8 +75,8 @@
 }
 
 impl HealthTable {
-    /// Takes note that `next` comes into force after `earlier`: servers that
-    /// are new in it are cold.
+    /// Records that `next` comes into force after `earlier`: servers that are new in it are
+    /// cold.
     pub fn note_configuration(
         &mut self,
         now: Timestamp,
@@ -85,7 +85,7 @@
     ) {
         self.next_follow = now;
         if earlier.backends.is_empty() {
-            // This host itself is new; the servers are not.
+            // The host has just started; the servers are not new.
             return;
         }
         for backend in next.backends.keys() {
@@ -95,9 +95,8 @@
         }
     }
 
-    /// Follows the servers whose shards this host holds by its own lease, and
-    /// no others. Looking through all of them costs time, so that it is done
-    /// only every so often.
+    /// Tracks the servers whose shards this host holds the lease of, and no others. This
+    /// looks through all servers, so it is done only at intervals.
     pub fn follow(
         &mut self,
         now: Timestamp,
@@ -124,7 +123,7 @@
         }
     }
 
-    /// The load endpoints that are to be asked now.
+    /// The probes to send now.
     pub fn due_questions(
         &mut self,
         now: Timestamp,
@@ -143,7 +142,7 @@
         questions
     }
 
-    /// Takes in what a load endpoint answered.
+    /// Records the outcome of a probe.
     pub fn take_load(
         &mut self,
         now: Timestamp,
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Takes in what traffic threads saw.
+    /// Records the observations of traffic threads.
     pub fn take_observations(&mut self, now: Timestamp, observations: &[BackendObservation]) {
         for observation in observations {
             if let Some(server) = self.servers.get_mut(&observation.backend) {
@@ -164,7 +163,7 @@
         }
     }
 
-    /// Judges all servers anew and returns what has changed.
+    /// Updates the health of all servers and returns what has changed.
     pub fn review(
         &mut self,
         now: Timestamp,
@@ -208,9 +207,9 @@
         }
     }
 
-    /// Guards against ejecting servers that are well: where a whole failure
-    /// domain is silent the network is cut, and where many servers of a service
-    /// seem to fail at once the fault is more likely in what they share.
+    /// Guards against ejecting healthy servers: if a whole failure domain is silent, the
+    /// network is probably cut, and if many servers of a service appear to fail at the same
+    /// time, the cause is more likely something that they share.
     fn eject_failing(
         &mut self,
         now: Timestamp,
@@ -252,10 +251,10 @@
         })
     }
 
-    /// Whether one more server of the same service and failure domain may be
-    /// ejected: at most half of those that this host is the home of. As each
-    /// server has one home, at most half of all of them are ejected, without
-    /// the homes having to agree, and never the last one.
+    /// Whether one more server of the same service and failure domain may be ejected: at
+    /// most half of those that this host is the home of. Each server has one home, so at
+    /// most half of all of them are ejected, and never the last one, without any agreement
+    /// between homes.
     fn may_eject(&self, configuration: &InForceConfiguration, entry: &BackendEntry) -> bool {
         let mut all = 0;
         let mut ejected = 0;
@@ -269,7 +268,7 @@
         (ejected + 1) * 2 <= all
     }
 
-    /// What traffic is to know of each server.
+    /// The view of each server for traffic threads.
     pub fn views(&self, now: Timestamp) -> SortedVector<BackendId, BackendView> {
         let mut views: SortedVector<BackendId, BackendView> = SortedVector::new();
         for (backend, warm_percent) in self.cold.percents(now) {
--- a/crates/cardamomwinch_coordination/src/control/health/server.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/server.rs
@@ -10,32 +10,31 @@
 use crate::control::health::observation::BackendObservation;
 use crate::snapshot::ReportedLoad;
 
-/// A server is failing after it was silent for this long.
+/// A server that is silent for this long is failing.
 const SILENT_FOR: time::Duration = time::Duration::from_secs(2);
-/// A sign of life counts for this long.
+/// A server counts as answering for this long after an answer.
 const ALIVE_FOR: time::Duration = time::Duration::from_millis(2500);
-/// This many requests without a word show that a server whose endpoint answers
-/// fails all the same.
+/// This many unanswered requests show that a server fails although its endpoint answers.
 const UNANSWERED_LIMIT: u32 = 2;
-/// An endpoint is silent after this many questions without an answer.
+/// An endpoint counts as silent after this many unanswered probes.
 const FAILURE_LIMIT: u32 = 3;
-/// How long a server is ejected at least, the first time.
+/// The minimum duration of the first ejection.
 const FIRST_EJECTION: time::Duration = time::Duration::from_secs(2);
-/// How long a server is ejected at least, after many times.
+/// The limit of the minimum duration, which doubles with each ejection.
 const LONGEST_EJECTION: time::Duration = time::Duration::from_secs(30);
-/// A server that has been well for this long is ejected like the first time.
+/// After this long without an ejection the next one starts at [`FIRST_EJECTION`] again.
 const FORGIVEN_AFTER: time::Duration = time::Duration::from_secs(60);
 
 /// Whether a server gets new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthState {
-    /// It does.
+    /// It gets new flows.
     Serving,
-    /// It does not.
+    /// It gets no new flows.
     Ejected {
         /// Since when.
         since: Timestamp,
-        /// It is not taken back before this point.
+        /// The earliest time at which it may return.
         until: Timestamp,
     },
 }
@@ -46,26 +45,26 @@
     pub(crate) state: HealthState,
     pub(crate) asking: AskSchedule,
     pub(crate) report: Option<ReportedLoad>,
-    /// Whether the server said last that it drains. This holds on while the
-    /// endpoint is silent: a server that leaves often ends with silence.
+    /// Whether the last report of the server said that it drains. This stays set while the
+    /// endpoint is silent: a draining server often exits without another report.
     pub(crate) draining: bool,
-    /// Whether that was logged.
+    /// Whether `draining` has been logged.
     pub(crate) told_draining: bool,
     says_unhealthy: bool,
     /// When its endpoint last answered.
     last_report: Timestamp,
     /// When it last answered or shed a request.
     last_answer: Timestamp,
-    /// Since when requests are without a word.
+    /// Since when requests have been unanswered.
     silent_since: Option<Timestamp>,
-    /// How many there are.
+    /// Number of unanswered requests.
     unanswered: u32,
     ejection: time::Duration,
     ejection_ended: Timestamp,
 }
 
 impl ServerHealth {
-    /// A server that is taken to be well from `now` on.
+    /// Creates the health of a server, which counts as healthy from `now` on.
     pub(crate) fn new(now: Timestamp, backend: BackendId) -> Self {
         Self {
             state: HealthState::Serving,
@@ -112,9 +111,10 @@
         matches!(self.state, HealthState::Ejected { .. })
     }
 
-    /// Whether the server shows no life where it should. What traffic shows
-    /// goes first: an endpoint may fail, or call itself unhealthy, while the
-    /// server works; and it may call itself well while requests get no word.
+    /// Whether the server fails to answer where it should. Traffic takes precedence over
+    /// the endpoint: an endpoint may fail, or report the server as unhealthy, while the
+    /// server works; and it may report the server as healthy while requests stay
+    /// unanswered.
     pub(crate) fn is_failing(&self, now: Timestamp) -> bool {
         if now.since(self.last_answer) < SILENT_FOR {
             return false;
@@ -122,13 +122,13 @@
         let silent = self
             .silent_since
             .is_some_and(|since| now.since(since) > SILENT_FOR);
-        // One request may simply take long, where the endpoint answers.
+        // A single request may just take long if the endpoint answers.
         let reported = now.since(self.last_report) < ALIVE_FOR;
         let traffic = silent && (self.unanswered >= UNANSWERED_LIMIT || !reported);
         traffic || self.asking.failures >= FAILURE_LIMIT || self.says_unhealthy
     }
 
-    /// Whether the server showed life a moment ago.
+    /// Whether the server has answered recently.
     pub(crate) fn is_answering(&self, now: Timestamp) -> bool {
         let last = self.last_answer.max(self.last_report);
         now.since(last) < ALIVE_FOR && !self.is_failing(now)
@@ -146,9 +146,9 @@
         self.ejection = (self.ejection * 2).min(LONGEST_EJECTION);
     }
 
-    /// Takes the server back where it has shown life since it was ejected. The
-    /// time out doubles with each ejection, so that a server whose endpoint
-    /// answers while its requests do not is tried ever more rarely.
+    /// Ends the ejection if the server has answered since it began. Its minimum duration
+    /// doubles with each ejection, so that a server whose endpoint answers while its
+    /// requests stay unanswered is tried less and less often.
     pub(crate) fn return_if_well(&mut self, now: Timestamp) -> bool {
         let HealthState::Ejected { since, until } = self.state else {
             return false;
--- a/crates/cardamomwinch_coordination/src/control/health/warmth.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/warmth.rs
@@ -1,15 +1,15 @@
-//! Servers that have just come, or come back, and start slowly.
+//! Cold servers: those that have just joined or returned, and get few flows at first.
 
 use std::time;
 
 use cardamomwinch_state::prelude::{BackendId, SortedVector, Timestamp};
 
-/// How long a server takes to be given all of its slots.
+/// How long it takes until a server may use all of its slots.
 pub(crate) const WARM_UP: time::Duration = time::Duration::from_secs(15);
-/// The share of its slots that a server begins with, in percent.
+/// The share of its slots that a server starts with, in percent.
 const FIRST_PERCENT: u64 = 10;
 
-/// The servers that are cold, with when they came.
+/// The cold servers, with the time at which they joined or returned.
 #[derive(Debug, Default)]
 pub(crate) struct ColdServers {
     since: SortedVector<BackendId, Timestamp>,
@@ -24,7 +24,7 @@
         self.since.retain(|_, since| now.since(*since) < WARM_UP);
     }
 
-    /// The share of its slots that each cold server is given.
+    /// The share of its slots that each cold server may use, in percent.
     pub(crate) fn percents(&self, now: Timestamp) -> impl Iterator<Item = (BackendId, u8)> {
         self.since
             .iter()
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/mod.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/mod.rs
@@ -1,8 +1,8 @@
-//! Decides what is in force and which servers there are, from the words of the
-//! store and of peers.
+//! Keeps the routes and servers that this host knows, learned from the store and from
+//! peers.
 //!
-//! Versions of the configuration and revisions of the directory only rise; who
-//! brings the higher one is believed, whether the store or a peer that read it.
+//! Configuration versions and directory revisions only rise. The higher one wins, whether
+//! it comes from the store or from a peer that read the store.
 
 pub mod own_servers;
 pub mod peer_book;
@@ -42,34 +42,34 @@
 use crate::forwarding::server_reports::{ReportSerial, ReportTable};
 use crate::forwarding::view::ForwardingView;
 
-/// How often a host that learns from another one looks whether it must read the
-/// store itself. It may have become a reader, on which others wait.
+/// How often a host that learns from another host checks whether it must read the store
+/// itself, because it has become a reader that other hosts depend on.
 const SOURCE_PERIOD: time::Duration = time::Duration::from_millis(300);
 
-/// How often a host that starts looks whether another one has told it everything, or
-/// the store is to be read after all.
+/// How often a starting host checks whether another host has sent it everything, or whether
+/// it has to read the store after all.
 const START_PERIOD: time::Duration = time::Duration::from_millis(20);
 
-/// What a host starts with.
+/// Settings of a [`BeliefEngine`].
 #[derive(Debug, Clone)]
 pub struct BeliefSettings {
     /// The failure domain of this host.
     pub domain: DomainId,
     /// The regions of all failure domains.
     pub regions: DomainRegions,
-    /// Where peers reach this host.
+    /// Address at which peers reach this host.
     pub address: net::SocketAddr,
-    /// Hosts that may be asked at first.
+    /// Hosts to query after the start.
     pub seeds: Vec<net::SocketAddr>,
-    /// How long a flow may last: servers that have left are known for so long.
+    /// The longest time that a flow may last. A removed server is remembered for this time.
     pub flow_lifetime: time::Duration,
-    /// How long a watch waits at the store for a change.
+    /// How long the store holds a watch open until there is a change.
     pub watch_wait: time::Duration,
-    /// How many servers are told at a time to a host that knows nothing.
+    /// The most servers in one part of the full server list.
     pub list_part: usize,
 }
 
-/// What changed in the beliefs of a host, for its log.
+/// A change of what a host knows, for its log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeliefChange {
     /// A configuration came into force.
@@ -79,36 +79,36 @@
         /// How many routes it has.
         routes: usize,
     },
-    /// What is known of a server changed.
+    /// A server changed.
     ServerChanged {
-        /// The server as it is known now.
+        /// The server after the change.
         server: ServerRecord,
     },
-    /// The store said something of a server, and something later is known of it.
+    /// The store sent a change of a server that is older than what is known.
     ChangeOutdated {
         /// The server.
         server: BackendId,
-        /// The revision of what the store said.
+        /// The revision of the change.
         revision: StoreRevision,
-        /// The revision of what is known.
+        /// The revision that is known.
         known: StoreRevision,
     },
-    /// Operators have begun or ended the evacuation of a failure domain.
+    /// Operators began or ended the evacuation of a failure domain.
     EvacuationChanged {
-        /// The evacuation as it is known now.
+        /// The evacuation after the change.
         evacuation: EvacuationRecord,
     },
-    /// A whole listing of the servers was taken over.
+    /// A full listing of the servers was applied.
     ServersListed {
         /// The revision of the listing.
         revision: StoreRevision,
         /// How many servers it holds.
         servers: usize,
     },
-    /// So many servers vanished together that the store must have been away, unnoticed
-    /// by this host.
+    /// So many servers vanished at the same time that there must have been an outage of the
+    /// store which this host did not notice.
     ManyVanished {
-        /// How many.
+        /// Number of vanished servers.
         servers: usize,
     },
     /// The store cannot be read.
@@ -118,11 +118,11 @@
         /// How long it could not be read.
         silence: time::Duration,
     },
-    /// The store came back from a copy of itself.
+    /// The store was restored from a backup.
     StoreRestored {
-        /// The last revision that was known.
+        /// The last revision known of the previous era.
         last: StoreRevision,
-        /// The first one of the new era that is known.
+        /// The first revision known of the new era.
         first: StoreRevision,
     },
     /// A peer does not answer.
@@ -130,38 +130,38 @@
         /// The peer.
         peer: net::SocketAddr,
     },
-    /// A peer that did not answer lives.
+    /// A peer that did not answer is reachable again.
     PeerRegained {
         /// The peer.
         peer: net::SocketAddr,
     },
-    /// No server of the own failure domain takes flows of a service any more.
+    /// No server of the own failure domain accepts flows of a service any more.
     OwnServersLost {
         /// The service.
         service: ServiceId,
     },
-    /// One does again.
+    /// A server of the own failure domain accepts flows of the service again.
     OwnServersRegained {
         /// The service.
         service: ServiceId,
     },
-    /// The host learns from somewhere else than before.
+    /// The host learns from another source than before.
     SourceChanged {
-        /// From there.
+        /// The new source.
         source: ReadSource,
     },
-    /// A peer knew something newer.
+    /// A peer sent newer data.
     PeerBelieved {
         /// The peer.
         peer: net::SocketAddr,
-        /// The revision that it knew.
+        /// The peer's revision.
         revision: StoreRevision,
-        /// The version that it knew.
+        /// The peer's configuration version.
         version: ConfigurationVersion,
     },
 }
 
-/// The beliefs of one host.
+/// What one host knows of routes, servers and peers, and whom it queries next.
 #[derive(Debug)]
 pub struct BeliefEngine {
     settings: BeliefSettings,
@@ -177,36 +177,37 @@
     choice: SourceChoice,
     start: StartPlan,
     places: TellingPlaces,
-    /// What hosts that know nothing are told, or what this one has been told of it.
+    /// The full server list that this host sends to hosts without data, or that it is
+    /// receiving.
     list: StartList,
-    /// The list before, which some are still being told.
+    /// The previous list, which some hosts are still receiving.
     last_list: StartList,
-    /// The host that one which had too many to tell named instead of itself.
+    /// The host to query next, as named by a host that was serving too many others.
     referred_to: Option<net::SocketAddr>,
     source: ReadSource,
     pause: time::Duration,
-    /// Whether a peer has told of servers that left before this host started.
+    /// Whether a peer has sent the servers that left before this host started.
     knows_left: bool,
-    /// What was known when the last question was asked.
+    /// The revision known when the last query was sent.
     asked_revision: StoreRevision,
-    /// When the last question was asked.
+    /// When the last query was sent.
     asked_at: Option<Timestamp>,
-    /// When the first page of the listing that is being read was said.
+    /// When the store sent the first page of the listing that is being read.
     listing_said_at: Option<Timestamp>,
     told_hosts_at: Option<Timestamp>,
-    /// Whether the last one who answered knows other hosts.
+    /// Whether the last peer that answered knows other hosts than this one.
     knows_other_hosts: bool,
     own_services: OwnServices,
     reports: sync::Arc<ReportTable>,
-    /// The host that was told reports last, and how far.
+    /// The host that reports were last sent to, and the serial up to which it has them.
     reports_told: Option<(net::SocketAddr, ReportSerial)>,
-    /// How far the host that was asked last has told its reports.
+    /// The host that was queried last, and the serial up to which it has sent its reports.
     reports_known: Option<(net::SocketAddr, ReportSerial)>,
     changes: Vec<BeliefChange>,
 }
 
 impl BeliefEngine {
-    /// Creates the beliefs of a host that has just started and knows nothing.
+    /// Creates the engine of a host that has just started and has no data.
     pub fn new(settings: BeliefSettings, jitter_seed: u64) -> Self {
         let peers = PeerBook::new(settings.address, settings.domain, &settings.seeds);
         let is_named = settings.seeds.contains(&settings.address);
@@ -244,7 +245,7 @@
         }
     }
 
-    /// What forwarding is to decide against.
+    /// The view that forwarding decides by.
     pub fn view(&self) -> ForwardingView {
         ForwardingView {
             domain: Some(self.settings.domain),
@@ -258,8 +259,8 @@
         }
     }
 
-    /// The part of this host in what cold servers get. It is not known while others may
-    /// know hosts that this one has not heard of.
+    /// This host's share of the flows that cold servers accept. It is unknown while peers
+    /// may know hosts that this one does not.
     fn cold_share(&self) -> Option<ColdShare> {
         let knows_hosts = !self.knows_other_hosts || self.settings.seeds.is_empty();
         knows_hosts.then(|| ColdShare {
@@ -268,45 +269,46 @@
         })
     }
 
-    /// The revision of the store up to which changes are known.
+    /// The store revision up to which changes are known.
     pub const fn revision(&self) -> StoreRevision {
         self.revision
     }
 
-    /// When this host, or a host that it asked, heard of the store last.
+    /// The time as of which the data was current: when the store last answered this host,
+    /// or a host that it learned from.
     pub const fn heard_at(&self) -> Timestamp {
         self.heard_at
     }
 
-    /// When the store was found silent last.
+    /// When a call to the store last failed, as far as this host knows.
     pub const fn silent_at(&self) -> Option<Timestamp> {
         self.silent_at
     }
 
-    /// Where this host learns from.
+    /// The source that this host learns from.
     pub const fn source(&self) -> ReadSource {
         self.source
     }
 
-    /// Whether there is something to tell a host that asks.
+    /// Whether this host has something newer than the host that sent `question`.
     pub fn knows_more_than(&self, question: &PeerQuestion) -> bool {
         self.revision > question.revision
             || self.routes.version() > question.version
             || self.has_reports_for(question)
     }
 
-    /// The peers that are known.
+    /// The known peers.
     pub const fn peers(&self) -> &PeerBook {
         &self.peers
     }
 
-    /// Takes out what changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<BeliefChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// What to ask the store next. Who learns from another host asks nothing while
-    /// what that tells is fresh.
+    /// The next call to the store. A host that learns from another host makes no calls
+    /// while the data from that host is fresh.
     pub fn next_store_call(&mut self, now: Timestamp) -> StoreCall {
         self.choose_source(now);
         let age = now.since(self.heard_at);
@@ -325,7 +327,8 @@
         }
     }
 
-    /// Whether this host leaves the store's list to others, which tell it.
+    /// Whether this host waits for others to send it the server list, instead of listing
+    /// the store.
     fn leaves_listing(&mut self, now: Timestamp) -> bool {
         if !self.start.waits_for_reader(now) {
             return self.knows_nothing()
@@ -335,7 +338,7 @@
         self.knows_nothing() || self.choice.host_to_ask(&self.peers, now).is_some()
     }
 
-    /// Whether neither the store nor a host has told anything yet.
+    /// Whether neither the store nor a peer has provided any data yet.
     pub(super) fn knows_nothing(&self) -> bool {
         self.revision == StoreRevision::ZERO
     }
@@ -350,18 +353,18 @@
             self.changes.push(BeliefChange::SourceChanged { source });
         }
         if trusted.is_some() && self.silent_since.is_some() {
-            // Whether the store would answer is no longer tried.
+            // The store is no longer called, so its failure is no longer tracked.
             self.silent_since = None;
         }
     }
 
-    /// Takes the outcome of the call that [`Self::next_store_call`] gave.
+    /// Handles the outcome of the call returned by [`Self::next_store_call`].
     pub fn handle_store(&mut self, now: Timestamp, outcome: StoreOutcome) {
         self.handle_store_answer(now, now, outcome);
     }
 
-    /// Takes the outcome of a call that the store answered at `said_at`. Long answers take
-    /// a while to come over a link that is full, and what they say is as old as that.
+    /// Handles the outcome of a call that the store answered at `said_at`. A long answer
+    /// takes a while over a saturated link, and its content is as old as `said_at`.
     pub fn handle_store_answer(
         &mut self,
         now: Timestamp,
@@ -385,8 +388,9 @@
         }
     }
 
-    /// A host that forwards takes a configuration over from the page that holds it: a list
-    /// of thousands of servers may take seconds, in which an older one would stay in force.
+    /// Applies a configuration as soon as its page arrives, once the host forwards: a list
+    /// of thousands of servers may take seconds, during which the older configuration would
+    /// stay in force.
     fn adopt_listed_routes(&mut self, outcome: &StoreOutcome) {
         let StoreOutcome::Page { items, .. } = outcome else {
             return;
@@ -401,7 +405,8 @@
         }
     }
 
-    /// Where a listing takes several pages, it is as old as the first one.
+    /// Returns the time at which the content of `outcome` was current: a listing of several
+    /// pages is as old as its first page.
     fn note_page(&mut self, said_at: Timestamp, outcome: &StoreOutcome) -> Timestamp {
         let StoreOutcome::Page { next, .. } = outcome else {
             self.listing_said_at = None;
@@ -430,8 +435,8 @@
         }
     }
 
-    /// Notes that `revision` is known now, where it shows that the store came back from a
-    /// copy. What is missing then says nothing until it is written again.
+    /// Detects by the era of `revision` that the store was restored from a backup. Entries
+    /// missing after that count as unknown, not as removed, until they are written again.
     fn note_era(&mut self, now: Timestamp, revision: StoreRevision) {
         if self.knows_nothing() || revision.era() <= self.revision.era() {
             return;
@@ -443,7 +448,7 @@
         });
     }
 
-    /// Ages what is known. To be called every half second.
+    /// Drops what has expired. To be called every 500 ms.
     pub fn tick(&mut self, now: Timestamp) {
         let lifetime = self.settings.flow_lifetime;
         if self.directory.evacuations().has_missing() {
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/own_servers.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/own_servers.rs
@@ -1,15 +1,15 @@
-//! Notes when the own failure domain has lost all servers of a service, and when it has
+//! Detects when the own failure domain has lost all servers of a service, and when it has
 //! some again.
 //!
-//! Callers are served by other domains meanwhile, later than usual, and by nobody while
-//! the domain is cut off; the log is to say from when to when.
+//! Other domains serve callers meanwhile, with more delay, and nobody does while the own
+//! domain is cut off. The log must show when this began and ended.
 
 use cardamomwinch_state::prelude::{DomainId, ServiceId};
 
 use crate::forwarding::beliefs::BeliefChange;
 use crate::forwarding::directory::{ServerDirectory, ServerPhase};
 
-/// The services that the own domain serves, and those that it no longer does.
+/// The services that have servers in the own domain, and those that have lost them all.
 #[derive(Debug, Default)]
 pub struct OwnServices {
     served: Vec<ServiceId>,
@@ -17,7 +17,7 @@
 }
 
 impl OwnServices {
-    /// Compares with what `directory` holds of `domain` now; returns what changed.
+    /// Compares with the servers of `domain` in `directory`; returns what changed.
     pub fn review(&mut self, directory: &ServerDirectory, domain: DomainId) -> Vec<BeliefChange> {
         let own = directory
             .iter()
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_book.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_book.rs
@@ -1,4 +1,4 @@
-//! The hosts that may be asked, and their order within a failure domain.
+//! The peers that a host can query, and their order within a failure domain.
 
 use std::net;
 use std::time;
@@ -8,20 +8,21 @@
 
 use crate::forwarding::beliefs::peer_word::PeerHost;
 
-/// Hosts of the own domain remembered at most: those that come first in the order.
-/// They are enough for everyone to find a source, and what is remembered is told
-/// to hosts that know others.
+/// The most hosts of the own domain that are remembered: the first ones in the order. These
+/// are enough for every host to find a source, and the list is sent to hosts that know
+/// others.
 const OWN_DOMAIN_LIMIT: usize = 64;
-/// Hosts of other domains remembered at most. They are asked where the own domain
-/// knows nothing.
+/// The most hosts of other domains that are remembered. They are queried when no host of
+/// the own domain has data.
 const OTHER_DOMAIN_LIMIT: usize = 32;
-/// A peer that did not answer so often in a row is forgotten, unless the
-/// settings name it: its address may belong to nobody any more.
+/// After this many unanswered queries in a row a peer is forgotten, unless the settings
+/// name it: its address may no longer belong to a host.
 const SILENCE_LIMIT: u32 = 3;
-/// For so long a peer that did not answer is passed over, and longer each time.
+/// How long a peer is skipped after an unanswered query, multiplied by the number of
+/// unanswered queries in a row.
 const SHUNNING: time::Duration = time::Duration::from_secs(5);
 
-/// What is known of a peer.
+/// What is known of one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PeerEntry {
     domain: Option<DomainId>,
@@ -36,8 +37,8 @@
     }
 }
 
-/// The number of the host at `address` in the order of its domain: the same
-/// everywhere, and without relation to names or racks.
+/// The number that orders the host at `address` within its domain: a hash of the address,
+/// the same on all hosts and unrelated to names or racks.
 pub const fn order_number(address: net::SocketAddr) -> u64 {
     let number = match address.ip() {
         net::IpAddr::V4(address) => address.to_bits() as u64,
@@ -46,7 +47,7 @@
     flow::mix(number ^ ((address.port() as u64) << 48))
 }
 
-/// The peers of a host.
+/// The peers that a host knows.
 #[derive(Debug, Clone)]
 pub struct PeerBook {
     own: net::SocketAddr,
@@ -56,13 +57,13 @@
 }
 
 impl PeerBook {
-    /// Begins with the hosts that the settings of the host at `own` name.
+    /// Creates the list with the seeds from the settings of the host at `own`.
     pub fn new(own: net::SocketAddr, domain: DomainId, seeds: &[net::SocketAddr]) -> Self {
         let mut book = Self {
             own,
             domain,
             peers: SortedVector::new(),
-            // Hosts must not all ask the same peer at first.
+            // Spreads the first queries of the hosts over the peers.
             cursor: order_number(own) as usize % OTHER_DOMAIN_LIMIT,
         };
         for seed in seeds.iter().filter(|seed| **seed != own) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// A host was told of by another one.
+    /// Adds a host that a peer has named.
     fn add(&mut self, host: PeerHost) {
         if host.address == self.own {
             return;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Whether there is room for `host`, in the place of another one if need be.
+    /// Whether there is room for `host`; removes another host if necessary.
     fn make_room(&mut self, host: PeerHost) -> bool {
         let own_domain = host.domain == Some(self.domain);
         let limit = if own_domain {
@@ -133,7 +134,7 @@
             .map(|(address, entry)| (*address, entry))
     }
 
-    /// The peers and this host.
+    /// The known peers and this host.
     pub fn hosts(&self) -> Vec<PeerHost> {
         let own = PeerHost {
             address: self.own,
@@ -146,19 +147,19 @@
         peers.chain([own]).collect()
     }
 
-    /// The hosts of the own domain, with this one.
+    /// The known hosts of the own domain, including this one.
     pub fn own_domain_hosts(&self) -> Vec<PeerHost> {
         self.hosts_in(self.domain)
     }
 
-    /// A digest of the hosts of the own domain, to compare with that of a peer.
+    /// A digest of the known hosts of the own domain, to compare with that of a peer.
     pub fn digest(&self) -> u64 {
         let hosts = self.own_domain_hosts();
         let sum = |sum: u64, host: &PeerHost| sum.wrapping_add(order_number(host.address));
         hosts.iter().fold(0, sum)
     }
 
-    /// The hosts of the own domain that come before this one in the order.
+    /// The known hosts of the own domain that precede this one in the order, unsorted.
     fn preceding(&self) -> impl Iterator<Item = (net::SocketAddr, &PeerEntry)> {
         let own = order_number(self.own);
         self.remembered().filter(move |(address, entry)| {
@@ -166,8 +167,8 @@
         })
     }
 
-    /// The hosts of the own domain that come before this one in the order, in
-    /// that order, but those that did not answer last time.
+    /// The hosts of the own domain that precede this one in the order, sorted by it,
+    /// without those that did not answer the last query.
     pub fn predecessors(&self) -> Vec<net::SocketAddr> {
         let answering = self.preceding().filter(|(_, entry)| entry.silences == 0);
         let mut hosts: Vec<_> = answering.map(|(address, _)| address).collect();
@@ -175,8 +176,8 @@
         hosts
     }
 
-    /// The host of the own domain that follows this one in the order, but for those that
-    /// did not answer last time.
+    /// The next host of the own domain after this one in the order, skipping those that did
+    /// not answer the last query.
     pub fn successor(&self) -> Option<net::SocketAddr> {
         let own = order_number(self.own);
         let later = self.remembered().filter(|(address, entry)| {
@@ -186,22 +187,21 @@
         hosts.min_by_key(|address| order_number(*address))
     }
 
-    /// A host before this one that did not answer, and is to be tried again. It
-    /// must have answered before others learn from it: meanwhile those behind it
-    /// take its place.
+    /// A host that precedes this one, did not answer, and is due for a retry. Other hosts
+    /// learn from it only after it has answered; until then later hosts replace it.
     pub fn silent_predecessor(&self, now: Timestamp) -> Option<net::SocketAddr> {
         let is_due = |entry: &PeerEntry| entry.silences > 0 && entry.shunned_until <= now;
         let mut due = self.preceding().filter(|(_, entry)| is_due(entry));
         due.next().map(|(address, _)| address)
     }
 
-    /// How many hosts of the own domain are known, with this one.
+    /// Number of known hosts of the own domain, including this one.
     pub fn own_domain_count(&self) -> usize {
         self.own_domain_hosts().len()
     }
 
-    /// The order numbers of the hosts of the own domain, with this one, that come first:
-    /// those that every host of the domain remembers.
+    /// The lowest order numbers of hosts of the own domain, including this one: the hosts
+    /// that every host of the domain remembers.
     pub fn first_order_numbers(&self) -> Vec<u64> {
         let hosts = self.own_domain_hosts();
         let mut numbers: Vec<_> = hosts.iter().map(|one| order_number(one.address)).collect();
@@ -210,27 +210,29 @@
         numbers
     }
 
-    /// Whether a host that the settings name was not found silent when it was asked last.
+    /// Whether a host named in the settings has answered its last query or was not queried
+    /// yet.
     pub fn may_answer(&self) -> bool {
         let mut entries = self.remembered().map(|(_, entry)| entry);
         entries.any(|entry| entry.named_in_settings && entry.silences == 0)
     }
 
-    /// The peer whose turn it is.
+    /// The next peer in the rotation.
     pub fn take_turn(&mut self) -> Option<net::SocketAddr> {
         self.take_turn_among(|_| true)
     }
 
-    /// The peer whose turn it is of those that know hosts of the own domain: hosts of that
-    /// domain, and those that the settings name. The latter are known to all, so that no
-    /// few hosts know only each other.
+    /// The next peer in the rotation among those that know hosts of the own domain: hosts
+    /// of that domain and those named in the settings. All hosts know the latter, so no
+    /// small group of hosts knows only its own members.
     pub fn take_turn_for_hosts(&mut self) -> Option<net::SocketAddr> {
         let domain = Some(self.domain);
         self.take_turn_among(|entry| entry.domain == domain || entry.named_in_settings)
     }
 
-    /// The peer to ask for everything: one that the settings name, since those read the
-    /// store first, also one that was silent, since it may have started meanwhile.
+    /// The peer to query for the full list: one named in the settings, because those read
+    /// the store first. A peer that did not answer is included, because it may have started
+    /// meanwhile.
     pub fn take_turn_at_start(&mut self) -> Option<net::SocketAddr> {
         self.take_turn_among(|entry| entry.named_in_settings)
     }
@@ -246,15 +248,15 @@
         Some(fitting[position])
     }
 
-    /// The hosts of `domain` that are remembered.
+    /// The known hosts of `domain`.
     pub fn hosts_in(&self, domain: DomainId) -> Vec<PeerHost> {
         let mut hosts = self.hosts();
         hosts.retain(|host| host.domain == Some(domain));
         hosts
     }
 
-    /// `host` itself has asked, so that it lives, and knows `hosts`. Returns whether it
-    /// did not answer until then.
+    /// Records that `host` has sent a query, which shows that it is alive, and that it
+    /// knows `hosts`. Returns whether it had not answered before.
     pub fn note_question(&mut self, host: PeerHost, hosts: &[PeerHost]) -> bool {
         self.add(host);
         let regained = self.note_life(host.address);
@@ -272,7 +274,8 @@
         std::mem::take(&mut entry.silences) > 0
     }
 
-    /// `peer` answered, and knows `hosts`. Returns whether it did not answer until then.
+    /// Records that `peer` answered and knows `hosts`. Returns whether it had not answered
+    /// before.
     pub fn note_answer(&mut self, peer: net::SocketAddr, hosts: &[PeerHost]) -> bool {
         let regained = self.note_life(peer);
         for host in hosts {
@@ -281,7 +284,7 @@
         regained
     }
 
-    /// `peer` did not answer. Returns whether it did until then.
+    /// Records that `peer` did not answer. Returns whether it had answered before.
     pub fn note_silent(&mut self, peer: net::SocketAddr, now: Timestamp) -> bool {
         let Some(entry) = self.peers.get_mut(&peer) else {
             return false;
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_exchange.rs
@@ -1,5 +1,4 @@
-//! What a host asks other hosts, what it makes of their answers, and what it
-//! answers itself.
+//! Queries to other hosts, the handling of their answers, and the answers to their queries.
 
 use std::mem;
 use std::net;
@@ -18,55 +17,54 @@
 use crate::forwarding::directory::{ServerPhase, ServerRecord};
 use crate::forwarding::evacuations::EvacuationRecord;
 
-/// How long a question to another host may wait for something new. A reader hears
-/// of the store at least every two seconds, and passes that on at once.
+/// How long a query may wait at another host for something new. A reader has contact with
+/// the store at least every two seconds, and passes that on at once.
 const QUESTION_WAIT: time::Duration = time::Duration::from_millis(2_300);
-/// The pause between two questions, in which changes gather.
+/// The pause between two queries, during which changes accumulate.
 const QUESTION_PAUSE: time::Duration = time::Duration::from_millis(20);
-/// What an answer tells must be later than what was known by this.
+/// The data of an answer counts as new if it is later than the known data by at least this.
 const LEAST_ADVANCE: time::Duration = time::Duration::from_millis(100);
-/// The pause after an answer that brought reports about servers and nothing else, in which
-/// further ones gather.
+/// The pause after an answer that had only new reports about servers, during which further
+/// reports accumulate.
 const REPORT_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// The pause after an answer that tells only that somebody reads everything from the store.
+/// The pause after an answer that says only that some host is listing the store.
 const READER_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// The pause after an answer that was of no use, before another host is asked.
+/// The pause after a useless answer, before another host is queried.
 const MISS_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// The pause where the last answer told nothing new, or nobody is to be asked.
+/// The pause when the last answer had nothing new, or there is no host to query.
 pub(super) const IDLE_PAUSE: time::Duration = time::Duration::from_millis(400);
-/// How often a host may tell another one all hosts that it knows and be told those
-/// of the other. A list takes up to three kilobytes. It is told only where the two
-/// know different hosts, and readers ask so often whether they do.
+/// How often a host may exchange lists of known hosts with another one. A list takes up to
+/// three kilobytes. It is sent only if the two know different hosts; readers check at this
+/// interval whether they do.
 const HOSTS_PERIOD: time::Duration = time::Duration::from_secs(3);
 
-/// How long a question of a host that knows nothing yet may wait at another one that has
-/// just started, too. Meanwhile it can ask nobody else.
+/// How long a query of a host without data may wait at a peer that has just started, too.
+/// The host can query no other peer meanwhile.
 const START_WAIT: time::Duration = time::Duration::from_millis(300);
-/// The pause between two questions of a host that knows nothing yet, and was named
-/// nobody to ask.
+/// The pause between two queries of a host without data that was not redirected.
 const START_PAUSE: time::Duration = time::Duration::from_millis(10);
-/// How often, where the last one that was asked knows other hosts: until lists agree, more
-/// hosts than need be take themselves for readers.
+/// How often hosts exchange lists of known hosts while the last queried peer knows other
+/// hosts. Until the lists agree, too many hosts act as readers.
 const DIFFERING_HOSTS_PERIOD: time::Duration = time::Duration::from_millis(800);
-/// And how often in the first seconds after a start, when all are looking for their place.
+/// The same in the first seconds after a start, when all hosts are finding their source.
 const YOUNG_HOSTS_PERIOD: time::Duration = time::Duration::from_millis(300);
 
-/// How much an answer tells.
+/// How much an answer contains.
 #[derive(Debug)]
 enum WordExtent {
     /// Neither routes nor servers.
     Nothing {
-        /// A host that is to be asked instead, where this one knows any.
+        /// Another host to query instead, if this one knows any.
         ask_instead: Option<net::SocketAddr>,
     },
-    /// What changed since what the asker knows.
+    /// What changed after the revision of the querying host.
     Difference,
-    /// A part of everything; with the last one, all but servers.
+    /// A part of the full server list. The last part comes with everything else.
     Part(ListPart),
 }
 
 impl WordExtent {
-    /// Whether routes and evacuations are told.
+    /// Whether the answer includes routes and evacuations.
     const fn tells_rest(&self) -> bool {
         match self {
             Self::Nothing { .. } => false,
@@ -77,10 +75,10 @@
 }
 
 impl BeliefEngine {
-    /// The host to ask now, if one should be asked: the one that this host learns
-    /// from; anyone while the store is silent; and anyone after the start, because
-    /// peers remember servers that have left the store's list with flows still on
-    /// them. Readers also ask from time to time which hosts there are.
+    /// The next query and the host to send it to, if there is one: the host that this one
+    /// learns from; any host while the store fails; and any host after the start, because
+    /// peers remember servers that were removed from the store with flows still on them.
+    /// Readers also query from time to time to learn of other hosts.
     pub fn next_peer(&mut self, now: Timestamp) -> Option<(net::SocketAddr, PeerQuestion)> {
         self.choose_source(now);
         let hosts_due = self.hosts_are_due(now);
@@ -111,7 +109,7 @@
         Some((peer, question))
     }
 
-    /// Whether it is time to compare which hosts there are.
+    /// Whether it is time to exchange lists of known hosts.
     fn hosts_are_due(&mut self, now: Timestamp) -> bool {
         let period = match self.knows_other_hosts {
             true if self.start.is_young(now) => YOUNG_HOSTS_PERIOD,
@@ -122,7 +120,7 @@
         told_at.is_none_or(|at| now.since(at) >= period)
     }
 
-    /// The host to ask now, and how long the question may wait there.
+    /// The host to query now, and how long the query may wait there.
     fn peer_to_ask(
         &mut self,
         now: Timestamp,
@@ -131,7 +129,8 @@
         if let Some(host) = self.referred_to.take() {
             return Some((host, START_WAIT));
         }
-        // Whoever is cut off must not cost a whole wait, in which nothing is learned.
+        // A host that is cut off must not use up a whole wait, during which nothing new
+        // arrives.
         if let Some(host) = self.peers.silent_predecessor(now) {
             return Some((host, time::Duration::ZERO));
         }
@@ -161,12 +160,12 @@
         }
     }
 
-    /// How long to wait before the next question to a peer.
+    /// How long to pause before the next query to a peer.
     pub const fn peer_pause(&self) -> time::Duration {
         self.pause
     }
 
-    /// Takes the answer of `peer`, or that there was none.
+    /// Handles the answer of `peer`, or its absence.
     pub fn handle_peer(&mut self, now: Timestamp, peer: net::SocketAddr, word: Option<PeerWord>) {
         let follows = self.choice.host_to_ask(&self.peers, now) == Some(peer);
         let is_useful = follows && self.choice.note_word(now, word.as_ref());
@@ -179,7 +178,7 @@
             }
             None => {}
         }
-        // Who answers at once without anything new has too many questions.
+        // A peer that answers at once without anything new has too many waiting queries.
         let learned = self.heard_at >= heard_at.after(LEAST_ADVANCE);
         self.pause = match self.choice.host_to_ask(&self.peers, now) {
             _ if self.referred_to.is_some() => time::Duration::ZERO,
@@ -217,7 +216,8 @@
                 is_last: word.all_servers,
                 heard_at: said_at.before(word.age),
             });
-            // The next part, what changed since, or all again.
+            // The next query asks for the next part, for later changes, or for the whole
+            // list again.
             self.referred_to = Some(peer);
             self.start.note_reader(now);
             if !fits {
@@ -228,7 +228,8 @@
         }
         if revision == StoreRevision::ZERO {
             if word.list.is_none() {
-                // Who waits at a host that is to be told everything keeps its place there.
+                // A host that waits for the full list keeps its slot at the host it waits
+                // at.
                 let keeps_place = self.start.waits_for_reader(now).then_some(peer);
                 self.referred_to = word.ask_instead.or(keeps_place);
             }
@@ -268,8 +269,9 @@
         }
     }
 
-    /// When an answer whose question `waited` was said at the earliest. It may have been on
-    /// its way for seconds, where it is long and a link is full: what it says is as old.
+    /// The earliest time at which the answer was sent, for a query that `waited` at the
+    /// peer. A long answer over a saturated link may take seconds to arrive, and its
+    /// content is as old as this.
     pub(super) fn said_at(&self, now: Timestamp, waited: time::Duration) -> Timestamp {
         let asked_at = self.asked_at.unwrap_or(now);
         asked_at.after(waited).min(now)
@@ -317,9 +319,9 @@
         self.reader.skip_to(revision);
     }
 
-    /// Takes over servers that have left, as a peer remembers them. They count as
-    /// having left also where their entries vanished: it is long ago for a host
-    /// that has not known them.
+    /// Adds servers that have left, as a peer remembers them. Servers whose entries
+    /// vanished count as having left, too: for a host that never knew them, that is long
+    /// ago.
     fn remember_left(&mut self, servers: Vec<ServerRecord>) {
         let unknown =
             |server: &ServerRecord| !server.is_listed() && self.directory.get(server.id).is_none();
@@ -335,9 +337,9 @@
         }
     }
 
-    /// How much to tell whoever asks `question`. Many hosts that start together ask the
-    /// few that the settings name, whose links and memory it would fill if each were told
-    /// everything at once; the others are told whom else to ask.
+    /// How much to send to the host of `question`. Many hosts that start at the same time
+    /// query the few that the settings name. Sending everything to all of them at once
+    /// would saturate their links and memory, so the others are redirected.
     fn extent_for(&mut self, now: Timestamp, question: &PeerQuestion) -> WordExtent {
         let knows_changes =
             || self.directory.changed_after(question.revision).is_some() && !self.knows_nothing();
@@ -355,13 +357,13 @@
         }
     }
 
-    /// Whether what changed does not suffice for whoever asks `question`. It may know what
-    /// this host never heard of, and the store has lost.
+    /// Whether the host of `question` needs the full list. A host with data of an earlier
+    /// era may know entries that the store has lost and this host has never seen.
     fn needs_all(&self, question: &PeerQuestion) -> bool {
         question.knows_nothing() || question.revision.era() < self.revision.era()
     }
 
-    /// The next part of the list that whoever asks `question` is being told.
+    /// The next part of the list for the host of `question`.
     fn part_for(&mut self, now: Timestamp, question: &PeerQuestion) -> WordExtent {
         let limit = self.settings.list_part;
         let is_earlier = question.list.is_some_and(|from| self.last_list.holds(from));
@@ -388,18 +390,18 @@
         self.last_list = mem::replace(&mut self.list, list);
     }
 
-    /// Whether there is a part for whoever asks `question`, which this host has been told.
+    /// Whether this host has already received a part that the host of `question` lacks.
     pub(super) fn has_part_for(&self, question: &PeerQuestion) -> bool {
         let part = self.list.part_after(question.list, self.settings.list_part);
         part.is_some_and(|part| !part.servers.is_empty())
     }
 
-    /// Whether whoever asks `question` may wait here to be told everything.
+    /// Whether the host of `question` has a slot here to receive the full list.
     pub(super) fn gives_place(&mut self, question: &PeerQuestion, now: Timestamp) -> bool {
         self.places.choose(question.host.address, now) == TellingChoice::Tell
     }
 
-    /// Answers a peer. It also learns that the peer is there.
+    /// Answers a query. Also records that the peer exists.
     pub fn answer_peer(&mut self, now: Timestamp, question: &PeerQuestion) -> PeerWord {
         if self.peers.note_question(question.host, &question.hosts) {
             let peer = question.host.address;
@@ -475,8 +477,8 @@
         word
     }
 
-    /// How long ago a host was heard of that reads everything from the store, which this one
-    /// waits for: it may be one itself.
+    /// How long ago a host was known to be listing the store, while this one waits for it.
+    /// Zero if this host is the one.
     pub(super) fn reader_heard(&mut self, now: Timestamp) -> Option<time::Duration> {
         let lists = !self.reader.is_watching() && !self.leaves_listing(now);
         let reads = lists && self.silent_since.is_none();
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_word.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_word.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other about routes and servers.
+//! Messages about routes and servers between hosts.
 
 use std::net;
 use std::time;
@@ -16,88 +16,89 @@
     ReportSerial, ReportSubject, ReporterId, ServerReport, ServerSilence,
 };
 
-/// What a host that asks knows already.
+/// A query to another host: what the querying host already knows, and how long the answer
+/// may wait.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerQuestion {
     /// The revision of its directory.
     pub revision: StoreRevision,
     /// The version of its configuration.
     pub version: ConfigurationVersion,
-    /// Whether a peer has told it of servers that left before it started.
+    /// Whether a peer has sent it the servers that left before it started.
     pub knows_left: bool,
-    /// Whether it cannot read the store.
+    /// Whether its calls to the store fail.
     pub store_silent: bool,
-    /// How old what it knows is.
+    /// How old its data is.
     pub age: time::Duration,
     /// How long the answer may wait for something newer.
     pub wait: time::Duration,
-    /// How far the asked host has told its reports about servers.
+    /// The serial up to which it has the reports of the queried host.
     pub reports_known: ReportSerial,
-    /// What it has of a list of all servers that it is being told.
+    /// The position up to which it has received a full server list.
     pub list: Option<ListPosition>,
-    /// The hosts of its failure domain that it knows, where it asks for others.
+    /// The hosts of its failure domain that it knows, if it asks for others.
     pub hosts: Vec<PeerHost>,
     /// The host itself.
     pub host: PeerHost,
 }
 
-/// How long an answer may take beyond the time that it may wait. A peer that is up
-/// answers within milliseconds.
+/// How long an answer may take in addition to the wait. A healthy peer answers within
+/// milliseconds.
 const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
 impl PeerQuestion {
-    /// Whether the asker knows nothing yet.
+    /// Whether the querying host has no data yet.
     pub fn knows_nothing(&self) -> bool {
         self.revision == StoreRevision::ZERO
     }
 
-    /// How long the asker waits for the whole answer.
+    /// How long the querying host waits for the answer.
     pub fn timeout(&self) -> time::Duration {
         self.wait + ANSWER_TIMEOUT
     }
 }
 
-/// A host that can be asked.
+/// A host that can be queried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerHost {
-    /// Where it can be asked.
+    /// The address that it is queried at.
     pub address: net::SocketAddr,
-    /// The failure domain that it stands in, where that is known.
+    /// Its failure domain, if known.
     pub domain: Option<DomainId>,
 }
 
-/// A server as a peer knows it. Hosts do not agree on the time, so that ages
-/// are told instead.
+/// A server in an answer. Hosts have no common clock, so the times are durations relative
+/// to the answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerServer {
     /// Its identifier.
     pub id: BackendId,
-    /// When its process started, where it says so.
+    /// When its process started, if published.
     pub started: Option<ServerStart>,
-    /// Where it takes packets.
+    /// The address that packets are sent to.
     pub address: net::SocketAddr,
     /// The service that it serves.
     pub service: ServiceId,
-    /// The failure domain that it stands in.
+    /// Its failure domain.
     pub domain: DomainId,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it processes at the same time.
     pub slots: SlotCount,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// Whether its entry cannot be understood.
+    /// Whether its entry cannot be parsed.
     pub unreadable: bool,
-    /// How long ago it was taken off the store's list, if it was.
+    /// How long ago it was removed from the store, if it was.
     pub unlisted_for: Option<time::Duration>,
-    /// Whether its entry vanished without a word before.
+    /// Whether its entry vanished without draining first.
     pub vanished: bool,
-    /// How much longer it is slow because it has just started.
+    /// How much longer it is cold after its start.
     pub cold_left: time::Duration,
     /// The revision that changed it last.
     pub changed: StoreRevision,
 }
 
 impl PeerServer {
-    /// Describes `server` as it is known at `now`.
+    /// Describes `server` as known at `now`.
     pub fn from_record(server: &ServerRecord, now: Timestamp) -> Self {
         Self {
             id: server.id,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The server as it is known at `now`.
+    /// Converts into a record received at `now`.
     pub fn into_record(self, now: Timestamp) -> ServerRecord {
         let since = self.unlisted_for.map(|age| now.before(age));
         let phase = match since {
@@ -144,21 +145,21 @@
     }
 }
 
-/// An evacuation of a failure domain as a peer knows it.
+/// An evacuation of a failure domain in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerEvacuation {
     /// The domain.
     pub domain: DomainId,
     /// How long ago it ended, if it did.
     pub ended_for: Option<time::Duration>,
-    /// How long the store has been without it since it came back from a copy.
+    /// How long the store has lacked it since it was restored from a backup, if it does.
     pub missing_for: Option<time::Duration>,
     /// The revision that began or ended it.
     pub changed: StoreRevision,
 }
 
 impl PeerEvacuation {
-    /// Describes `record` as it is known at `now`.
+    /// Describes `record` as known at `now`.
     pub fn from_record(record: &EvacuationRecord, now: Timestamp) -> Self {
         Self {
             domain: record.domain,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// The evacuation as it is known at `now`.
+    /// Converts into a record received at `now`.
     pub fn into_record(self, now: Timestamp) -> EvacuationRecord {
         let phase = match (self.ended_for, self.missing_for) {
             (Some(ago), _) => EvacuationPhase::Ended {
@@ -193,26 +194,27 @@
     }
 }
 
-/// A report about a server as it is passed on. Hosts do not agree on the time, so that
-/// ages are told instead.
+/// A report about a server in a message. Hosts have no common clock, so the times are
+/// durations relative to the message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerReport {
     /// The server.
     pub server: BackendId,
-    /// What it is about.
+    /// What the report is about.
     pub subject: ReportSubject,
-    /// Who saw it.
+    /// The host that made the observation.
     pub reporter: ReporterId,
-    /// Rises with each statement of the reporter.
+    /// Rises with each report of the reporter.
     pub number: u64,
-    /// How long ago it was seen last.
+    /// How long ago the observation was made.
     pub age: time::Duration,
-    /// How many flows wait in vain, and for how long; `None` where the server does well.
+    /// Number of flows without an answer, and for how long they have waited; `None` if the
+    /// server responds.
     pub silence: Option<(u32, time::Duration)>,
 }
 
 impl PeerReport {
-    /// Describes `report` as it is told at `now`.
+    /// Describes `report` as known at `now`.
     pub fn from_report(report: &ServerReport, now: Timestamp) -> Self {
         let describe = |silence: ServerSilence| (silence.flows, now.since(silence.since));
         Self {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// The report as it is known at `now`.
+    /// Converts into a report received at `now`.
     pub fn into_report(self, now: Timestamp) -> ServerReport {
         let restore = |(flows, age)| ServerSilence {
             flows,
@@ -242,41 +244,41 @@
     }
 }
 
-/// What a host answers.
+/// The answer to a [`PeerQuestion`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerWord {
-    /// The revision of its directory; zero where it tells nothing of that.
+    /// The revision of its directory; zero if the answer has no data.
     pub revision: StoreRevision,
-    /// How long the question waited for this answer.
+    /// How long the query waited for this answer.
     pub waited: time::Duration,
-    /// How long ago it last heard of the store, itself or through others.
+    /// How long ago its data was current with the store.
     pub age: time::Duration,
-    /// How long ago the store was last found silent, if it was.
+    /// How long ago a call to the store last failed, as far as it knows.
     pub store_silent_for: Option<time::Duration>,
-    /// What is newer in its configuration than what the asker knows.
+    /// The routes that are newer than the configuration of the querying host.
     pub routes: Option<RouteDifference>,
-    /// The servers that changed since the revision of the asker, or all.
+    /// The servers that changed after the revision of the querying host, or a part of all
+    /// servers.
     pub servers: Vec<PeerServer>,
-    /// Where the servers stand in a list of all that is told in parts, if they do.
+    /// The position of the servers in a full list that is sent in parts, if it is.
     pub list: Option<ListPosition>,
-    /// Whether these are, with earlier parts of the list, all servers that it knows, and
-    /// the evacuations are all.
+    /// Whether these are, together with earlier parts of the list, all servers that it
+    /// knows, and the evacuations are complete.
     pub all_servers: bool,
-    /// The evacuations that changed since the revision of the asker, or all.
+    /// The evacuations that changed after the revision of the querying host, or all.
     pub evacuations: Vec<PeerEvacuation>,
-    /// Its reports about servers that the asker does not know from it.
+    /// Its reports about servers that it has not sent to the querying host yet.
     pub reports: Vec<PeerReport>,
-    /// How far it has told its reports with these.
+    /// The serial up to which it has sent its reports, including these.
     pub reports_serial: ReportSerial,
-    /// A digest of the hosts of its failure domain that it knows, where the asker
-    /// stands there too.
+    /// A digest of the hosts of its failure domain that it knows, if the querying host is
+    /// in the same domain.
     pub hosts_digest: Option<u64>,
-    /// Hosts that it knows, where the asker does not know the same.
+    /// Hosts that it knows, if the querying host knows different ones.
     pub hosts: Vec<PeerHost>,
-    /// A host to ask instead, where the asker knows nothing and this one has told
-    /// everything to too many, or has too many that wait.
+    /// A host to query instead, if the querying host has no data and this one is already
+    /// sending the full list to the maximum of hosts, or has that many waiting.
     pub ask_instead: Option<net::SocketAddr>,
-    /// How long ago a host that reads everything from the store was heard of, where this one
-    /// knows nothing yet.
+    /// How long ago a host was known to be listing the store, if this one has no data yet.
     pub reader_heard: Option<time::Duration>,
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
@@ -1,14 +1,15 @@
-//! Where a host learns from: the store, or another host of its failure domain.
+//! Chooses the source that a host learns from: the store, or another host of its failure
+//! domain.
 //!
-//! Every host orders the hosts of its domain alike. The first few read the store;
-//! each other one asks a host before it, which answers as soon as it has heard of
-//! something newer. Nobody is appointed and nothing is agreed: hosts that know
-//! different hosts only ask more of the store than need be. What keeps every host
-//! right is the age of what it knows, which is told along. Where that grows, a
-//! host asks another one, and reads the store itself.
+//! All hosts sort the hosts of a domain in the same order. The first few read the store.
+//! Every other host queries one that precedes it, which answers as soon as it has something
+//! newer. There is no election and no agreement: hosts that know different hosts only make
+//! more calls to the store than necessary. Correctness depends on the age of the data,
+//! which every answer includes. When the data gets too old, a host queries another host and
+//! reads the store itself.
 //!
-//! Without this the calls to the store grow with the number of hosts, and each
-//! host receives every listing and every change over its own link.
+//! Otherwise the calls to the store would grow with the number of hosts, and each host
+//! would receive every listing and every change over its own link.
 
 use std::fmt;
 use std::net;
@@ -19,42 +20,43 @@
 use crate::forwarding::beliefs::peer_book::{self, PeerBook};
 use crate::forwarding::beliefs::peer_word::PeerWord;
 
-/// A domain has one reader for so many hosts, so that the loss of one concerns few.
+/// A domain has one reader per this many hosts, so that the loss of a reader affects few of
+/// them.
 const HOSTS_PER_READER: usize = 8;
-/// More readers than this add calls and nothing else.
+/// The most readers of a domain. More of them only add calls to the store.
 const READER_LIMIT: usize = 2;
-/// How many hosts ask the same one. Each question in a quiet second takes half a
-/// kilobyte both ways; a host may use two kilobytes a second.
+/// How many hosts query the same host. While nothing changes, each query takes half a
+/// kilobyte per second in both directions; a host may use two kilobytes per second.
 const FAN_OUT: usize = 4;
-/// For so long after a useless answer a host asks another one than it would. A
-/// host that the store turns away stays in reach, and would be asked in vain.
+/// How long a host uses another source after a useless answer. A host that the store
+/// refuses is still reachable, and would otherwise be queried in vain.
 const DETOUR: time::Duration = time::Duration::from_secs(15);
-/// From this rank on hosts may not know all hosts before them, so that many seem
-/// to have the same rank. They spread over the hosts behind [`INNER_RANKS`].
+/// From this rank on hosts may not know all hosts that precede them, so that many compute
+/// the same rank. They spread their queries over the hosts after [`INNER_RANKS`].
 const SPREAD_RANK: usize = 48;
-/// Hosts of lower rank are asked by others by their rank.
+/// Hosts below this rank are sources of hosts chosen by rank.
 const INNER_RANKS: usize = SPREAD_RANK / FAN_OUT;
-/// So many useless answers in a row, and the host reads the store meanwhile.
+/// After this many useless answers in a row the host reads the store.
 const MISS_LIMIT: usize = 2;
-/// What a source tells must not be older. Readers hear of the store at least
-/// every two seconds.
+/// The maximum age of the data of a useful answer. Readers have contact with the store at
+/// least every two seconds.
 const LATEST_WORD: time::Duration = time::Duration::from_millis(2_400);
-/// A source that found the store silent so lately knows nothing of what happens.
+/// A source whose call to the store failed more recently than this has no current data.
 const SILENCE_MEMORY: time::Duration = time::Duration::from_secs(1);
-/// What a host knows must not get older than this before it reads the store
-/// itself, and up to [`STALENESS_SPREAD`] more, so that not all hosts of a domain
-/// that lost their source go to the store at once.
+/// At this age of its data a host reads the store itself, plus up to [`STALENESS_SPREAD`],
+/// so that not all hosts of a domain that lost their source call the store at the same
+/// time.
 const STALENESS: time::Duration = time::Duration::from_millis(2_600);
 /// See [`STALENESS`].
 const STALENESS_SPREAD: time::Duration = time::Duration::from_millis(600);
 
-/// Where a host learns from.
+/// The source that a host learns from.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum ReadSource {
-    /// From the store itself.
+    /// The store.
     #[default]
     Store,
-    /// From this host.
+    /// The host at this address.
     Host(net::SocketAddr),
 }
 
@@ -73,13 +75,13 @@
     order_number: u64,
     /// Useless answers in a row.
     misses: usize,
-    /// How many hosts further than its first one the host asks, and until when.
+    /// How many hosts after its first choice the host queries, until `detour_until`.
     detour: usize,
     detour_until: Timestamp,
 }
 
 impl SourceChoice {
-    /// Begins for the host that others ask at `own`.
+    /// Creates the choice of the host at address `own`.
     pub const fn new(own: net::SocketAddr) -> Self {
         Self {
             order_number: peer_book::order_number(own),
@@ -89,7 +91,7 @@
         }
     }
 
-    /// The host to ask; `None` for a reader.
+    /// The host to query; `None` for a reader.
     pub fn host_to_ask(&self, peers: &PeerBook, now: Timestamp) -> Option<net::SocketAddr> {
         let predecessors = peers.predecessors();
         let hosts = peers.own_domain_count();
@@ -111,8 +113,8 @@
         Some(predecessors[(first + detour) % rank])
     }
 
-    /// The host that is told what this one has seen of servers: the one that it asks, and
-    /// among readers another one, which the others do not all learn from.
+    /// The host to send reports about servers to: the one that this host queries. A reader
+    /// sends them to another reader, because not all hosts learn from the same one.
     pub fn host_to_report_to(&self, peers: &PeerBook, now: Timestamp) -> Option<net::SocketAddr> {
         let source = self.host_to_ask(peers, now);
         source.or_else(|| match peers.predecessors().first() {
@@ -121,18 +123,17 @@
         })
     }
 
-    /// Whether the host reads the store itself although it has someone to ask.
+    /// Whether the host reads the store itself although it has a source.
     pub fn distrusts_hosts(&self, age: time::Duration) -> bool {
         self.misses >= MISS_LIMIT || age >= self.staleness()
     }
 
-    /// The age from which on what the host knows is not relied on.
+    /// The age at which the host no longer relies on its data.
     fn staleness(&self) -> time::Duration {
         STALENESS + STALENESS_SPREAD * (self.order_number % 16) as u32 / 16
     }
 
-    /// Notes what the host that was asked has told, if anything. Returns whether
-    /// it was of use.
+    /// Records the answer of the source, if any. Returns whether it was useful.
     pub fn note_word(&mut self, now: Timestamp, word: Option<&PeerWord>) -> bool {
         let is_useful = word.is_some_and(|word| {
             let silent = word.store_silent_for;
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/report_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/report_exchange.rs
@@ -1,8 +1,10 @@
-//! How reports about servers get from host to host: up to the host that a host learns
-//! from, which passes them on in the same way, and down with the answers to questions.
-//! So each host speaks with few others however many there are, and what one has seen is
-//! known in the whole domain after some steps. Other domains are told nothing: while one
-//! is cut off, its servers are silent for them and serve its own hosts.
+//! Exchange of reports about servers between hosts.
+//!
+//! A host sends its reports to the host that it learns from, which passes them on in the
+//! same way, and receives those of others with the answers to its queries. Each host
+//! communicates with few others, whatever their number, and a report reaches the whole
+//! domain in a few steps. Reports don't go to other domains: while a domain is cut off, its
+//! servers are silent for other domains but still serve its own hosts.
 
 use std::net;
 use std::sync;
@@ -14,8 +16,7 @@
 use crate::forwarding::server_reports::{ReportSerial, ServerReport};
 
 impl BeliefEngine {
-    /// Takes over what this host or others have seen of servers. Returns whether any of it
-    /// was new.
+    /// Adds reports of this host or of others. Returns whether any was new.
     pub fn take_reports(
         &mut self,
         now: Timestamp,
@@ -28,7 +29,7 @@
         self.reports.serial() != before
     }
 
-    /// The reports that are to be told now, and to whom.
+    /// The reports to send now, and the host to send them to.
     pub fn next_reports(&mut self, now: Timestamp) -> Option<(net::SocketAddr, Vec<PeerReport>)> {
         let host = self.choice.host_to_report_to(&self.peers, now)?;
         let told = self.reports_told.filter(|(known, _)| *known == host);
@@ -38,12 +39,13 @@
         (!reports.is_empty()).then_some((host, reports))
     }
 
-    /// The host that was told reports last did not answer: it is told everything again.
+    /// Sends all reports again with the next message, because the last one was not
+    /// answered.
     pub const fn forget_told_reports(&mut self) {
         self.reports_told = None;
     }
 
-    /// The reports that came after `serial`, as they are told at `now`.
+    /// The reports after `serial`, as known at `now`.
     pub(super) fn describe_reports(&self, serial: ReportSerial, now: Timestamp) -> Vec<PeerReport> {
         let later = self.reports.after(serial);
         later
@@ -51,14 +53,14 @@
             .collect()
     }
 
-    /// Whether there are reports to tell whoever asks `question`.
+    /// Whether there are reports for the host of `question`.
     pub(super) fn has_reports_for(&self, question: &PeerQuestion) -> bool {
         let same_domain = question.host.domain == Some(self.settings.domain);
         same_domain && self.reports.serial() != question.reports_known
     }
 
-    /// How far this process has told its reports to whoever asks `question`, who may have
-    /// asked a process that ran here before.
+    /// The serial up to which the host of `question` has the reports of this process. Its
+    /// query may refer to an earlier process at this address.
     pub(super) fn reports_known_by(&self, question: &PeerQuestion) -> ReportSerial {
         let known = question.reports_known;
         if known > self.reports.serial() {
@@ -68,14 +70,14 @@
         }
     }
 
-    /// How far `peer` has told its reports.
+    /// The serial up to which `peer` has sent its reports.
     pub(super) fn reports_known_of(&self, peer: net::SocketAddr) -> ReportSerial {
         let known = self.reports_known.filter(|(host, _)| *host == peer);
         known.map(|(_, serial)| serial).unwrap_or_default()
     }
 
-    /// Takes over the reports in the answer of `peer`, if there was one. Returns whether
-    /// any of them was new.
+    /// Adds the reports in the answer of `peer`, if there was one. Returns whether any of
+    /// them was new.
     pub(super) fn take_told_reports(
         &mut self,
         now: Timestamp,
@@ -87,8 +89,8 @@
             return false;
         };
         self.reports_known = Some((peer, word.reports_serial));
-        // An answer may be on its way for long, where a link is full. Taken for younger
-        // than they are, reports would survive what others have seen since.
+        // An answer may take long to arrive over a saturated link. With the time of arrival
+        // instead, reports would override later observations of other hosts.
         let said_at = self.said_at(now, word.waited);
         let reports = word.reports.iter();
         self.take_reports(now, reports.map(|report| report.into_report(said_at)))
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
@@ -1,7 +1,7 @@
-//! The list of all servers as it is told to a host that knows nothing, in parts.
+//! The list of all servers as it is sent, in parts, to a host without data.
 //!
 //! A host passes on the parts that it has while it waits for the next ones, so that the
-//! time until all know everything hardly grows with the number of hosts in between.
+//! number of hosts in between adds little to the time until all have the list.
 
 use std::time;
 
@@ -11,17 +11,16 @@
 use crate::forwarding::beliefs::store_call::StoreRevision;
 use crate::forwarding::directory::ServerRecord;
 
-/// Servers that are told at a time: some 25 kilobytes, a fiftieth of a second on a link of
-/// 10 Mbit/s.
+/// The most servers in a part: some 25 kilobytes, which take 20 ms on a link of 10 Mbit/s.
 pub const PART_LIMIT: usize = 512;
-/// A list that is older than this is not told to further hosts, which would take themselves
-/// for up to date too late.
+/// A list older than this is not sent to further hosts, because their data would be too old
+/// on arrival.
 const LIST_LIFETIME: time::Duration = time::Duration::from_secs(1);
 
-/// For so long a list is kept for those that have a part of it.
+/// How long a list is kept for hosts that have received a part of it.
 const KEPT_LIFETIME: time::Duration = time::Duration::from_secs(10);
 
-/// Names a list. Hosts that pass parts on tell the same list in the same order.
+/// Identifies a list. Hosts that pass parts on keep the order of the list.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ListId(u64);
 
@@ -37,31 +36,31 @@
     }
 }
 
-/// A place in a list.
+/// A position in a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListPosition {
     /// The list.
     pub list: ListId,
-    /// The revision of the store up to which it is told.
+    /// The revision of the store that the list reflects.
     pub revision: StoreRevision,
-    /// How many servers stand before.
+    /// Number of servers before this position.
     pub servers: usize,
 }
 
 /// A part of a list.
 #[derive(Debug, Clone)]
 pub struct ListPart {
-    /// Where it begins.
+    /// Its position in the list.
     pub begin: ListPosition,
     /// Its servers.
     pub servers: Vec<ServerRecord>,
     /// Whether no servers follow.
     pub is_last: bool,
-    /// When the list was right.
+    /// The time as of which the list was current.
     pub heard_at: Timestamp,
 }
 
-/// A list, as far as this host has it.
+/// A list of all servers, or the first parts of one that is being received.
 #[derive(Debug, Default)]
 pub struct StartList {
     id: ListId,
@@ -72,8 +71,9 @@
 }
 
 impl StartList {
-    /// The whole list of `servers`, which was right at `heard_at` up to `revision`. Lists of
-    /// other hosts and other moments have other names: `host` is the number of this one.
+    /// Creates the complete list of `servers`, which was current at `heard_at` up to
+    /// `revision`. Its identifier is a hash of these and of `host`, the order number of
+    /// this host, so that other lists have other identifiers.
     pub fn of_servers(
         host: u64,
         revision: StoreRevision,
@@ -90,23 +90,24 @@
         }
     }
 
-    /// Whether further hosts are told this list, where `revision` is known by now.
+    /// Whether this list may be sent to further hosts, if `revision` is known now.
     pub fn may_begin(&self, revision: StoreRevision, now: Timestamp) -> bool {
         let is_young = now.since(self.heard_at) < LIST_LIFETIME;
         self.is_whole && is_young && self.revision.era() == revision.era()
     }
 
-    /// Whether nobody is being told this list any more.
+    /// Whether the list is too old for any host to be still receiving it.
     pub fn is_outdated(&self, now: Timestamp) -> bool {
         self.is_whole && now.since(self.heard_at) >= KEPT_LIFETIME
     }
 
-    /// Whether `from` is a place in this list.
+    /// Whether `from` is a position in this list.
     pub fn holds(&self, from: ListPosition) -> bool {
         from.list == self.id && from.servers <= self.servers.len()
     }
 
-    /// Behind what the next part is to be told; `None` where nothing or everything was.
+    /// The position of the next part to receive; `None` if no part or all parts have
+    /// arrived.
     pub fn end(&self) -> Option<ListPosition> {
         (!self.servers.is_empty() && !self.is_whole).then_some(ListPosition {
             list: self.id,
@@ -115,8 +116,8 @@
         })
     }
 
-    /// The part for a host that has the list up to `from`, or nothing of any. `None` where
-    /// this host has nothing further. A part has `limit` servers at most.
+    /// The part for a host that has received the list up to `from`, or nothing. `None` if
+    /// this host has no further servers. A part has at most `limit` servers.
     pub fn part_after(&self, from: Option<ListPosition>, limit: usize) -> Option<ListPart> {
         let known = from.filter(|from| self.holds(*from));
         let first = known.map_or(0, |from| from.servers);
@@ -134,7 +135,7 @@
         })
     }
 
-    /// Adds a part that this host was told. Returns whether it belongs behind what it has.
+    /// Adds a received part. Returns whether it follows the parts received before.
     pub fn take(&mut self, part: ListPart) -> bool {
         if part.begin.servers == 0 {
             *self = Self {
@@ -153,7 +154,7 @@
         true
     }
 
-    /// All servers that it has.
+    /// The servers received so far.
     pub fn servers(&self) -> &[ServerRecord] {
         &self.servers
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_call.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_call.rs
@@ -1,4 +1,4 @@
-//! What is asked of the store, and what it answers.
+//! Calls to the store and their outcomes.
 
 use std::fmt;
 use std::net;
@@ -12,11 +12,13 @@
 pub use crate::forwarding::beliefs::store_revision::{StoreEra, StoreRevision};
 use crate::forwarding::routes::RouteDocument;
 
-/// When a process of a server started, in milliseconds since the Unix epoch by the
-/// clock of its own host. A server that starts again may keep its identifier; only
-/// this tells that it is another incarnation, which holds no flow of the earlier one.
-/// Another value under the same identifier is another incarnation. Which of two is the
-/// later one is told by the revisions that wrote them: clocks jump, revisions do not.
+/// When the process of a server started, in milliseconds since the Unix epoch by the clock
+/// of its own host.
+///
+/// A server that restarts may keep its identifier. Another value under the same identifier
+/// means another incarnation, which holds no flow of the earlier one. The values don't show
+/// which of two incarnations is later, because clocks jump; the revisions that wrote them
+/// do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct ServerStart(u64);
@@ -52,19 +54,19 @@
 pub struct ServerEntry {
     /// Its identifier.
     pub id: BackendId,
-    /// When its process started, where it says so.
+    /// When its process started, if published.
     pub started: Option<ServerStart>,
-    /// Where it takes packets.
+    /// The address that packets are sent to.
     pub address: net::SocketAddr,
     /// The service that it serves.
     pub service: ServiceId,
-    /// The failure domain that it stands in.
+    /// Its failure domain.
     pub domain: DomainId,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it processes at the same time.
     pub slots: SlotCount,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// How much longer it is slow because it has just started.
+    /// How much longer it is cold after its start.
     pub cold_left: time::Duration,
     /// The revision that wrote the entry.
     pub revision: StoreRevision,
@@ -82,9 +84,9 @@
     },
     /// Wait for changes.
     Watch {
-        /// The revision after which changes are told.
+        /// The revision after which changes are returned.
         after: StoreRevision,
-        /// How long the store may wait before it answers that there are none.
+        /// How long the store may wait for a change before it answers that there is none.
         wait: time::Duration,
     },
 }
@@ -96,44 +98,44 @@
     Routes(RouteDocument),
     /// A server was written.
     Server(ServerEntry),
-    /// A server has an entry that cannot be understood.
+    /// A server's entry was written, but cannot be parsed.
     ServerUnreadable {
         /// The server.
         id: BackendId,
         /// The revision that wrote the entry.
         revision: StoreRevision,
     },
-    /// Operators ask that the servers of a failure domain get nothing more.
+    /// Operators began the evacuation of a failure domain: its servers get no new flows.
     EvacuationBegun {
         /// The domain.
         domain: DomainId,
-        /// The revision that wrote so.
+        /// The revision that began it.
         revision: StoreRevision,
     },
-    /// The servers of a failure domain may be sent new flows again.
+    /// Operators ended the evacuation of a failure domain.
     EvacuationEnded {
         /// The domain.
         domain: DomainId,
-        /// The revision that wrote so.
+        /// The revision that ended it.
         revision: StoreRevision,
     },
-    /// A server was taken off the list.
+    /// A server was removed.
     ServerRemoved {
-        /// The incarnation.
+        /// The server.
         id: BackendId,
-        /// The revision that did so.
+        /// The revision that removed it.
         revision: StoreRevision,
     },
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreOutcome {
     /// The pause is over.
     Paused,
     /// A page of everything.
     Page {
-        /// What the page holds, as if it had just been written.
+        /// The entries of the page, as if they had just been written.
         items: Vec<StoreChange>,
         /// The revision at which the page was read.
         revision: StoreRevision,
@@ -144,11 +146,11 @@
     Changes {
         /// The changes in their order.
         changes: Vec<StoreChange>,
-        /// The revision up to which these are all.
+        /// The revision up to which the changes are complete.
         revision: StoreRevision,
     },
-    /// The store no longer has the changes asked for.
+    /// The store no longer has the changes after the requested revision.
     HistoryGone,
-    /// The store was not reached, refused, or did not answer in time.
+    /// The store was unreachable, refused the call, or did not answer in time.
     Failed,
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_changes.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_changes.rs
@@ -1,5 +1,4 @@
-//! What a host makes of what the store says: listings and changes of routes, servers and
-//! evacuations.
+//! Applies listings and changes of routes, servers and evacuations that the store sends.
 
 use std::sync;
 
@@ -11,11 +10,12 @@
 use crate::forwarding::evacuations::{EvacuationPhase, EvacuationRecord};
 use crate::forwarding::routes::RouteDocument;
 
-/// More than this part of the listed servers, in per cent, must vanish with one
-/// answer of the store to show an outage that nobody noticed. Servers that fail by
-/// themselves, or by the host, are fewer.
+/// More than this share of the listed servers, in percent, must vanish with one answer of
+/// the store to indicate an outage of the store that this host did not notice. Servers that
+/// fail independently, or with their machine, are fewer.
 const OUTAGE_PART: usize = 25;
-/// And at least so many, lest one of three servers count.
+/// The least number of vanished servers that indicates an outage, so that one of three
+/// servers does not.
 const OUTAGE_SERVERS: usize = 3;
 
 impl BeliefEngine {
@@ -48,13 +48,13 @@
         self.changes.extend(changes);
     }
 
-    /// Takes it for an outage of the store where many servers have just vanished.
+    /// Assumes an outage of the store if many servers have just vanished.
     ///
-    /// Guards against an outage that is shorter than the calls of this host, while
-    /// entries of servers that live lapse. It shows as flows that are ended on many
-    /// servers at once. What is missing then says nothing until the entries are back,
-    /// as after an outage that was noticed. A whole failure domain that loses power
-    /// looks the same; what rests on its servers is ended that much later.
+    /// Guards against an outage that is shorter than the calls of this host, during which
+    /// the entries of running servers expire. Without this check, flows would be ended on
+    /// many servers at once. Missing entries then count as unknown until they are back, as
+    /// after an outage that was noticed. A failure domain that loses power looks the same,
+    /// so its idle flows are ended later.
     fn doubt_vanished(&mut self, now: Timestamp) {
         let vanished =
             |server: &&ServerRecord| server.phase == ServerPhase::Vanished { since: now };
@@ -96,7 +96,7 @@
 
     fn advance(&mut self, said_at: Timestamp, revision: StoreRevision) {
         if revision.era() < self.revision.era() {
-            // Said before the store came back from a copy.
+            // This was sent before the store was restored from a backup.
             return;
         }
         self.revision = self.revision.max(revision);
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_reader.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_reader.rs
@@ -1,5 +1,5 @@
-//! The order in which the store is read: everything, page by page, then changes,
-//! again and again.
+//! Decides the calls that read the store: a listing of everything, page by page, then one
+//! watch for changes after another.
 
 use std::mem;
 use std::time;
@@ -12,35 +12,36 @@
 
 /// The pause after a first failure. Most failures are connections that broke.
 const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
-/// The longest pause after failures in a row. Every call has its price, also
-/// one that is refused; and a leaving server must be known within seconds.
+/// The longest pause after failures in a row. Every call to the store costs something, also
+/// one that is refused; but a draining server must be known within seconds.
 const LONGEST_PAUSE: time::Duration = time::Duration::from_millis(600);
-/// The pause of a host that others tell of the store, after its first failure: those that
-/// read for its domain try often enough, and tell it of the store's return.
+/// The pause after the second and later failures in a row of a host that learns from
+/// another one. The readers of its domain retry often enough, and pass on that the store is
+/// back.
 const FOLLOWER_PAUSE: time::Duration = time::Duration::from_millis(1_200);
 /// The pause after changes. They come in bursts, when servers are replaced or
-/// configurations follow each other, and one call then brings many. It is short
-/// beside the seconds in which changes must be in force; few hosts read the store,
-/// and what they learn still has a way to go.
+/// configurations follow each other, and one call then returns many. The pause is short
+/// compared with the seconds within which changes must take effect; few hosts read the
+/// store, and their data still has to reach the others.
 const GATHERING_PAUSE: time::Duration = time::Duration::from_millis(400);
-/// A watch waits no longer than this, whatever the settings allow. Other hosts learn
-/// from this one that nothing has changed, and do not rely on what is older.
+/// A watch waits no longer than this, whatever the settings allow. Other hosts learn from
+/// this one that nothing has changed, and do not rely on data that is older.
 const LONGEST_WATCH: time::Duration = time::Duration::from_secs(2);
-/// Where what is known is as old as this, the store is asked for an answer at once:
-/// whoever begins to read it must not wait for a change to be up to date.
+/// If the data is at least this old, the store is called without a wait: a host that begins
+/// to read must not wait for a change to become current.
 const OLD_AGE: time::Duration = time::Duration::from_secs(1);
-/// A pause is lengthened by up to this part of itself, so that hosts that lost
-/// the store together do not come back together. In per cent.
+/// A pause is lengthened by up to this share of itself, in percent, so that hosts that lost
+/// the store at the same time do not retry at the same time.
 const JITTER_PERCENT: u64 = 25;
 
-/// Where the reader stands.
+/// What the reader is reading.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum ReaderState {
     Listing {
         after: Option<String>,
         items: Vec<StoreChange>,
-        /// The revision of the first page. Later pages may show later changes;
-        /// what changed since the first one is told again by the watch.
+        /// The revision of the first page. Later pages may include later changes; the watch
+        /// returns everything that changed after the first page again.
         revision: Option<StoreRevision>,
     },
     Watching {
@@ -56,30 +57,30 @@
     };
 }
 
-/// Something that was read whole.
+/// The result of a completed listing or watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadStep {
-    /// Everything.
+    /// A complete listing.
     Listing {
-        /// What there is.
+        /// All entries.
         items: Vec<StoreChange>,
-        /// The revision from which on changes must be watched.
+        /// The revision after which changes must be watched.
         revision: StoreRevision,
     },
-    /// Changes.
+    /// Changes from a watch.
     Changes {
         /// The changes in their order.
         changes: Vec<StoreChange>,
-        /// The revision up to which these are all.
+        /// The revision up to which the changes are complete.
         revision: StoreRevision,
     },
 }
 
-/// Decides about the next call to the store.
+/// Chooses the next call to the store.
 #[derive(Debug)]
 pub struct StoreReader {
     state: ReaderState,
-    /// The era of the revision from which changes were asked for last.
+    /// The era of the revision that the last watch started from.
     asked_era: StoreEra,
     watch_wait: time::Duration,
     pause: Option<time::Duration>,
@@ -88,7 +89,7 @@
 }
 
 impl StoreReader {
-    /// Starts with the first page. `jitter_seed` should differ among hosts.
+    /// Creates a reader that starts with the first page.
     pub const fn new(watch_wait: time::Duration, jitter_seed: u64) -> Self {
         Self {
             state: ReaderState::FIRST_PAGE,
@@ -100,12 +101,12 @@
         }
     }
 
-    /// Whether everything was read once and only changes are waited for.
+    /// Whether the listing is complete and the reader watches for changes.
     pub const fn is_watching(&self) -> bool {
         matches!(self.state, ReaderState::Watching { .. })
     }
 
-    /// The next call. What is known is as old as `age`.
+    /// The next call, if the data has the age `age`.
     pub fn next_call(&mut self, age: time::Duration) -> StoreCall {
         if let Some(pause) = self.pause {
             return StoreCall::Pause(pause);
@@ -128,8 +129,9 @@
         }
     }
 
-    /// Takes the outcome of the call and returns what is known by it; `follows` tells
-    /// whether another host tells this one of the store as soon as it is reached.
+    /// Handles the outcome of the call and returns what has been read completely. `follows`
+    /// says whether another host informs this one as soon as that host reaches the store
+    /// again.
     pub fn handle(&mut self, outcome: StoreOutcome, follows: bool) -> Option<ReadStep> {
         if matches!(outcome, StoreOutcome::Failed) {
             self.note_failure(follows);
@@ -155,8 +157,8 @@
         }
     }
 
-    /// A peer has told all that there is up to `revision`, or what this host did not know
-    /// of it: a watch goes on from there, and what was listed so far is not needed.
+    /// Skips to `revision`, because a peer has sent everything up to it. A watch continues
+    /// from there, and the pages listed so far are dropped.
     pub fn skip_to(&mut self, revision: StoreRevision) {
         match &mut self.state {
             ReaderState::Watching { after } => *after = revision.max(*after),
@@ -178,7 +180,7 @@
         self.jitter = flow::mix(self.jitter.wrapping_add(1));
         let percent = 100 + (self.jitter % (JITTER_PERCENT + 1)) as u32;
         self.pause = Some(pause * percent / 100);
-        // Pages that belong together must be read together.
+        // The pages of a listing must be read without a break.
         if matches!(self.state, ReaderState::Listing { .. }) {
             self.state = ReaderState::FIRST_PAGE;
         }
@@ -226,8 +228,8 @@
             return None;
         };
         if revision.era() != self.asked_era {
-            // The number that was asked from means another change now, so that what came
-            // before these changes may never have been read.
+            // The start revision of the watch means another change in this era, so earlier
+            // changes may be missing.
             self.pause = (revision.era() < after.era()).then_some(GATHERING_PAUSE);
             self.state = ReaderState::FIRST_PAGE;
             return None;
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_revision.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_revision.rs
@@ -1,4 +1,4 @@
-//! Moments in the life of the store.
+//! Eras and revisions of the store.
 
 use std::fmt;
 use std::num;
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-/// How often the store has come back from a copy of itself.
+/// How many times the store was restored from a backup.
 ///
-/// What it acknowledged after the copy was made is lost by that, and it gives the numbers
-/// of those changes out again. A store that never tells its era is in the first one.
+/// A restore loses the changes acknowledged after the backup was made, and the store
+/// assigns their numbers again. A store that does not publish its era is in the first one.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreEra(u64);
 
 impl StoreEra {
-    /// The era of a store that tells none.
+    /// The era of a store that does not publish one.
     pub const FIRST: Self = Self(0);
 
-    /// Wraps a number of the store.
+    /// Wraps a number published by the store.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -43,11 +43,11 @@
     }
 }
 
-/// The revision of the store: rises with each change of any key, and with each new era.
+/// A revision of the store. It rises with each change of any key, and with each new era.
 ///
-/// Guards against a count that went back with the store. It shows as hosts that take a
-/// change for one which they know, because its number is not higher than the last one of
-/// the era before. Whatever the numbers are, all that is said in a later era is later.
+/// Guards against a number that falls when the store is restored. Otherwise hosts would
+/// ignore a new change, because its number is not above the last one of the previous era.
+/// Any revision of a later era is later, whatever the numbers are.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(from = "RevisionForm", into = "RevisionForm")]
@@ -57,25 +57,25 @@
 }
 
 impl StoreRevision {
-    /// Before every change.
+    /// Before the first change.
     pub const ZERO: Self = Self::new(0);
 
-    /// A number that the store gave out in its first era.
+    /// A number that the store assigned in its first era.
     pub const fn new(number: u64) -> Self {
         Self::in_era(StoreEra::FIRST, number)
     }
 
-    /// A number that the store gave out in `era`.
+    /// A number that the store assigned in `era`.
     pub const fn in_era(era: StoreEra, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// The era in which the number was given out.
+    /// The era in which the number was assigned.
     pub const fn era(self) -> StoreEra {
         self.era
     }
 
-    /// The number, which says nothing without its era.
+    /// The number, which is only meaningful together with its era.
     pub const fn get(self) -> u64 {
         self.number
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Why a text is no revision.
+/// Why a text is not a valid revision.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum RevisionTextError {
@@ -98,12 +98,12 @@
         /// The text.
         text: String,
     },
-    /// One of the two is no number.
+    /// The era or the number is not an integer.
     #[snafu(display("{text:?} is not two numbers"))]
     Number {
         /// The text.
         text: String,
-        /// Why.
+        /// Why it is not an integer.
         source: num::ParseIntError,
     },
 }
@@ -122,7 +122,7 @@
     }
 }
 
-/// A revision as hosts tell it to each other: without the era in the first one.
+/// A revision in messages between hosts: without the era if it is the first one.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/waiting_questions.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/waiting_questions.rs
@@ -1,4 +1,4 @@
-//! Questions of other hosts that wait until there is something new to answer.
+//! Queries of other hosts that wait until there is something new to answer.
 
 use std::time;
 
@@ -7,14 +7,14 @@
 use crate::forwarding::beliefs::BeliefEngine;
 use crate::forwarding::beliefs::peer_word::PeerQuestion;
 
-/// Questions that may wait. Further ones are answered at once.
+/// The most queries that may wait. If there are more, the oldest ones are answered at once.
 const WAITING_LIMIT: usize = 64;
-/// A host that asks is told of word of the store that is newer by this, although
-/// nothing else has changed: it must know that it is up to date. Smaller steps
-/// would answer each question at once.
+/// A waiting query is answered when the data here is newer than the data of its host by
+/// this, even if nothing else has changed, so that the host knows that it is current.
+/// Smaller steps would answer each query at once.
 const FRESHNESS_STEP: time::Duration = time::Duration::from_millis(500);
 
-/// A question and where its answer goes.
+/// A waiting query and the receiver of its answer.
 #[derive(Debug)]
 struct WaitingQuestion<A> {
     question: PeerQuestion,
@@ -40,18 +40,18 @@
     }
 }
 
-/// A question that is to be answered now.
+/// A query to answer now.
 #[derive(Debug)]
 pub struct DueQuestion<A> {
-    /// The question.
+    /// The query.
     pub question: PeerQuestion,
     /// How long it waited.
     pub waited: time::Duration,
-    /// Where its answer goes.
+    /// The receiver of the answer.
     pub answer: A,
 }
 
-/// The questions that wait. `A` is what takes an answer.
+/// The waiting queries. `A` is the receiver of an answer.
 #[derive(Debug)]
 pub struct WaitingQuestions<A> {
     questions: Vec<WaitingQuestion<A>>,
@@ -66,7 +66,7 @@
 }
 
 impl<A> WaitingQuestions<A> {
-    /// A question came at `asked_at`.
+    /// Adds a query that arrived at `asked_at`.
     pub fn push(&mut self, question: PeerQuestion, asked_at: Timestamp, answer: A) {
         self.questions.push(WaitingQuestion {
             question,
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Takes out the questions that are to be answered now.
+    /// Removes and returns the queries to answer now.
     pub fn take_due(&mut self, engine: &mut BeliefEngine, now: Timestamp) -> Vec<DueQuestion<A>> {
         let excess = self.questions.len().saturating_sub(WAITING_LIMIT);
         let mut index = 0;
--- a/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
@@ -1,4 +1,4 @@
-//! What a host believes, and whom it asks.
+//! What a host learns from the store and from peers, and which peers it queries.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -106,8 +106,8 @@
     ));
 }
 
-/// The settings let a watch wait for twenty seconds. Hosts that learn from this one
-/// would take it for dead and all read the store.
+/// Guards against a watch as long as the settings allow, here 20 seconds. Hosts that learn
+/// from this one would take it for dead and all read the store.
 #[test]
 fn a_watch_waits_no_longer_than_others_rely_on_it() {
     let settings = BeliefSettings {
@@ -127,8 +127,8 @@
     assert!(wait <= millis(2_000));
 }
 
-/// The history that a watch needs is gone. Without reading everything again, the
-/// host would never learn what changed in the gap.
+/// The store no longer has the history that a watch needs. Unless it lists everything
+/// again, the host never learns of the changes in the gap.
 #[test]
 fn a_host_lists_again_where_the_history_is_gone() {
     let mut engine = started(1);
@@ -148,8 +148,8 @@
     assert_eq!(phase(&engine, 2), Some(ServerPhase::Active));
 }
 
-/// The store refuses. Calls in a tight loop would cost as much as good ones, and
-/// hosts that lost it together must not come back together.
+/// The store refuses all calls. Calls in a tight loop would cost as much as successful
+/// ones, and hosts that lost the store at the same time must not retry at the same time.
 #[test]
 fn failures_are_followed_by_growing_pauses() {
     let mut engine = started(1);
@@ -168,8 +168,8 @@
     assert_eq!(lost, [BeliefChange::StoreLost], "told once");
 }
 
-/// While the store was down, entries lapsed though their servers live. Listed
-/// again, the host finds none; without the grace it would refuse every caller.
+/// Entries of running servers expired during an outage of the store, so the next listing
+/// has none of them. Without a grace period the host would refuse every caller.
 #[test]
 fn servers_whose_entries_lapsed_stay_usable_for_a_moment() {
     let mut engine = started(1);
@@ -191,8 +191,8 @@
     assert!(matches!(phase(&engine, 2), Some(ServerPhase::Left { .. })));
 }
 
-/// A server that said it would leave is taken off the list. It must not get new
-/// flows for another moment, as one whose entry lapsed would.
+/// A draining server is removed from the store. It must not get new flows during the grace
+/// period of servers whose entry expired.
 #[test]
 fn a_server_that_drained_has_left_at_once() {
     let mut engine = started(1);
@@ -206,8 +206,8 @@
     assert!(matches!(phase(&engine, 1), Some(ServerPhase::Left { .. })));
 }
 
-/// This host is cut off from the store and its server begins to leave. A peer
-/// that still reads the store knows, and its word must count.
+/// A host is cut off from the store, and a server begins to drain. The host must apply the
+/// answer of a peer that still reads the store.
 #[test]
 fn a_host_without_the_store_believes_its_peer() {
     let mut cut = started(1);
@@ -228,7 +228,7 @@
     assert_eq!(cut.revision(), revision(11));
 }
 
-/// Lets `host` ask `peer`.
+/// Returns the answer of `peer` to a query of `host`.
 fn ask(
     peer: &mut BeliefEngine,
     host: &mut BeliefEngine,
@@ -238,7 +238,7 @@
     peer.answer_peer(at(moment), &question)
 }
 
-/// A peer that itself lags must not turn the clock back.
+/// An answer of a peer with older data must not undo newer changes.
 #[test]
 fn an_older_word_changes_nothing() {
     let mut host = started(1);
@@ -250,8 +250,8 @@
     assert_eq!(host.revision(), revision(11));
 }
 
-/// A host starts after a server has left with flows still on it. Only its peers
-/// can tell it where the packets of these flows belong.
+/// A host starts after a server was removed with flows still on it. Only peers can tell the
+/// host where the packets of these flows belong.
 #[test]
 fn a_host_that_starts_learns_of_servers_that_have_left() {
     let mut peer = started(2);
@@ -276,8 +276,8 @@
     hosts.iter().any(|one| one.address == host_address(number))
 }
 
-/// Peers die and are replaced. One that stays silent is forgotten, or its turn
-/// would be wasted for ever; those that the settings name are kept.
+/// Peers fail and are replaced. A peer that stays silent must be forgotten, because each
+/// query to it is wasted; seeds of the settings are kept.
 #[test]
 fn silent_peers_are_forgotten() {
     let mut host = started(1);
@@ -298,10 +298,10 @@
     assert!(knows(&host, 3));
 }
 
-/// A host reads the store's list page by page, and a peer tells it meanwhile of a
-/// server that came after the first page, and of one that began to leave. The list
-/// is older than that. Taken as it stands, it made the new server vanish, whose
-/// flows were then ended, and sent new flows to the one that leaves.
+/// While a host lists the store page by page, a peer sends it a server that was added after
+/// the first page, and one that began to drain. The listing is older than both. Applied
+/// without comparing revisions, it made the new server vanish, so its flows were ended, and
+/// sent new flows to the draining one.
 #[test]
 fn a_listing_does_not_undo_what_came_after_its_first_page() {
     let mut peer = started_of("far", 2);
@@ -337,9 +337,9 @@
     peer
 }
 
-/// Hundreds of hosts start at the same time and ask the few that the settings name.
-/// If each were told thousands of servers at once, links and memory of those few would
-/// fill up. Four are told, and pass it on; the others are told whom to ask.
+/// Hundreds of hosts start at the same time and query the few seeds. Sending thousands of
+/// servers to all of them at once would saturate the links and memory of the seeds. Four
+/// hosts receive the list and pass it on; the others are redirected to them.
 #[test]
 fn few_hosts_that_start_are_told_everything_at_a_time() {
     let mut peer = host_of_many(2_000);
@@ -368,8 +368,8 @@
     assert!(ask(&mut peer, &mut later, 300).list.is_some());
 }
 
-/// Has `host` ask `peer` for all further parts of the list of 2,000 servers, and returns
-/// how many the first one held.
+/// Has `host` query `peer` for all further parts of the list of 2,000 servers, and returns
+/// how many servers the first part held.
 fn ask_on(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> usize {
     let mut others = 0;
     while !host.view().is_usable() && others < 2_000 {
@@ -380,9 +380,9 @@
     2_000 - others
 }
 
-/// Four hosts ask one that is starting, too, and are answered in vain. A moment later it
-/// knows everything, and the next one that asks must get it, instead of being sent to those
-/// that know nothing.
+/// Four hosts query a peer that is starting, too, and has no data. Shortly after, it has
+/// the full list. The next host that queries it must receive the list, instead of being
+/// redirected to the four, which have no data.
 #[test]
 fn answers_of_a_host_that_knows_nothing_count_for_nothing() {
     let mut peer = engine(2);
@@ -396,9 +396,9 @@
     assert!(ask(&mut peer, &mut host, 20).all_servers);
 }
 
-/// A host was cut off for so long that its source can tell no difference any more, and
-/// must tell everything, which it has just told four others. The host asks the one that is
-/// named instead; it went on asking its source without a pause.
+/// A host was cut off for so long that its source cannot send a difference and must send
+/// the full list, which four others are receiving. The host must query the one that it is
+/// redirected to; it used to query its source again and again without a pause.
 #[test]
 fn a_host_that_is_referred_asks_elsewhere() {
     let mut peer = host_of_many(20);
@@ -420,8 +420,8 @@
     );
 }
 
-/// A host is told everything by another one while it reads the store's list. What it
-/// has read of that is older, and the rest is not needed.
+/// A host receives the full list from a peer while it lists the store. The pages that it
+/// has read are older, and the rest is not needed.
 #[test]
 fn a_host_that_was_told_everything_stops_listing() {
     let mut peer = started_of("far", 2);
@@ -437,7 +437,7 @@
     assert!(matches!(call, StoreCall::Watch { after: from, .. } if from == after));
 }
 
-/// Like above, but the store does not answer. Then nobody else can tell.
+/// Like the test above, but calls to the store fail, so only a peer can send the list.
 #[test]
 fn a_host_that_starts_without_the_store_is_told_all() {
     let mut peer = host_of_many(2_000);
@@ -448,9 +448,9 @@
     assert_eq!(host.view().directory.len(), 2_000);
 }
 
-/// The store is away for two and a half seconds, which no call of this host notices,
-/// and entries of servers that live lapse meanwhile. Their flows were ended where
-/// they rested, on half of all servers at once.
+/// The store has an outage of two and a half seconds that no call of this host notices, and
+/// the entries of running servers expire. Idle flows were ended on half of all servers at
+/// once.
 #[test]
 fn entries_that_vanish_together_are_taken_for_an_outage() {
     let mut engine = engine(1);
@@ -469,7 +469,7 @@
     assert!(engine.view().is_complete(at(6_000)), "it does not last");
 }
 
-/// Two of eight servers lose power. What rests on them is to be ended at once.
+/// Two of eight servers lose power. Their idle flows must be ended at once.
 #[test]
 fn few_entries_that_vanish_say_that_their_servers_have_gone() {
     let mut engine = engine(1);
@@ -483,8 +483,8 @@
     assert!(engine.view().is_complete(at(2_600)));
 }
 
-/// A peer dies and comes back. An engineer who looks for the cause of late changes must
-/// find when, and one line each, however often it is asked.
+/// A peer fails and comes back. The log must show both times, with one line each, however
+/// often the peer is queried: engineers need them to explain late changes.
 #[test]
 fn a_peer_is_told_as_lost_and_regained_once() {
     let mut host = started(1);
@@ -500,8 +500,9 @@
     assert_eq!(host.take_changes(), []);
 }
 
-/// All servers of a service in the own domain leave, and later one comes. Callers are
-/// served elsewhere meanwhile, later than usual; the log must say from when to when.
+/// All servers of a service in the own domain leave, and later one joins. Other domains
+/// serve the callers meanwhile, with more delay; the log must show when this began and
+/// ended.
 #[test]
 fn a_domain_without_servers_is_told_as_lost_and_regained() {
     let mut host = started(1);
@@ -516,9 +517,9 @@
     assert!(host.take_changes().contains(&regained));
 }
 
-/// A host whose link is full asks another one, and the answer is on its way for a second
-/// and a half. Taken for word of the moment in which it arrived, it would say that a server
-/// which started meanwhile does not exist, and flows on that would be reset.
+/// A host with a saturated link queries a peer, and the answer takes a second and a half to
+/// arrive. Dated by its arrival, the answer would claim that a server which started
+/// meanwhile does not exist, and flows on that server would be reset.
 #[test]
 fn what_a_peer_says_is_as_old_as_its_way_was_long() {
     let mut host = started(1);
@@ -532,7 +533,7 @@
     assert!(heard_at > at(900) && heard_at <= at(1_010), "{heard_at}");
 }
 
-/// The same with a long answer of the store.
+/// Like the test above, with long answers of the store.
 #[test]
 fn what_the_store_says_is_as_old_as_its_way_was_long() {
     let mut host = started(1);
--- a/crates/cardamomwinch_coordination/tests/forwarding_restarts.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restarts.rs
@@ -1,5 +1,5 @@
-//! Servers that start again under the identifier that they had, and entries that
-//! cannot be understood any more.
+//! Servers that restart under the same identifier, and entries that can no longer be
+//! parsed.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -27,10 +27,10 @@
     host
 }
 
-/// A server crashes and is back within a second under its identifier, so that its
-/// entry never lapses. A caller that rests on it sends its next request, which may run
-/// only once, into a flow that nobody holds: the server resets it and it is lost. Told
-/// of it while it rests, the caller opens another flow first.
+/// A server crashes and is back within a second under its identifier, so its entry never
+/// expires. The server would reset the next request on an idle flow, because it does not
+/// know the flow, and a request that may run only once would be lost. If this host resets
+/// the idle flow first, the caller opens another one for its next request.
 #[test]
 fn flows_that_rest_on_what_ran_before_are_ended() {
     let mut host = host();
@@ -41,9 +41,9 @@
     assert!(host.tick(at(2_100)).ended.is_empty());
 }
 
-/// The same, but the caller waits for an answer. The restarted server resets it with
-/// its next repetition at once; a reset by this host would also meet callers that have
-/// been taken by the new process already.
+/// Like the test above, but the caller waits for an answer. The restarted server resets the
+/// flow on the next retransmission. A reset by this host could also hit callers whose flow
+/// the new process has already accepted.
 #[test]
 fn a_caller_that_waits_is_left_to_the_restarted_server() {
     let mut host = host();
@@ -53,8 +53,8 @@
     assert!(host.tick(at(2_000)).ended.is_empty());
 }
 
-/// A server that went silent comes back under its identifier. Judged by what the
-/// process before it did, it would get no flow for seconds.
+/// A silent server restarts under its identifier. If it inherited the suspicion against the
+/// earlier process, it would get no flow for seconds.
 #[test]
 fn a_restarted_server_begins_without_suspicion_or_load() {
     let mut host = host();
@@ -74,8 +74,8 @@
     assert_eq!(progress.flows(server), 0);
 }
 
-/// An earlier entry of the server arrives late, through a page or a peer. It must not
-/// look like another restart, which would end flows of a server that serves.
+/// An earlier entry of the server arrives late, in a page or from a peer. It must not count
+/// as another restart, which would end flows of a running server.
 #[test]
 fn an_earlier_start_that_arrives_late_changes_nothing() {
     let mut host = TestHost::new(vec![started_at(1, 4_000, 7)]);
@@ -138,9 +138,9 @@
     Some(view.directory.get(near_server(number).id)?.phase)
 }
 
-/// Another program overwrites the entry of a server with something that cannot be
-/// understood. The server serves on: its flows must not be ended. New flows go
-/// elsewhere, because nothing says any more that it takes them.
+/// Another program overwrites the entry of a server with something that cannot be parsed.
+/// The server still runs, so its flows must not be ended. New flows must go elsewhere,
+/// because nothing shows that it still accepts them.
 #[test]
 fn a_server_whose_entry_became_unreadable_keeps_its_flows_and_gets_no_new_ones() {
     let mut engine = beliefs();
@@ -159,8 +159,8 @@
     assert_eq!(host.handle(at(2_700), &packet).sent[0].0, near_server(1).id);
 }
 
-/// The whole list is read again while the entry is unreadable, as after lost history.
-/// The server must not seem to have vanished.
+/// A host lists the store again while an entry is unreadable, as it does after lost
+/// history. The server must not count as vanished.
 #[test]
 fn a_listing_with_an_unreadable_entry_does_not_lack_its_server() {
     let mut engine = beliefs();
--- a/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
@@ -1,4 +1,4 @@
-//! What hosts believe after the store has come back from a copy of itself.
+//! What hosts know after the store was restored from a backup.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -29,7 +29,8 @@
     }
 }
 
-/// A page with a route and `more`, read at `number` of `era`; `next` where more follow.
+/// A page with a route and `more`, read at `number` of `era`; `next` is the key of the next
+/// page.
 fn page(more: Vec<StoreChange>, era: u64, number: u64, next: Option<&str>) -> StoreOutcome {
     let routes = document(1, vec![(service_address(), route(true))]);
     let mut items = vec![StoreChange::Routes(routes)];
@@ -59,7 +60,7 @@
     engine
 }
 
-/// The store is back from a copy of revision 24: all that the host knew is asked anew.
+/// Restores the store from a backup of revision 24; the host lists everything again.
 fn restored(engine: &mut BeliefEngine, moment: u64, items: Vec<StoreChange>) {
     engine.handle_store(at(moment), StoreOutcome::HistoryGone);
     let call = engine.next_store_call(at(moment));
@@ -77,13 +78,14 @@
     view.directory.evacuations().is_evacuated(domain(name))
 }
 
-/// What `teller` answers `asker` now.
+/// The answer of `teller` to a query of `asker`.
 fn ask(teller: &mut BeliefEngine, asker: &mut BeliefEngine, moment: u64) -> PeerWord {
     let (_, question) = asker.next_peer(at(moment)).unwrap();
     teller.answer_peer(at(moment), &question)
 }
 
-/// New flows on a leaving server: its change had a number that followers had passed.
+/// Guards against new flows on a draining server. After the restore its change has a number
+/// that other hosts already know from the earlier era, so they would ignore it.
 #[test]
 fn a_change_reaches_all_hosts_although_its_number_was_given_out_before() {
     let mut fleet = Fleet::settled(25);
@@ -97,7 +99,8 @@
     assert!(time <= 500, "{time} ms");
 }
 
-/// New flows on a leaving server: the store restored twice, with hosts still catching up.
+/// Guards against new flows on a draining server after the store was restored twice while
+/// hosts were still catching up.
 #[test]
 fn a_change_reaches_all_hosts_after_two_restores_in_a_row() {
     let mut fleet = Fleet::settled(25);
@@ -114,7 +117,7 @@
     assert!(time <= 2_500, "{time} ms");
 }
 
-/// A store that is back meets every host of a large domain with a listing of all.
+/// Guards against all hosts of a large domain listing a restored store.
 #[test]
 fn a_restored_store_is_read_by_few_hosts() {
     let mut fleet = Fleet::settled(100);
@@ -128,8 +131,8 @@
     assert!(fleet.calls <= 200, "{} calls", fleet.calls);
 }
 
-/// A store that was away for seconds is back, and all hosts of a large domain ask it for
-/// everything: 26,000 servers are fifty calls for each.
+/// Guards against all hosts of a large domain listing the store after an outage of several
+/// seconds: with 26,000 servers that is fifty calls per host.
 #[test]
 fn hosts_that_all_went_to_a_store_leave_its_listing_to_few() {
     let mut fleet = Fleet::settled(100);
@@ -154,8 +157,8 @@
     assert!(fleet.listings <= 20, "{} listings", fleet.listings);
 }
 
-/// Hosts that believe different things for good: restores, writes and hosts that the store
-/// turns away, in any order, and then what servers write again.
+/// Guards against hosts whose data differs permanently after restores, writes and refused
+/// hosts in any order. In the end all servers write their entries again.
 #[yare::parameterized(
     first = { 11 },
     second = { 12 },
@@ -167,7 +170,7 @@
 fn all_hosts_agree_with_a_store_that_was_restored_again_and_again(seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut fleet = Fleet::settled(12);
-    // What servers say of themselves: none takes it back that it leaves.
+    // Whether each server drains. A draining server stays so.
     let mut leaves = [false; 8];
     for _ in 0..40 {
         match random.random_range(0..6) {
@@ -205,7 +208,8 @@
     }
 }
 
-/// New flows on a leaving server: its entry had a higher number in the era before.
+/// Guards against new flows on a draining server whose entry had a higher number in the
+/// earlier era.
 #[test]
 fn what_a_later_era_says_is_later_whatever_its_number() {
     let mut engine = started(1, vec![entry(1, 1, 25, false)]);
@@ -220,7 +224,8 @@
     assert_eq!(told.iter().filter(|one| is_told(one)).count(), 1);
 }
 
-/// New flows on a leaving server: the store has passed the number that is watched from.
+/// Guards against new flows on a draining server. The restored store has already passed the
+/// number that the watch starts from, so the watch misses changes.
 #[test]
 fn changes_of_another_era_than_was_asked_are_listed_instead() {
     let mut engine = started(1, Vec::new());
@@ -232,7 +237,8 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
 }
 
-/// Changes that nobody read: a peer had told of the new era while the watch was on its way.
+/// Guards against missed changes if a peer sends data of the new era while a watch of the
+/// earlier era is open.
 #[test]
 fn a_watch_that_began_in_the_era_before_proves_nothing_of_this_one() {
     let mut teller = started(1, Vec::new());
@@ -251,7 +257,8 @@
     assert_eq!(call, StoreCall::List { after: None });
 }
 
-/// Servers of two moments in one list: the store was restored between two pages.
+/// Guards against a list with servers of two eras, because the store was restored between
+/// two pages.
 #[test]
 fn pages_of_two_eras_are_not_put_together() {
     let mut engine = belief_engine(1);
@@ -263,7 +270,8 @@
     assert_eq!(call, StoreCall::List { after: None });
 }
 
-/// A leaving server taken for ready again: an answer of before came after the restore.
+/// Guards against a draining server that counts as active again, because an answer from
+/// before the restore arrives after it.
 #[test]
 fn what_the_store_said_before_its_restore_changes_nothing_after_it() {
     let mut teller = started(1, Vec::new());
@@ -284,8 +292,8 @@
     );
 }
 
-/// New flows on a server that has gone: it came and went in what the store lost, and the
-/// host that is asked has never known it.
+/// Guards against new flows on a server that is gone. It was added and removed in changes
+/// that the store lost, and the queried host has never known it.
 #[test]
 fn a_server_that_only_the_asker_knew_is_not_kept_after_a_restore() {
     let mut teller = started(1, Vec::new());
@@ -304,7 +312,7 @@
     ));
 }
 
-/// New flows on a leaving server: the copy is older than its word that it leaves.
+/// Guards against new flows on a draining server, if the backup is older than its draining.
 #[test]
 fn an_old_copy_takes_back_no_word_of_a_server_that_it_leaves() {
     let mut engine = started(1, vec![entry(1, 1, 26, true)]);
@@ -330,7 +338,8 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
 }
 
-/// A server without flows for good: the process that left is not the one that is listed.
+/// Guards against a server that never gets flows again: the process that was draining is
+/// not the one that is listed.
 #[test]
 fn a_server_that_started_again_takes_flows_after_a_restore() {
     let started_entry = |era, written, draining, start| {
@@ -343,7 +352,7 @@
     let mut engine = started(1, vec![started_entry(1, 26, true, 7_000)]);
     restored(&mut engine, 100, vec![started_entry(2, 24, false, 9_000)]);
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
-    // What it writes itself in this era is its last word.
+    // The entry that the server writes in this era replaces the earlier one.
     let mut engine = started(1, vec![started_entry(1, 26, true, 7_000)]);
     restored(&mut engine, 100, vec![started_entry(2, 5, false, 7_000)]);
     engine.next_store_call(at(110));
@@ -352,7 +361,8 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
 }
 
-/// Open flows ended on servers that live: the copy lacks those that came after it.
+/// Guards against ending flows on running servers that the backup lacks, because they were
+/// added after it was made.
 #[test]
 fn what_a_copy_lacks_says_nothing_until_it_is_written_again() {
     let mut engine = started(1, Vec::new());
@@ -364,7 +374,8 @@
     assert!(!engine.view().is_complete(at(2_000)));
 }
 
-/// New flows in an evacuated domain: the copy is older than the order of the operators.
+/// Guards against new flows in an evacuated domain, if the backup is older than the
+/// evacuation.
 #[test]
 fn an_evacuation_that_a_copy_lacks_counts_until_it_could_be_written_again() {
     let mut engine = started(1, vec![begun("far", 1, 26)]);
@@ -382,7 +393,8 @@
     }
 }
 
-/// New flows in an evacuated domain: a second listing soon after the restore lacks it, too.
+/// Guards against new flows in an evacuated domain, if a second listing soon after the
+/// restore lacks the evacuation, too.
 #[test]
 fn a_second_listing_ends_no_evacuation_that_could_still_be_written_again() {
     let mut engine = started(1, vec![begun("far", 1, 26)]);
@@ -395,7 +407,8 @@
     assert!(!is_evacuated(&engine, "far"));
 }
 
-/// New flows in an evacuated domain: what was written again must not end with the grace.
+/// Guards against new flows in an evacuated domain: an evacuation that was written again
+/// must not end with the grace period.
 #[test]
 fn an_evacuation_that_is_written_again_lasts() {
     let mut engine = started(1, vec![begun("far", 1, 26)]);
--- a/crates/cardamomwinch_coordination/tests/forwarding_sources.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_sources.rs
@@ -1,12 +1,12 @@
-//! Who of a failure domain reads the store, and how the others learn.
+//! Which hosts of a failure domain read the store, and how the others learn from them.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
 
 use forwarding_support::fleet::*;
 
-/// Twenty-five hosts: if each read the store, calls would grow with the hosts, and
-/// each has its price. Two read it, and all know a change within half a second.
+/// Guards against calls to the store that grow with the number of hosts. Of 25 hosts two
+/// read the store, and all know a change within half a second.
 #[test]
 fn two_hosts_of_a_domain_read_the_store() {
     let mut fleet = Fleet::settled(25);
@@ -23,7 +23,7 @@
     assert!(fleet.time_to_all() <= 500);
 }
 
-/// The reader is the host that all others depend on. It dies, and nobody says so.
+/// The readers, which all other hosts depend on, fail without announcing it.
 #[test]
 fn a_reader_that_dies_is_replaced() {
     let mut fleet = Fleet::settled(9);
@@ -37,9 +37,9 @@
     assert!(fleet.readers().len() <= 2);
 }
 
-/// Readers are cut off without a word: no connection breaks, and questions to
-/// them stay without an answer. Nobody may go on with what was true before, and
-/// the store must not meet a whole domain for long.
+/// Readers are cut off: no connection breaks, but queries to them stay unanswered. No host
+/// may keep relying on old data, and the calls of the whole domain to the store must not
+/// last.
 #[test]
 fn hosts_whose_readers_are_cut_off_read_themselves() {
     let mut fleet = Fleet::settled(25);
@@ -59,8 +59,8 @@
     assert!(fleet.readers().len() <= 2, "{:?}", fleet.readers());
 }
 
-/// The store refuses the readers and serves everyone else. They answer their
-/// peers as before, but what they tell grows old.
+/// The store refuses the readers and serves all others. The readers still answer queries,
+/// but their data gets old.
 #[test]
 fn hosts_whose_readers_are_turned_away_learn_elsewhere() {
     let mut fleet = Fleet::settled(25);
@@ -74,7 +74,7 @@
     assert!(fleet.oldest_view() <= 3_500, "{} ms", fleet.oldest_view());
 }
 
-/// A host that was cut off comes back with what it knew before.
+/// A host that was cut off comes back with old data.
 #[test]
 fn a_host_that_was_cut_off_catches_up() {
     let mut fleet = Fleet::settled(9);
@@ -87,8 +87,8 @@
     assert!(fleet.ignorant(1).is_empty());
 }
 
-/// Three hundred hosts of a domain are more than anyone remembers. No host may
-/// be asked by all of them, and calls must not grow with them.
+/// A domain has 300 hosts, more than any host remembers. No host may be queried by all of
+/// them, and the calls to the store must not grow with them.
 #[test]
 fn no_host_is_asked_by_a_whole_domain() {
     let mut fleet = Fleet::settled(300);
@@ -100,9 +100,9 @@
     assert!(time <= 700, "{time} ms");
 }
 
-/// The store refuses everybody for ten seconds. What hosts know grows old, and each would
-/// ask it again and again, though the two readers of the domain do so already. All must
-/// know of a change soon after its return.
+/// The store refuses all hosts for ten seconds. Their data gets old, and each would keep
+/// calling the store, though the two readers of the domain do so already. All must know of
+/// a change soon after the store is back.
 #[test]
 fn a_store_that_refuses_everybody_is_asked_by_few() {
     let mut fleet = Fleet::settled(25);
@@ -110,7 +110,7 @@
         host.condition = Condition::TurnedAway;
     }
     fleet.run_until(SETTLED + 10_000);
-    // One a second a host.
+    // One call per second and host.
     assert!(fleet.calls <= 250, "{} calls", fleet.calls);
     for host in &mut fleet.hosts {
         host.condition = Condition::Running;
--- a/crates/cardamomwinch_coordination/tests/forwarding_starts.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_starts.rs
@@ -1,4 +1,4 @@
-//! How hosts that start learn everything, alone and hundreds together.
+//! How starting hosts get all routes and servers, alone and hundreds at a time.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -6,20 +6,20 @@
 use forwarding_support::fleet::*;
 use yare::parameterized;
 
-/// Until then all that start together must serve, in milliseconds. Callers notice three
-/// tenths of a second as they notice a packet that was sent again.
+/// The time within which all hosts that start together must forward, in milliseconds. To
+/// callers a delay of 300 ms is no more than one retransmission.
 const SERVING: u64 = 300;
-/// Within this time all hosts start, in milliseconds.
+/// The time within which all hosts start, in milliseconds.
 const SPREAD: u64 = 300;
-/// Until then a host that reaches nobody must serve, in milliseconds.
+/// The time within which a host that reaches no other host must forward, in milliseconds.
 const ALONE: u64 = 300;
-/// So many hosts one of them tells everything while all start, at most: four in each
-/// quarter of a second.
+/// The most hosts that one host sends the full list to while all start: four per quarter of
+/// a second.
 const TOLD_BY_ONE: usize = 16;
 
-/// All hosts lose power and start together, cold. Each read everything from the store,
-/// a megabyte, and watched it for seconds, until it knew its place: a thousand calls for
-/// 195 hosts. Now the three that the settings name read it, and pass it on.
+/// All hosts lose power and restart at the same time, without data. Each used to list the
+/// store, a megabyte, and watch it for seconds until it had found its source: a thousand
+/// calls for 195 hosts. Now the three seeds list it, and pass the list on.
 #[parameterized(
     of_8 = { 8, 2 },
     of_75 = { 75, 5 },
@@ -38,13 +38,13 @@
         fleet.listings
     );
     fleet.run_until(6_000);
-    // Two readers a domain ask three times in four seconds, and some hosts do not know
-    // their place at once.
+    // The two readers of each domain make three calls in four seconds, and some hosts do
+    // not find their source at once.
     let calls = 30 * domains + count / 2;
     assert!(fleet.calls <= calls, "{} calls", fleet.calls);
 }
 
-/// A host is restarted or added while the others serve: a neighbour tells it.
+/// A host is restarted or added while the others run: another host sends it the full list.
 #[test]
 fn a_host_that_starts_alone_costs_the_store_nothing() {
     let mut fleet = Fleet::settled(25);
@@ -56,9 +56,9 @@
     assert_eq!(fleet.listings, 0);
 }
 
-/// The hosts that the settings name are gone, or cut off without a word, when all others
-/// start. Nobody can tell them anything; they read the store themselves, without waiting
-/// for those until their patience ends.
+/// The seeds are down, or cut off without breaking connections, when all others start. No
+/// host can send them the list; they must list the store themselves, without waiting for
+/// the seeds any longer than they wait for other hosts.
 #[parameterized(
     gone = { Condition::Dead },
     cut_off = { Condition::Cut },
@@ -72,8 +72,8 @@
     assert!(time <= ALONE, "{time} ms");
 }
 
-/// The store turns a third of the hosts away while all start, one of the named among
-/// them. They learn everything from the others, and go on doing so.
+/// The store refuses a third of the hosts, one seed among them, while all start. They must
+/// get the full list from the others, and later changes, too.
 #[test]
 fn hosts_that_the_store_turns_away_start_with_the_others() {
     let mut fleet = Fleet::of_domains(60, 3);
@@ -87,8 +87,8 @@
     assert!(time <= 3_000, "{time} ms");
 }
 
-/// Two thirds of the hosts lose power together and start again, cold, beside a third
-/// that serves on. Nobody reads the store's list but those that the settings name.
+/// Two thirds of the hosts lose power and restart without data, while a third keeps
+/// running. Only the seeds list the store.
 #[test]
 fn hosts_that_start_again_learn_from_those_that_stayed() {
     let mut fleet = Fleet::of_domains(90, 3);
@@ -104,8 +104,8 @@
     assert!(most <= TOLD_BY_ONE, "one host told {most}");
 }
 
-/// A change comes a moment after all hosts started, while they still look for their
-/// places. All must know it within the time that changes may take.
+/// A change is written shortly after all hosts started, while they are still finding their
+/// sources. All must know it in time.
 #[test]
 fn a_change_right_after_the_start_is_known_to_all() {
     let mut fleet = Fleet::of_domains(195, 5);
@@ -114,10 +114,9 @@
     assert!(time <= 2_500, "{time} ms");
 }
 
-/// Hosts start within a third of a second in any order, and three of them are named to
-/// all. Those of failure domains without one of these knew two or three hosts of their own
-/// domain, took themselves for its readers and went on watching the store: 44 of 195
-/// instead of ten.
+/// Hosts start in any order within a third of a second, with three seeds. Hosts of failure
+/// domains without a seed knew two or three hosts of their own domain, took themselves for
+/// readers and kept watching the store: 44 of 195 hosts instead of ten.
 #[parameterized(
     of_75 = { 75, 5 },
     of_195 = { 195, 5 },
@@ -130,7 +129,7 @@
     fleet.run_until(SETTLED / 2);
     fleet.count_anew();
     fleet.run_until(SETTLED / 2 + 10_000);
-    // Two readers a domain, and an answer each two seconds.
+    // Two readers per domain, with an answer every two seconds.
     let calls = 2 * domains * 5;
     assert!(fleet.calls <= calls + calls / 5, "{} calls", fleet.calls);
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
@@ -1,5 +1,5 @@
-//! Hosts and a store in steps of simulated time: hosts fail, are cut off, stand still,
-//! start again, or are turned away by the store.
+//! Hosts and a store in steps of simulated time: hosts fail, are cut off, start again, or
+//! are refused by the store.
 
 use std::net;
 
@@ -18,20 +18,20 @@
 pub const STEP: u64 = 10;
 /// How long the store lets a watch wait, in milliseconds.
 pub const WATCH: u64 = 2_000;
-/// How long a host that knows nothing waits for a connection, in milliseconds.
+/// How long a host without data waits for a connection, in milliseconds.
 const START_CONNECT: u64 = 15;
-/// How often a host passes reports on at most, in milliseconds.
+/// The least time between two messages of a host with reports, in milliseconds.
 const REPORT_PAUSE: u64 = 100;
-/// When the hosts have found each other.
+/// The time at which all hosts have found their sources, in milliseconds.
 pub const SETTLED: u64 = 15_000;
 
-/// What became of a host.
+/// The condition of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     Running,
-    /// Gone: connections to it break.
+    /// It does not run: connections to it break.
     Dead,
-    /// Neither reached nor able to reach anybody; nothing breaks.
+    /// It reaches nothing and cannot be reached, but no connection breaks.
     Cut,
     /// The store refuses it; peers reach it.
     TurnedAway,
@@ -55,11 +55,11 @@
     pub call: Option<PendingCall>,
     pub question: Option<PendingQuestion>,
     pub ask_at: u64,
-    /// When it may tell reports again.
+    /// When it may send reports again.
     pub tell_at: u64,
-    /// When its process is to start, where it has not yet.
+    /// When its process starts, if it has not started yet.
     pub starts_at: Option<u64>,
-    /// Until then its link is full with parts of the list.
+    /// Until when its link is busy with parts of the list.
     pub sends_until: u64,
 }
 
@@ -68,39 +68,39 @@
     pub hosts: Vec<SimulatedHost>,
     pub now: u64,
     pub revision: u64,
-    /// How often the store came back from a copy.
+    /// The era of the store.
     pub era: u64,
-    /// Revision and state of the servers: draining or not.
+    /// The changes: revision, number of the server, and whether it drains.
     pub log: Vec<(u64, u64, bool)>,
     pub calls: usize,
-    /// Calls that list everything.
+    /// Calls that begin a listing.
     pub listings: usize,
     pub questions: Vec<usize>,
-    /// How often each host was told reports, and how many it told.
+    /// How often each host received reports, and how many reports it sent.
     pub tellings: Vec<usize>,
     pub reports_told: Vec<usize>,
-    /// How often each host told another one everything.
+    /// How many full lists each host sent.
     pub told_all: Vec<usize>,
     pub domains: usize,
     pub weight: DirectoryWeight,
-    /// The store no longer tells changes up to this revision.
+    /// The store no longer has the changes up to this revision.
     pub history_begins: u64,
-    /// Until then watches hear nothing, in milliseconds.
+    /// Until when watches return nothing, in milliseconds.
     pub watches_silent_until: u64,
-    /// Parts of the list that are on their way.
+    /// Parts of the list that have not arrived yet.
     sent: Vec<SentWord>,
 }
 
-/// What it takes to hand on all servers, in milliseconds.
+/// What it takes to send all servers, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct DirectoryWeight {
-    /// Pages of the store's list.
+    /// Number of pages of the store's listing.
     pub pages: u64,
-    /// What a page takes on the link of its reader.
+    /// How long a page takes on the link of its reader.
     pub page_time: u64,
-    /// Parts in which hosts tell the list. Each is one server here.
+    /// Number of parts in which hosts send the list. Each part holds one server here.
     pub parts: u64,
-    /// What a part takes on the link of its sender.
+    /// How long a part takes on the link of its sender.
     pub part_time: u64,
 }
 
@@ -112,8 +112,8 @@
         part_time: 0,
     };
 
-    /// So many servers, where a page holds 500 of them at 500 bytes each, a part as many as
-    /// hosts tell at a time at `wire_bytes` each, and links have 20 Mbit/s.
+    /// The weight of `servers`: a page holds 500 of them at 500 bytes each, a part holds
+    /// [`start_list::PART_LIMIT`] at `wire_bytes` each, and links have 20 Mbit/s.
     pub const fn of_servers(servers: u64, wire_bytes: u64) -> Self {
         const BYTES_PER_MS: u64 = 2_500;
         let part = start_list::PART_LIMIT as u64;
@@ -126,7 +126,7 @@
     }
 }
 
-/// A word on its way.
+/// An answer that has not arrived yet.
 struct SentWord {
     arrives_at: u64,
     teller: usize,
@@ -152,7 +152,7 @@
         Self::of_domains(count, 1)
     }
 
-    /// Hosts that stand in `domains` by turns, and all start now.
+    /// Creates hosts that are spread evenly over `domains`, and all start now.
     pub fn of_domains(count: usize, domains: usize) -> Self {
         Self {
             hosts: (0..count).map(|index| new_host(index, domains)).collect(),
@@ -187,8 +187,8 @@
         fleet
     }
 
-    /// The process of a host starts anew and knows nothing. Questions to the one before it
-    /// break off.
+    /// Restarts the process of a host, which then has no data. Queries to the earlier
+    /// process break off.
     pub fn restart(&mut self, index: usize) {
         self.hosts[index] = new_host(index, self.domains);
         let questions = self
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Lists so many servers as `weight` says, from the start.
+    /// Fills the store with the servers of `weight`.
     pub fn with_weight(mut self, weight: DirectoryWeight) -> Self {
         self.weight = weight;
         for number in 3..=weight.parts {
@@ -209,7 +209,7 @@
         self
     }
 
-    /// Forgets what was counted.
+    /// Resets all counters.
     pub fn count_anew(&mut self) {
         self.calls = 0;
         self.listings = 0;
@@ -217,7 +217,7 @@
         self.told_all.fill(0);
     }
 
-    /// The hosts in reach that cannot forward anything yet.
+    /// Number of reachable hosts that cannot forward anything yet.
     pub fn unready(&self) -> usize {
         let in_reach =
             |host: &&SimulatedHost| !matches!(host.condition, Condition::Dead | Condition::Cut);
@@ -225,7 +225,7 @@
         hosts.filter(|host| !host.engine.view().is_usable()).count()
     }
 
-    /// How long it takes until all hosts in reach can forward, in milliseconds.
+    /// How long it takes until all reachable hosts can forward, in milliseconds.
     pub fn time_to_serve(&mut self) -> u64 {
         let start = self.now;
         let starts = |host: &SimulatedHost| host.starts_at.is_some();
@@ -247,8 +247,8 @@
         self.log.push((self.revision, number, draining));
     }
 
-    /// The store comes back from a copy that lacks the last `lost` changes, and cuts
-    /// what waits.
+    /// Restores the store from a backup without the last `lost` changes, and breaks all
+    /// watches.
     pub fn restore(&mut self, lost: u64) {
         self.era += 1;
         self.revision -= lost.min(self.revision - 10);
@@ -399,7 +399,7 @@
         }
     }
 
-    /// Passes reports on, as often as hosts do.
+    /// Sends reports, as often as hosts do.
     pub fn tell(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         if self.now < host.tell_at {
@@ -449,7 +449,7 @@
         }
     }
 
-    /// A part of the list leaves after those that are on its teller's link.
+    /// Sends a part of the list after the earlier parts on the link of `teller`.
     fn send_part(&mut self, teller: usize, asker: usize, word: PeerWord) {
         self.told_all[teller] += usize::from(word.all_servers);
         let host = &mut self.hosts[teller];
@@ -499,7 +499,7 @@
             .collect()
     }
 
-    /// The hosts in reach that do not know that `number` drains.
+    /// The reachable hosts that do not know that server `number` drains.
     pub fn ignorant(&self, number: u64) -> Vec<usize> {
         let id = near_server(number).id;
         let knows = |host: &SimulatedHost| {
@@ -514,7 +514,7 @@
             .collect()
     }
 
-    /// How long it takes until all hosts in reach know a change, in milliseconds.
+    /// How long it takes until all reachable hosts know a change, in milliseconds.
     pub fn time_to_all(&mut self) -> u64 {
         let start = self.now;
         self.write(1, true);
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/mod.rs
@@ -36,7 +36,7 @@
     time::Duration::from_millis(number)
 }
 
-/// A moment, in milliseconds after some start.
+/// A time in milliseconds after an arbitrary start.
 pub fn at(number: u64) -> Timestamp {
     Timestamp::new(1_000_000_000).after(millis(number))
 }
@@ -53,12 +53,13 @@
     net::SocketAddr::from(([198, 18, 0, 1], SERVICE_PORT))
 }
 
-/// Where the host `number` can be asked.
+/// The address of host `number` for queries.
 pub fn host_address(number: u8) -> net::SocketAddr {
     net::SocketAddr::from(([10, 1, 0, number], 8166))
 }
 
-/// The beliefs of the host `number` of domain `near`, whose settings name the first two.
+/// The discovery engine of host `number` of domain `near`; the seeds are the first two
+/// hosts.
 pub fn belief_engine(number: u8) -> BeliefEngine {
     let settings = BeliefSettings {
         domain: domain("near"),
@@ -87,12 +88,12 @@
     }
 }
 
-/// What the store says of the near server `number`.
+/// The store entry of near server `number`.
 pub fn server_entry(number: u64, written: u64, draining: bool) -> StoreChange {
     server_entry_at(number, StoreRevision::new(written), draining)
 }
 
-/// The same, of any era.
+/// The store entry of near server `number`, of any era.
 pub fn server_entry_at(number: u64, revision: StoreRevision, draining: bool) -> StoreChange {
     let server = near_server(number);
     StoreChange::Server(ServerEntry {
@@ -145,7 +146,7 @@
     directory
 }
 
-/// What a sink was told.
+/// The effects that a sink has received.
 #[derive(Debug, Default)]
 pub struct RecordingSink {
     pub sent: Vec<(BackendId, FlowToken)>,
@@ -221,14 +222,14 @@
         }
     }
 
-    /// Lets the ticks pass that come due until `now`.
+    /// Runs the ticks that are due until `now`.
     pub fn run_until(&mut self, now: Timestamp) {
         while self.ran_at.after(TICK_PERIOD) <= now {
             self.tick(self.ran_at.after(TICK_PERIOD));
         }
     }
 
-    /// The process does not run until `now`.
+    /// Skips the ticks until `now`, as if the process did not run.
     pub fn sleep_until(&mut self, now: Timestamp) {
         self.ran_at = now;
     }
@@ -249,7 +250,7 @@
         self.handle_stale(now, packet)
     }
 
-    /// Decides about `packet` with a view as old as it is.
+    /// Decides about `packet`; the view keeps its age.
     pub fn handle_stale(&mut self, now: Timestamp, packet: &FlowPacket<'_>) -> RecordingSink {
         self.run_until(now);
         let mut sink = RecordingSink::default();
@@ -257,7 +258,7 @@
         sink
     }
 
-    /// Lets a tick pass.
+    /// Runs a tick.
     pub fn tick(&mut self, now: Timestamp) -> RecordingSink {
         self.ran_at = now;
         let mut sink = RecordingSink::default();
@@ -280,7 +281,7 @@
     }
 }
 
-/// The flow of the caller that has the number `port`, from that port.
+/// The flow of caller number `port`, from that port.
 pub fn flow(port: u16) -> FlowKey {
     let [high, low] = port.to_be_bytes();
     FlowKey {
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/watched_flows.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/watched_flows.rs
@@ -1,4 +1,4 @@
-//! Flows on two servers that a host watches, and what shows that they make progress.
+//! Flows on two servers that a host watches, and packets that show progress of them.
 
 use cardamomwinch_state::prelude::*;
 
@@ -24,15 +24,15 @@
     (1..100).filter(on_server).collect()
 }
 
-/// A flow on `server` makes progress.
+/// Shows progress of a flow on `server`.
 pub fn show_life(host: &mut TestHost, moment: u64, server: BackendId) {
     let port = ports_on(host, server)[0];
     let acknowledged = 9_000 + 2_000 * moment as u32;
     host.handle(at(moment), &data(port, server, 500, acknowledged, 0));
 }
 
-/// A caller of `server` asks at `moment` and is answered: what this host sends at that
-/// time arrives.
+/// A caller of `server` sends a request at `moment` and is answered, which shows that
+/// packets of this host arrive at that time.
 pub fn show_delivery(host: &mut TestHost, moment: u64, server: BackendId) {
     let port = ports_on(host, server)[0];
     let (sequence, answered) = (1_000 + moment as u32, 9_000 + 2_000 * moment as u32);
--- a/crates/cardamomwinch_coordination/tests/forwarding_whole_fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_whole_fleet.rs
@@ -1,5 +1,6 @@
-//! Five domains of 117 hosts before 6,000 servers, and twice as many of both: whatever all
-//! hosts do at once must not take calls, questions or time by the product of the two.
+//! Five domains of 117 hosts in front of 6,000 servers, and twice as many of both: calls,
+//! queries and times must not grow with the product of the two when all hosts do something
+//! at the same time.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -9,35 +10,35 @@
 
 const DOMAINS: usize = 5;
 const SERVERS_PER_HOST: u64 = 10;
-/// What a server takes on the wire, in bytes.
+/// The size of a server in a message, in bytes.
 const WIRE_BYTES: u64 = 50;
-/// Within this time all hosts start, in milliseconds.
+/// The time within which all hosts start, in milliseconds.
 const SPREAD: u64 = 300;
-/// Hosts that another one tells the list at a time, over the same link.
+/// Hosts that receive the list from the same host at the same time, over the same link.
 const TOLD_AT_ONCE: u64 = 4;
-/// What steps from host to host may take besides, in milliseconds.
+/// The time that passing the list from host to host may take in addition, in milliseconds.
 const PASSING_ON: u64 = 600;
-/// How long watches hear nothing before the store drops its history, in milliseconds.
+/// How long watches return nothing before the store drops its history, in milliseconds.
 const SILENCE: u64 = 1_000;
-/// For so long what hosts ask of the store is counted, in milliseconds.
+/// How long calls to the store are counted, in milliseconds.
 const COUNTED: u64 = 12_000;
 
 fn weight(hosts: usize) -> DirectoryWeight {
     DirectoryWeight::of_servers(hosts as u64 * SERVERS_PER_HOST, WIRE_BYTES)
 }
 
-/// How long it takes to read the store's list, in milliseconds.
+/// How long it takes to list the store, in milliseconds.
 fn reading_time(weight: DirectoryWeight) -> u64 {
     weight.pages * weight.page_time
 }
 
-/// How long it takes to read the list and to tell it others, in milliseconds.
+/// How long it takes to list the store and to send the list to others, in milliseconds.
 fn telling_time(weight: DirectoryWeight) -> u64 {
     reading_time(weight) + TOLD_AT_ONCE * weight.parts * weight.part_time
 }
 
-/// Guards against hosts that each read the list of thousands of servers at their start,
-/// because it takes the few that are to tell them longer than they wait.
+/// Guards against hosts that each list thousands of servers at their start, because the few
+/// hosts that send them the list take longer to receive it than the others wait.
 #[parameterized(
     whole_fleet = { 585 },
     twice_the_fleet = { 1_170 },
@@ -55,8 +56,8 @@
     assert!(told <= 8, "one host told {told}");
 }
 
-/// Guards against the same where more than half of the hosts lose power, the named ones
-/// among them, and against a list that is told whole: it takes a narrow link a quarter of a
+/// Guards against the same if more than half of the hosts lose power, the seeds among them.
+/// Also guards against sending the list as a whole: that takes a narrow link a quarter of a
 /// second for each host.
 #[parameterized(
     whole_fleet = { 585 },
@@ -77,7 +78,7 @@
 }
 
 /// Guards against an old configuration that stays in force for ten seconds after the store
-/// has dropped its history: every host read the whole list anew, over the same links.
+/// has dropped its history: every host listed the whole store again, over the same links.
 #[parameterized(
     whole_fleet = { 585 },
     twice_the_fleet = { 1_170 },
--- a/crates/cardamomwinch_coordination/tests/health_draining.rs
+++ b/crates/cardamomwinch_coordination/tests/health_draining.rs
@@ -1,4 +1,4 @@
-//! The way of a server's word to the placement of new flows, through a whole
+//! How the report of a draining server affects the placement of new flows, through a whole
 //! host.
 
 #![allow(clippy::unwrap_used, missing_docs)]
@@ -28,7 +28,7 @@
 }
 
 impl Bench {
-    /// A host that has taken its configuration into force.
+    /// A host whose configuration is in force.
     fn serving() -> Self {
         let identity = HostIdentity {
             host: HostId::from_name("bud-angyal-1"),
@@ -150,8 +150,8 @@
     }
 }
 
-/// An operator tells a server to drain, at the server itself. Its endpoint says
-/// so. Within three seconds no new flow goes there, and the decision is logged.
+/// An operator drains a server at the server itself, whose endpoint then reports so. Within
+/// three seconds no new flow may go there, and the decision must be logged.
 #[test]
 fn a_server_that_says_it_drains_gets_no_new_flow_after_three_seconds() {
     let mut bench = Bench::serving();
@@ -165,8 +165,8 @@
     assert_eq!(health.count(), 1);
 }
 
-/// A preset under which a server drains comes into force. The server gets no
-/// new flow from the moment on in which the host has adopted it.
+/// A preset under which a server drains comes into force. The server must get no new flow
+/// once the host has adopted the preset.
 #[test]
 fn a_server_that_drains_by_configuration_gets_no_new_flow_after_three_seconds() {
     let mut bench = Bench::serving();
--- a/crates/cardamomwinch_coordination/tests/health_ejection.rs
+++ b/crates/cardamomwinch_coordination/tests/health_ejection.rs
@@ -1,4 +1,4 @@
-//! Which servers a home keeps new flows from, and which it must not.
+//! Which servers a home ejects, and which it must not eject.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -23,20 +23,21 @@
     answers: None,
 };
 
-/// How a server of the test behaves.
+/// How a server behaves in a test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Conduct {
     /// Endpoint and requests are answered.
     Well,
     /// Nothing is answered.
     Silent,
-    /// The endpoint answers and says that all is well; requests do not.
+    /// The endpoint answers and reports that the server is healthy; requests are not
+    /// answered.
     OnlyEndpoint,
     /// Requests are answered; the endpoint does not.
     OnlyTraffic,
-    /// Both are answered, but the endpoint says that it is ill.
+    /// Both are answered, but the endpoint reports that the server is unhealthy.
     CallsItselfIll,
-    /// Both are answered, and the endpoint says that it drains.
+    /// Both are answered, and the endpoint reports that the server drains.
     Drains,
 }
 
@@ -47,7 +48,7 @@
     now: Timestamp,
     conduct: Vec<Conduct>,
     questions: Vec<usize>,
-    /// When each server last answered a request, or had none.
+    /// When each server last answered a request or had none waiting.
     answered: Vec<Timestamp>,
     changes: Vec<HealthChange>,
     ejections: Vec<Timestamp>,
@@ -156,8 +157,7 @@
     }
 
     fn observed(&mut self, index: usize) -> BackendObservation {
-        // A server that is out gets no requests any more that it could leave
-        // without a word.
+        // An ejected server gets no more requests that it could leave unanswered.
         let out = self.ejected().contains(&index);
         let conduct = self.conduct[index];
         let answers = !matches!(conduct, Conduct::Silent | Conduct::OnlyEndpoint);
@@ -196,9 +196,9 @@
     }
 }
 
-/// One search server hangs while its three neighbours answer. Advisers placed
-/// there wait in vain; it must get no new flows after a few seconds. When it
-/// answers again it is taken back, slowly.
+/// One server hangs while three others answer. It must get no new flows after a few
+/// seconds, because their callers would wait in vain. When it answers again, it must return
+/// slowly.
 #[test]
 fn a_silent_server_among_answering_ones_is_ejected_and_returns_slowly() {
     let mut bench = Bench::new(4);
@@ -222,9 +222,9 @@
     assert_eq!(bench.turns(HealthTurn::Returned), 1);
 }
 
-/// The network between this host and all servers of the failure domain is cut.
-/// Every server looks dead. Ejecting them would leave nothing to serve with
-/// when the cut heals, so that none is ejected.
+/// The network between this host and all servers of the failure domain is cut, so every
+/// server looks dead. None may be ejected: there would be no server to use when the network
+/// is back.
 #[test]
 fn a_cut_ejects_nobody() {
     let mut bench = Bench::new(4);
@@ -237,8 +237,8 @@
     assert_eq!(bench.turns(HealthTurn::Ejected), 0);
 }
 
-/// Three of four servers fail one after the other. Were all three ejected, the
-/// last would get every new flow and fail too.
+/// Three of four servers fail one after the other. If all three were ejected, the last one
+/// would get every new flow and fail, too.
 #[test]
 fn at_most_half_of_the_servers_are_ejected() {
     let mut bench = Bench::new(4);
@@ -251,8 +251,7 @@
     assert_eq!(bench.ejected().len(), 2);
 }
 
-/// A service has a single server here, and it fails. Keeping new flows from it
-/// helps nobody.
+/// The only server of a service in a domain fails. Ejecting it would help no caller.
 #[test]
 fn the_last_server_is_never_ejected() {
     let mut bench = Bench::new(1);
@@ -262,8 +261,8 @@
     assert_eq!(bench.ejected(), Vec::<usize>::new());
 }
 
-/// A load endpoint fails, or calls its server ill, while the server answers
-/// every request. What the home sees itself goes first.
+/// A load endpoint fails, or reports its server as unhealthy, while the server answers
+/// every request. What the home observes itself takes precedence.
 #[test]
 fn a_server_that_answers_requests_is_well_whatever_its_endpoint_says() {
     let mut bench = Bench::new(4);
@@ -273,9 +272,9 @@
     assert_eq!(bench.ejected(), Vec::<usize>::new());
 }
 
-/// A server's endpoint says that all is well, while its requests get no word.
-/// It is ejected; its endpoint alone takes it back for a trial, ever more
-/// rarely, so that it does not flap.
+/// The endpoint of a server reports that it is healthy, while its requests stay unanswered.
+/// It must be ejected. The answers of its endpoint end the ejection for a trial, but less
+/// and less often, so that it does not flap.
 #[test]
 fn a_server_whose_endpoint_misleads_is_tried_ever_more_rarely() {
     let mut bench = Bench::new(4);
@@ -299,9 +298,9 @@
     assert!(asked(2) * 4 < asked(1) * 3, "{} of {}", asked(2), asked(1));
 }
 
-/// An operator drains a server by telling the server itself. It says so at its
-/// endpoint, and must get no new flow within three seconds. It then exits, and
-/// its silence must not look like the end of the draining.
+/// An operator drains a server at the server itself. Its endpoint reports so, and it must
+/// get no new flow within three seconds. It then exits, and its silence must not count as
+/// the end of the draining.
 #[test]
 fn a_server_that_says_it_drains_gets_no_new_flow() {
     let mut bench = Bench::new(2);
@@ -333,9 +332,8 @@
     assert_eq!(bench.turns(HealthTurn::DrainingEnded), 0);
 }
 
-/// A server joins while the service runs. It starts with a part of its slots;
-/// those that were there before, and those that a host finds when it starts
-/// itself, do not.
+/// A server joins while the service runs, and starts with a part of its slots. Servers that
+/// were there before, and servers that a host finds when it starts itself, must not.
 #[test]
 fn a_server_that_joins_starts_slowly() {
     let mut bench = Bench::new(3);
@@ -360,9 +358,9 @@
     assert_eq!(bench.warm_percent(3), 100);
 }
 
-/// Each endpoint is asked by the one home of its server, once a second and out
-/// of step; a host that loses the lease stops asking. Were all hosts to ask,
-/// each server would be asked three thousand times a second.
+/// Only the home of a server probes its endpoint, about once a second and not at the same
+/// times as other homes; a host that loses the lease stops. If all hosts probed, each
+/// server would get three thousand probes a second.
 #[test]
 fn only_the_home_asks_and_about_once_a_second() {
     let mut bench = Bench::new(6);
