--- a/crates/cardamomwinch_coordination/src/control/health/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/mod.rs
@@ -8,10 +8,10 @@
 //! gets no new flows, but keeps those it has. If no server of a domain answers, the fault
 //! is probably in between, and none is ejected.
 
-pub(crate) mod asking;
 pub mod observation;
+pub(crate) mod probing;
 pub(crate) mod server;
-pub(crate) mod warmth;
+pub(crate) mod warm_up;
 
 use std::net;
 use std::time;
@@ -25,11 +25,11 @@
 use crate::control::event::LoadFailure;
 use crate::control::health::observation::BackendObservation;
 use crate::control::health::server::{HealthState, ServerHealth};
-use crate::control::health::warmth::ColdServers;
+use crate::control::health::warm_up::ColdServers;
 use crate::snapshot::{BackendView, ShardView};
 
 /// How often the set of servers that this host is the home of is updated.
-const FOLLOW_INTERVAL: time::Duration = time::Duration::from_millis(500);
+const TRACKING_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// How a server's health changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 
 /// A probe of a load endpoint to send now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadQuestion {
+pub struct LoadProbe {
     /// The server.
     pub backend: BackendId,
     /// The address of the endpoint.
@@ -71,7 +71,7 @@
 pub struct HealthTable {
     servers: SortedVector<BackendId, ServerHealth>,
     cold: ColdServers,
-    next_follow: Timestamp,
+    next_tracking: Timestamp,
 }
 
 impl HealthTable {
@@ -83,7 +83,7 @@
         earlier: &InForceConfiguration,
         next: &InForceConfiguration,
     ) {
-        self.next_follow = now;
+        self.next_tracking = now;
         if earlier.backends.is_empty() {
             // The host has just started; the servers are not new.
             return;
@@ -103,10 +103,10 @@
         configuration: &InForceConfiguration,
         shards: &SortedVector<ShardId, ShardView>,
     ) {
-        if now < self.next_follow {
+        if now < self.next_tracking {
             return;
         }
-        self.next_follow = now.after(FOLLOW_INTERVAL);
+        self.next_tracking = now.after(TRACKING_INTERVAL);
         let count = configuration.limits.shards_per_domain;
         let is_home = |entry: &BackendEntry| {
             let view = shards.get(&entry.shard(count));
@@ -128,18 +128,18 @@
         &mut self,
         now: Timestamp,
         configuration: &InForceConfiguration,
-    ) -> Vec<LoadQuestion> {
-        let mut questions = Vec::new();
+    ) -> Vec<LoadProbe> {
+        let mut probes = Vec::new();
         for (backend, server) in self.servers.iter_mut() {
             let entry = configuration.backends.get(backend);
-            if let Some(entry) = entry.filter(|_| server.asking.ask_if_due(now)) {
-                questions.push(LoadQuestion {
+            if let Some(entry) = entry.filter(|_| server.probes.probe_if_due(now)) {
+                probes.push(LoadProbe {
                     backend: *backend,
                     address: entry.address,
                 });
             }
         }
-        questions
+        probes
     }
 
     /// Records the outcome of a probe.
@@ -150,7 +150,7 @@
         result: Result<LoadReport, LoadFailure>,
     ) {
         if let Some(server) = self.servers.get_mut(&backend) {
-            server.take_load(now, result);
+            server.handle_load(now, result);
         }
     }
 
@@ -158,7 +158,7 @@
     pub fn take_observations(&mut self, now: Timestamp, observations: &[BackendObservation]) {
         for observation in observations {
             if let Some(server) = self.servers.get_mut(&observation.backend) {
-                server.take_observation(now, observation);
+                server.apply_observation(now, observation);
             }
         }
     }
@@ -172,7 +172,7 @@
         let mut changes = Vec::new();
         self.cold.forget_warm(now);
         self.note_draining(configuration, &mut changes);
-        self.return_well(now, configuration, &mut changes);
+        self.return_healthy(now, configuration, &mut changes);
         self.eject_failing(now, configuration, &mut changes);
         changes
     }
@@ -183,24 +183,24 @@
         changes: &mut Vec<HealthChange>,
     ) {
         for (backend, server) in self.servers.iter_mut() {
-            let turn = match (server.draining, server.told_draining) {
+            let turn = match (server.draining, server.logged_draining) {
                 (true, false) => HealthTurn::Draining,
                 (false, true) => HealthTurn::DrainingEnded,
                 _ => continue,
             };
-            server.told_draining = server.draining;
+            server.logged_draining = server.draining;
             changes.extend(change(configuration, *backend, turn));
         }
     }
 
-    fn return_well(
+    fn return_healthy(
         &mut self,
         now: Timestamp,
         configuration: &InForceConfiguration,
         changes: &mut Vec<HealthChange>,
     ) {
         for (backend, server) in self.servers.iter_mut() {
-            if server.return_if_well(now) {
+            if server.return_if_healthy(now) {
                 self.cold.note(now, *backend);
                 changes.extend(change(configuration, *backend, HealthTurn::Returned));
             }
--- a/crates/cardamomwinch_coordination/src/control/health/asking.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/probing.rs
@@ -6,52 +6,52 @@
 use cardamomwinch_state::prelude::{BackendId, Timestamp};
 
 /// The usual interval between two probes.
-const ASK_INTERVAL: time::Duration = time::Duration::from_secs(1);
+const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Each interval is longer or shorter by up to one part in this many, so that homes do not
 /// probe at the same times.
 const JITTER_PARTS: u32 = 8;
 /// The longest interval while a server is ejected.
-const LONGEST_INTERVAL: time::Duration = time::Duration::from_secs(30);
+const MAX_INTERVAL: time::Duration = time::Duration::from_secs(30);
 
 /// The probe schedule of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct AskSchedule {
+pub(crate) struct ProbeSchedule {
     /// When the last probe was sent.
-    pub(crate) asked: Timestamp,
-    next: Timestamp,
+    pub(crate) probed_at: Timestamp,
+    next_at: Timestamp,
     interval: time::Duration,
     seed: u64,
-    open: bool,
+    is_pending: bool,
     backs_off: bool,
     /// Number of failed probes in a row.
     pub(crate) failures: u32,
 }
 
-impl AskSchedule {
+impl ProbeSchedule {
     pub(crate) fn new(now: Timestamp, backend: BackendId) -> Self {
         Self {
-            asked: now,
-            next: now,
-            interval: ASK_INTERVAL,
+            probed_at: now,
+            next_at: now,
+            interval: PROBE_INTERVAL,
             seed: backend.get(),
-            open: false,
+            is_pending: false,
             backs_off: false,
             failures: 0,
         }
     }
 
     /// Returns whether the endpoint must be probed now; if so, records the probe as sent.
-    pub(crate) fn ask_if_due(&mut self, now: Timestamp) -> bool {
-        if now < self.next {
+    pub(crate) fn probe_if_due(&mut self, now: Timestamp) -> bool {
+        if now < self.next_at {
             return false;
         }
         // A probe without any outcome counts as failed.
-        self.failures += u32::from(self.open);
-        self.open = true;
-        self.asked = now;
-        self.next = now.after(self.jittered());
+        self.failures += u32::from(self.is_pending);
+        self.is_pending = true;
+        self.probed_at = now;
+        self.next_at = now.after(self.jittered());
         if self.backs_off {
-            self.interval = (self.interval * 2).min(LONGEST_INTERVAL);
+            self.interval = (self.interval * 2).min(MAX_INTERVAL);
         }
         true
     }
@@ -64,12 +64,12 @@
     }
 
     pub(crate) fn note_answer(&mut self) {
-        self.open = false;
+        self.is_pending = false;
         self.failures = 0;
     }
 
     pub(crate) fn note_failure(&mut self) {
-        self.open = false;
+        self.is_pending = false;
         self.failures = self.failures.saturating_add(1);
     }
 
@@ -81,7 +81,7 @@
     /// Returns to the usual interval.
     pub(crate) fn resume(&mut self, now: Timestamp) {
         self.backs_off = false;
-        self.interval = ASK_INTERVAL;
-        self.next = self.next.min(now.after(ASK_INTERVAL));
+        self.interval = PROBE_INTERVAL;
+        self.next_at = self.next_at.min(now.after(PROBE_INTERVAL));
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/health/server.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/server.rs
@@ -6,14 +6,14 @@
 use cardamomwinch_state::prelude::{BackendId, Timestamp};
 
 use crate::control::event::LoadFailure;
-use crate::control::health::asking::AskSchedule;
 use crate::control::health::observation::BackendObservation;
+use crate::control::health::probing::ProbeSchedule;
 use crate::snapshot::ReportedLoad;
 
 /// A server that is silent for this long is failing.
-const SILENT_FOR: time::Duration = time::Duration::from_secs(2);
+const SILENCE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// A server counts as answering for this long after an answer.
-const ALIVE_FOR: time::Duration = time::Duration::from_millis(2500);
+const ANSWER_VALIDITY: time::Duration = time::Duration::from_millis(2500);
 /// This many unanswered requests show that a server fails although its endpoint answers.
 const UNANSWERED_LIMIT: u32 = 2;
 /// An endpoint counts as silent after this many unanswered probes.
@@ -21,9 +21,9 @@
 /// The minimum duration of the first ejection.
 const FIRST_EJECTION: time::Duration = time::Duration::from_secs(2);
 /// The limit of the minimum duration, which doubles with each ejection.
-const LONGEST_EJECTION: time::Duration = time::Duration::from_secs(30);
+const MAX_EJECTION: time::Duration = time::Duration::from_secs(30);
 /// After this long without an ejection the next one starts at [`FIRST_EJECTION`] again.
-const FORGIVEN_AFTER: time::Duration = time::Duration::from_secs(60);
+const EJECTION_RESET_AFTER: time::Duration = time::Duration::from_secs(60);
 
 /// Whether a server gets new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,18 +43,18 @@
 #[derive(Debug, Clone)]
 pub(crate) struct ServerHealth {
     pub(crate) state: HealthState,
-    pub(crate) asking: AskSchedule,
+    pub(crate) probes: ProbeSchedule,
     pub(crate) report: Option<ReportedLoad>,
     /// Whether the last report of the server said that it drains. This stays set while the
     /// endpoint is silent: a draining server often exits without another report.
     pub(crate) draining: bool,
     /// Whether `draining` has been logged.
-    pub(crate) told_draining: bool,
-    says_unhealthy: bool,
+    pub(crate) logged_draining: bool,
+    reports_unhealthy: bool,
     /// When its endpoint last answered.
-    last_report: Timestamp,
+    last_report_at: Timestamp,
     /// When it last answered or shed a request.
-    last_answer: Timestamp,
+    last_answer_at: Timestamp,
     /// Since when requests have been unanswered.
     silent_since: Option<Timestamp>,
     /// Number of unanswered requests.
@@ -68,13 +68,13 @@
     pub(crate) fn new(now: Timestamp, backend: BackendId) -> Self {
         Self {
             state: HealthState::Serving,
-            asking: AskSchedule::new(now, backend),
+            probes: ProbeSchedule::new(now, backend),
             report: None,
             draining: false,
-            told_draining: false,
-            says_unhealthy: false,
-            last_report: Timestamp::ZERO,
-            last_answer: Timestamp::ZERO,
+            logged_draining: false,
+            reports_unhealthy: false,
+            last_report_at: Timestamp::ZERO,
+            last_answer_at: Timestamp::ZERO,
             silent_since: None,
             unanswered: 0,
             ejection: FIRST_EJECTION,
@@ -82,25 +82,25 @@
         }
     }
 
-    pub(crate) fn take_load(&mut self, now: Timestamp, result: Result<LoadReport, LoadFailure>) {
+    pub(crate) fn handle_load(&mut self, now: Timestamp, result: Result<LoadReport, LoadFailure>) {
         let Ok(load) = result else {
-            return self.asking.note_failure();
+            return self.probes.note_failure();
         };
-        self.asking.note_answer();
-        self.last_report = now;
-        self.says_unhealthy = !load.healthy;
+        self.probes.note_answer();
+        self.last_report_at = now;
+        self.reports_unhealthy = !load.healthy;
         self.draining = load.draining;
         self.report = Some(ReportedLoad {
-            asked: self.asking.asked,
+            asked: self.probes.probed_at,
             made: now,
             busy_slots: load.busy_slots,
             answers: load.answers,
         });
     }
 
-    pub(crate) fn take_observation(&mut self, now: Timestamp, observation: &BackendObservation) {
+    pub(crate) fn apply_observation(&mut self, now: Timestamp, observation: &BackendObservation) {
         if observation.answers + observation.sheds > 0 {
-            self.last_answer = now;
+            self.last_answer_at = now;
         }
         let silent = observation.unanswered > 0;
         self.silent_since = silent.then(|| now.before(observation.silent_for));
@@ -116,50 +116,50 @@
     /// server works; and it may report the server as healthy while requests stay
     /// unanswered.
     pub(crate) fn is_failing(&self, now: Timestamp) -> bool {
-        if now.since(self.last_answer) < SILENT_FOR {
+        if now.since(self.last_answer_at) < SILENCE_TIMEOUT {
             return false;
         }
         let silent = self
             .silent_since
-            .is_some_and(|since| now.since(since) > SILENT_FOR);
+            .is_some_and(|since| now.since(since) > SILENCE_TIMEOUT);
         // A single request may just take long if the endpoint answers.
-        let reported = now.since(self.last_report) < ALIVE_FOR;
+        let reported = now.since(self.last_report_at) < ANSWER_VALIDITY;
         let traffic = silent && (self.unanswered >= UNANSWERED_LIMIT || !reported);
-        traffic || self.asking.failures >= FAILURE_LIMIT || self.says_unhealthy
+        traffic || self.probes.failures >= FAILURE_LIMIT || self.reports_unhealthy
     }
 
     /// Whether the server has answered recently.
     pub(crate) fn is_answering(&self, now: Timestamp) -> bool {
-        let last = self.last_answer.max(self.last_report);
-        now.since(last) < ALIVE_FOR && !self.is_failing(now)
+        let last = self.last_answer_at.max(self.last_report_at);
+        now.since(last) < ANSWER_VALIDITY && !self.is_failing(now)
     }
 
     pub(crate) fn eject(&mut self, now: Timestamp) {
-        if now.since(self.ejection_ended) > FORGIVEN_AFTER {
+        if now.since(self.ejection_ended) > EJECTION_RESET_AFTER {
             self.ejection = FIRST_EJECTION;
         }
         self.state = HealthState::Ejected {
             since: now,
             until: now.after(self.ejection),
         };
-        self.asking.back_off();
-        self.ejection = (self.ejection * 2).min(LONGEST_EJECTION);
+        self.probes.back_off();
+        self.ejection = (self.ejection * 2).min(MAX_EJECTION);
     }
 
     /// Ends the ejection if the server has answered since it began. Its minimum duration
     /// doubles with each ejection, so that a server whose endpoint answers while its
     /// requests stay unanswered is tried less and less often.
-    pub(crate) fn return_if_well(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn return_if_healthy(&mut self, now: Timestamp) -> bool {
         let HealthState::Ejected { since, until } = self.state else {
             return false;
         };
-        let life = self.last_answer.max(self.last_report);
-        if now < until || life <= since || !self.is_answering(now) {
+        let last = self.last_answer_at.max(self.last_report_at);
+        if now < until || last <= since || !self.is_answering(now) {
             return false;
         }
         self.state = HealthState::Serving;
         self.ejection_ended = now;
-        self.asking.resume(now);
+        self.probes.resume(now);
         true
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/mod.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/mod.rs
@@ -5,18 +5,18 @@
 //! it comes from the store or from a peer that read the store.
 
 pub mod own_servers;
-pub mod peer_book;
 mod peer_exchange;
+pub mod peer_list;
 pub mod peer_word;
 pub mod read_source;
 mod report_exchange;
-pub mod start;
 pub mod start_list;
+pub mod startup;
 pub mod store_call;
 mod store_changes;
 pub mod store_reader;
 pub mod store_revision;
-pub mod waiting_questions;
+pub mod waiting_queries;
 
 use std::net;
 use std::sync;
@@ -27,11 +27,11 @@
 };
 
 use crate::forwarding::beliefs::own_servers::OwnServices;
-use crate::forwarding::beliefs::peer_book::PeerBook;
+use crate::forwarding::beliefs::peer_list::PeerList;
 use crate::forwarding::beliefs::peer_word::PeerQuestion;
 use crate::forwarding::beliefs::read_source::{ReadSource, SourceChoice};
-use crate::forwarding::beliefs::start::{StartPlan, TellingPlaces};
-use crate::forwarding::beliefs::start_list::StartList;
+use crate::forwarding::beliefs::start_list::ServerList;
+use crate::forwarding::beliefs::startup::{StartupPlan, TransferSlots};
 use crate::forwarding::beliefs::store_call::{StoreCall, StoreChange, StoreOutcome, StoreRevision};
 use crate::forwarding::beliefs::store_reader::StoreReader;
 use crate::forwarding::cold_starts::ColdShare;
@@ -116,7 +116,7 @@
     /// The store can be read again.
     StoreRegained {
         /// How long it could not be read.
-        silence: time::Duration,
+        outage: time::Duration,
     },
     /// The store was restored from a backup.
     StoreRestored {
@@ -151,7 +151,7 @@
         source: ReadSource,
     },
     /// A peer sent newer data.
-    PeerBelieved {
+    PeerDataApplied {
         /// The peer.
         peer: net::SocketAddr,
         /// The peer's revision.
@@ -169,76 +169,76 @@
     routes: sync::Arc<RouteTable>,
     directory: sync::Arc<ServerDirectory>,
     revision: StoreRevision,
-    heard_at: Timestamp,
-    silent_since: Option<Timestamp>,
-    silent_at: Option<Timestamp>,
+    as_of: Timestamp,
+    store_failing_since: Option<Timestamp>,
+    store_failed_at: Option<Timestamp>,
     reader: StoreReader,
-    peers: PeerBook,
+    peers: PeerList,
     choice: SourceChoice,
-    start: StartPlan,
-    places: TellingPlaces,
+    start: StartupPlan,
+    transfer_slots: TransferSlots,
     /// The full server list that this host sends to hosts without data, or that it is
     /// receiving.
-    list: StartList,
+    server_list: ServerList,
     /// The previous list, which some hosts are still receiving.
-    last_list: StartList,
+    previous_list: ServerList,
     /// The host to query next, as named by a host that was serving too many others.
-    referred_to: Option<net::SocketAddr>,
+    redirected_to: Option<net::SocketAddr>,
     source: ReadSource,
     pause: time::Duration,
     /// Whether a peer has sent the servers that left before this host started.
-    knows_left: bool,
+    knows_left_servers: bool,
     /// The revision known when the last query was sent.
-    asked_revision: StoreRevision,
+    queried_revision: StoreRevision,
     /// When the last query was sent.
-    asked_at: Option<Timestamp>,
+    queried_at: Option<Timestamp>,
     /// When the store sent the first page of the listing that is being read.
-    listing_said_at: Option<Timestamp>,
-    told_hosts_at: Option<Timestamp>,
+    listing_sent_at: Option<Timestamp>,
+    hosts_sent_at: Option<Timestamp>,
     /// Whether the last peer that answered knows other hosts than this one.
     knows_other_hosts: bool,
     own_services: OwnServices,
     reports: sync::Arc<ReportTable>,
     /// The host that reports were last sent to, and the serial up to which it has them.
-    reports_told: Option<(net::SocketAddr, ReportSerial)>,
+    reports_sent: Option<(net::SocketAddr, ReportSerial)>,
     /// The host that was queried last, and the serial up to which it has sent its reports.
-    reports_known: Option<(net::SocketAddr, ReportSerial)>,
+    reports_received: Option<(net::SocketAddr, ReportSerial)>,
     changes: Vec<BeliefChange>,
 }
 
 impl BeliefEngine {
     /// Creates the engine of a host that has just started and has no data.
     pub fn new(settings: BeliefSettings, jitter_seed: u64) -> Self {
-        let peers = PeerBook::new(settings.address, settings.domain, &settings.seeds);
+        let peers = PeerList::new(settings.address, settings.domain, &settings.seeds);
         let is_named = settings.seeds.contains(&settings.address);
-        let asks_others = !is_named && !settings.seeds.is_empty();
+        let queries_others = !is_named && !settings.seeds.is_empty();
         Self {
             routes: sync::Arc::default(),
             directory: sync::Arc::default(),
             revision: StoreRevision::ZERO,
-            heard_at: Timestamp::ZERO,
-            silent_since: None,
-            silent_at: None,
+            as_of: Timestamp::ZERO,
+            store_failing_since: None,
+            store_failed_at: None,
             reader: StoreReader::new(settings.watch_wait, jitter_seed),
             peers,
             choice: SourceChoice::new(settings.address),
-            start: StartPlan::new(peer_book::order_number(settings.address), asks_others),
-            places: TellingPlaces::default(),
-            list: StartList::default(),
-            last_list: StartList::default(),
-            referred_to: None,
+            start: StartupPlan::new(peer_list::order_number(settings.address), queries_others),
+            transfer_slots: TransferSlots::default(),
+            server_list: ServerList::default(),
+            previous_list: ServerList::default(),
+            redirected_to: None,
             source: ReadSource::Store,
             pause: peer_exchange::IDLE_PAUSE,
-            knows_left: false,
-            asked_revision: StoreRevision::ZERO,
-            asked_at: None,
-            listing_said_at: None,
-            told_hosts_at: None,
+            knows_left_servers: false,
+            queried_revision: StoreRevision::ZERO,
+            queried_at: None,
+            listing_sent_at: None,
+            hosts_sent_at: None,
             knows_other_hosts: true,
             own_services: OwnServices::default(),
             reports: sync::Arc::default(),
-            reports_told: None,
-            reports_known: None,
+            reports_sent: None,
+            reports_received: None,
             regions: sync::Arc::new(settings.regions.clone()),
             settings,
             changes: Vec::new(),
@@ -254,8 +254,8 @@
             routes: sync::Arc::clone(&self.routes),
             directory: sync::Arc::clone(&self.directory),
             reports: sync::Arc::clone(&self.reports),
-            heard_at: self.heard_at,
-            silent_at: self.silent_at,
+            heard_at: self.as_of,
+            silent_at: self.store_failed_at,
         }
     }
 
@@ -264,7 +264,7 @@
     fn cold_share(&self) -> Option<ColdShare> {
         let knows_hosts = !self.knows_other_hosts || self.settings.seeds.is_empty();
         knows_hosts.then(|| ColdShare {
-            host_number: peer_book::order_number(self.settings.address),
+            host_number: peer_list::order_number(self.settings.address),
             host_numbers: self.peers.first_order_numbers().into(),
         })
     }
@@ -276,13 +276,13 @@
 
     /// The time as of which the data was current: when the store last answered this host,
     /// or a host that it learned from.
-    pub const fn heard_at(&self) -> Timestamp {
-        self.heard_at
+    pub const fn as_of(&self) -> Timestamp {
+        self.as_of
     }
 
     /// When a call to the store last failed, as far as this host knows.
-    pub const fn silent_at(&self) -> Option<Timestamp> {
-        self.silent_at
+    pub const fn store_failed_at(&self) -> Option<Timestamp> {
+        self.store_failed_at
     }
 
     /// The source that this host learns from.
@@ -290,15 +290,15 @@
         self.source
     }
 
-    /// Whether this host has something newer than the host that sent `question`.
-    pub fn knows_more_than(&self, question: &PeerQuestion) -> bool {
-        self.revision > question.revision
-            || self.routes.version() > question.version
-            || self.has_reports_for(question)
+    /// Whether this host has something newer than the host that sent `query`.
+    pub fn knows_more_than(&self, query: &PeerQuestion) -> bool {
+        self.revision > query.revision
+            || self.routes.version() > query.version
+            || self.has_reports_for(query)
     }
 
     /// The known peers.
-    pub const fn peers(&self) -> &PeerBook {
+    pub const fn peers(&self) -> &PeerList {
         &self.peers
     }
 
@@ -311,50 +311,51 @@
     /// while the data from that host is fresh.
     pub fn next_store_call(&mut self, now: Timestamp) -> StoreCall {
         self.choose_source(now);
-        let age = now.since(self.heard_at);
-        if self.leaves_listing(now) {
+        let age = now.since(self.as_of);
+        if self.waits_for_server_list(now) {
             return StoreCall::Pause(START_PERIOD);
         }
-        if self.knows_nothing() {
+        if self.has_no_data() {
             return self.reader.next_call(age);
         }
         let watching = self.reader.is_watching();
-        let spared = self.start.leaves_watching(age, now) && self.silent_since.is_none();
+        let may_skip_watch =
+            self.start.may_skip_watch(age, now) && self.store_failing_since.is_none();
         match self.source {
             ReadSource::Host(_) if watching => StoreCall::Pause(SOURCE_PERIOD),
-            ReadSource::Store if watching && spared => StoreCall::Pause(SOURCE_PERIOD),
+            ReadSource::Store if watching && may_skip_watch => StoreCall::Pause(SOURCE_PERIOD),
             _ => self.reader.next_call(age),
         }
     }
 
     /// Whether this host waits for others to send it the server list, instead of listing
     /// the store.
-    fn leaves_listing(&mut self, now: Timestamp) -> bool {
-        if !self.start.waits_for_reader(now) {
-            return self.knows_nothing()
+    fn waits_for_server_list(&mut self, now: Timestamp) -> bool {
+        if !self.start.waits_for_listing(now) {
+            return self.has_no_data()
                 && self.start.waits_for_hosts(now)
-                && self.peers.may_answer();
+                && self.peers.seed_may_answer();
         }
-        self.knows_nothing() || self.choice.host_to_ask(&self.peers, now).is_some()
+        self.has_no_data() || self.choice.host_to_query(&self.peers, now).is_some()
     }
 
     /// Whether neither the store nor a peer has provided any data yet.
-    pub(super) fn knows_nothing(&self) -> bool {
+    pub(super) fn has_no_data(&self) -> bool {
         self.revision == StoreRevision::ZERO
     }
 
     fn choose_source(&mut self, now: Timestamp) {
-        let host = self.choice.host_to_ask(&self.peers, now);
-        let age = now.since(self.heard_at);
-        let trusted = host.filter(|_| !self.choice.distrusts_hosts(age));
-        let source = trusted.map_or(ReadSource::Store, ReadSource::Host);
+        let host = self.choice.host_to_query(&self.peers, now);
+        let age = now.since(self.as_of);
+        let usable = host.filter(|_| !self.choice.must_read_store(age));
+        let source = usable.map_or(ReadSource::Store, ReadSource::Host);
         if source != self.source {
             self.source = source;
             self.changes.push(BeliefChange::SourceChanged { source });
         }
-        if trusted.is_some() && self.silent_since.is_some() {
+        if usable.is_some() && self.store_failing_since.is_some() {
             // The store is no longer called, so its failure is no longer tracked.
-            self.silent_since = None;
+            self.store_failing_since = None;
         }
     }
 
@@ -363,28 +364,28 @@
         self.handle_store_answer(now, now, outcome);
     }
 
-    /// Handles the outcome of a call that the store answered at `said_at`. A long answer
-    /// takes a while over a saturated link, and its content is as old as `said_at`.
+    /// Handles the outcome of a call that the store answered at `sent_at`. A long answer
+    /// takes a while over a saturated link, and its content is as old as `sent_at`.
     pub fn handle_store_answer(
         &mut self,
         now: Timestamp,
-        said_at: Timestamp,
+        sent_at: Timestamp,
         outcome: StoreOutcome,
     ) {
-        let said_at = self.note_page(said_at, &outcome);
+        let sent_at = self.page_sent_at(sent_at, &outcome);
         match outcome {
             StoreOutcome::Paused => {}
-            StoreOutcome::Failed => self.note_store_silent(now),
-            _ => self.note_store_heard(now),
+            StoreOutcome::Failed => self.note_store_failure(now),
+            _ => self.note_store_answer(now),
         }
-        let follows = self.choice.host_to_ask(&self.peers, now).is_some();
+        let follows = self.choice.host_to_query(&self.peers, now).is_some();
         self.adopt_listed_routes(&outcome);
-        let knew_nothing = self.knows_nothing();
+        let had_no_data = self.has_no_data();
         if let Some(step) = self.reader.handle(outcome, follows) {
-            self.take_step(now, said_at, step);
+            self.apply_step(now, sent_at, step);
         }
-        if knew_nothing && !self.knows_nothing() {
-            self.places.free_waiting();
+        if had_no_data && !self.has_no_data() {
+            self.transfer_slots.free_waiting();
         }
     }
 
@@ -395,7 +396,7 @@
         let StoreOutcome::Page { items, .. } = outcome else {
             return;
         };
-        if self.knows_nothing() {
+        if self.has_no_data() {
             return;
         }
         for item in items {
@@ -407,30 +408,30 @@
 
     /// Returns the time at which the content of `outcome` was current: a listing of several
     /// pages is as old as its first page.
-    fn note_page(&mut self, said_at: Timestamp, outcome: &StoreOutcome) -> Timestamp {
+    fn page_sent_at(&mut self, sent_at: Timestamp, outcome: &StoreOutcome) -> Timestamp {
         let StoreOutcome::Page { next, .. } = outcome else {
-            self.listing_said_at = None;
-            return said_at;
+            self.listing_sent_at = None;
+            return sent_at;
         };
-        let first = *self.listing_said_at.get_or_insert(said_at);
+        let first = *self.listing_sent_at.get_or_insert(sent_at);
         if next.is_none() {
-            self.listing_said_at = None;
+            self.listing_sent_at = None;
         }
         first
     }
 
-    fn note_store_heard(&mut self, now: Timestamp) {
-        if let Some(since) = self.silent_since.take() {
-            self.silent_at = Some(now);
-            let silence = now.since(since);
-            self.changes.push(BeliefChange::StoreRegained { silence });
+    fn note_store_answer(&mut self, now: Timestamp) {
+        if let Some(since) = self.store_failing_since.take() {
+            self.store_failed_at = Some(now);
+            let outage = now.since(since);
+            self.changes.push(BeliefChange::StoreRegained { outage });
         }
     }
 
-    fn note_store_silent(&mut self, now: Timestamp) {
-        self.silent_at = Some(now);
-        if self.silent_since.is_none() {
-            self.silent_since = Some(now);
+    fn note_store_failure(&mut self, now: Timestamp) {
+        self.store_failed_at = Some(now);
+        if self.store_failing_since.is_none() {
+            self.store_failing_since = Some(now);
             self.changes.push(BeliefChange::StoreLost);
         }
     }
@@ -438,10 +439,10 @@
     /// Detects by the era of `revision` that the store was restored from a backup. Entries
     /// missing after that count as unknown, not as removed, until they are written again.
     fn note_era(&mut self, now: Timestamp, revision: StoreRevision) {
-        if self.knows_nothing() || revision.era() <= self.revision.era() {
+        if self.has_no_data() || revision.era() <= self.revision.era() {
             return;
         }
-        self.silent_at = Some(now);
+        self.store_failed_at = Some(now);
         self.changes.push(BeliefChange::StoreRestored {
             last: self.revision,
             first: revision,
@@ -454,18 +455,18 @@
         if self.directory.evacuations().has_missing() {
             let directory = sync::Arc::make_mut(&mut self.directory);
             let ended = directory.end_missing_evacuations(now);
-            self.tell_evacuations(ended);
+            self.record_evacuation_changes(ended);
         }
-        let ages = self.directory.iter().any(|server| !server.is_listed());
-        if ages || !self.directory.evacuations().is_empty() {
+        let has_removed = self.directory.iter().any(|server| !server.is_listed());
+        if has_removed || !self.directory.evacuations().is_empty() {
             sync::Arc::make_mut(&mut self.directory).age(now, lifetime);
         }
         if !self.reports.is_empty() {
             sync::Arc::make_mut(&mut self.reports).age(now);
         }
-        for list in [&mut self.list, &mut self.last_list] {
-            if list.is_outdated(now) {
-                *list = StartList::default();
+        for list in [&mut self.server_list, &mut self.previous_list] {
+            if list.is_expired(now) {
+                *list = ServerList::default();
             }
         }
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_book.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_list.rs
@@ -11,34 +11,34 @@
 /// The most hosts of the own domain that are remembered: the first ones in the order. These
 /// are enough for every host to find a source, and the list is sent to hosts that know
 /// others.
-const OWN_DOMAIN_LIMIT: usize = 64;
+const MAX_OWN_DOMAIN_HOSTS: usize = 64;
 /// The most hosts of other domains that are remembered. They are queried when no host of
 /// the own domain has data.
-const OTHER_DOMAIN_LIMIT: usize = 32;
+const MAX_OTHER_DOMAIN_HOSTS: usize = 32;
 /// After this many unanswered queries in a row a peer is forgotten, unless the settings
 /// name it: its address may no longer belong to a host.
-const SILENCE_LIMIT: u32 = 3;
+const MAX_MISSED_ANSWERS: u32 = 3;
 /// How long a peer is skipped after an unanswered query, multiplied by the number of
 /// unanswered queries in a row.
-const SHUNNING: time::Duration = time::Duration::from_secs(5);
+const RETRY_DELAY: time::Duration = time::Duration::from_secs(5);
 
 /// What is known of one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PeerEntry {
     domain: Option<DomainId>,
-    named_in_settings: bool,
-    silences: u32,
-    shunned_until: Timestamp,
+    is_seed: bool,
+    missed_answers: u32,
+    retry_at: Timestamp,
 }
 
 impl PeerEntry {
     const fn is_forgotten(&self) -> bool {
-        self.silences >= SILENCE_LIMIT && !self.named_in_settings
+        self.missed_answers >= MAX_MISSED_ANSWERS && !self.is_seed
     }
 }
 
 /// The number that orders the host at `address` within its domain: a hash of the address,
-/// the same on all hosts and unrelated to names or racks.
+/// which is the same on all hosts and unrelated to names or racks.
 pub const fn order_number(address: net::SocketAddr) -> u64 {
     let number = match address.ip() {
         net::IpAddr::V4(address) => address.to_bits() as u64,
@@ -49,36 +49,36 @@
 
 /// The peers that a host knows.
 #[derive(Debug, Clone)]
-pub struct PeerBook {
+pub struct PeerList {
     own: net::SocketAddr,
     domain: DomainId,
     peers: SortedVector<net::SocketAddr, PeerEntry>,
     cursor: usize,
 }
 
-impl PeerBook {
+impl PeerList {
     /// Creates the list with the seeds from the settings of the host at `own`.
     pub fn new(own: net::SocketAddr, domain: DomainId, seeds: &[net::SocketAddr]) -> Self {
-        let mut book = Self {
+        let mut list = Self {
             own,
             domain,
             peers: SortedVector::new(),
             // Spreads the first queries of the hosts over the peers.
-            cursor: order_number(own) as usize % OTHER_DOMAIN_LIMIT,
+            cursor: order_number(own) as usize % MAX_OTHER_DOMAIN_HOSTS,
         };
         for seed in seeds.iter().filter(|seed| **seed != own) {
-            let entry = book.new_entry(None, true);
-            book.peers.insert(*seed, entry);
+            let entry = list.new_entry(None, true);
+            list.peers.insert(*seed, entry);
         }
-        book
+        list
     }
 
-    const fn new_entry(&self, domain: Option<DomainId>, named_in_settings: bool) -> PeerEntry {
+    const fn new_entry(&self, domain: Option<DomainId>, is_seed: bool) -> PeerEntry {
         PeerEntry {
             domain,
-            named_in_settings,
-            silences: 0,
-            shunned_until: Timestamp::ZERO,
+            is_seed,
+            missed_answers: 0,
+            retry_at: Timestamp::ZERO,
         }
     }
 
@@ -101,18 +101,18 @@
     fn make_room(&mut self, host: PeerHost) -> bool {
         let own_domain = host.domain == Some(self.domain);
         let limit = if own_domain {
-            OWN_DOMAIN_LIMIT
+            MAX_OWN_DOMAIN_HOSTS
         } else {
-            OTHER_DOMAIN_LIMIT
+            MAX_OTHER_DOMAIN_HOSTS
         };
         let peers = self.peers.iter();
-        let alike: Vec<_> = peers
+        let same_kind: Vec<_> = peers
             .filter(|(_, entry)| (entry.domain == Some(self.domain)) == own_domain)
             .collect();
-        if alike.len() < limit {
+        if same_kind.len() < limit {
             return true;
         }
-        let removable = alike.iter().filter(|(_, entry)| !entry.named_in_settings);
+        let removable = same_kind.iter().filter(|(_, entry)| !entry.is_seed);
         let last = removable
             .map(|(address, entry)| (entry.is_forgotten(), order_number(**address), **address))
             .max();
@@ -170,7 +170,9 @@
     /// The hosts of the own domain that precede this one in the order, sorted by it,
     /// without those that did not answer the last query.
     pub fn predecessors(&self) -> Vec<net::SocketAddr> {
-        let answering = self.preceding().filter(|(_, entry)| entry.silences == 0);
+        let answering = self
+            .preceding()
+            .filter(|(_, entry)| entry.missed_answers == 0);
         let mut hosts: Vec<_> = answering.map(|(address, _)| address).collect();
         hosts.sort_unstable_by_key(|address| order_number(*address));
         hosts
@@ -181,7 +183,9 @@
     pub fn successor(&self) -> Option<net::SocketAddr> {
         let own = order_number(self.own);
         let later = self.remembered().filter(|(address, entry)| {
-            entry.domain == Some(self.domain) && entry.silences == 0 && order_number(*address) > own
+            entry.domain == Some(self.domain)
+                && entry.missed_answers == 0
+                && order_number(*address) > own
         });
         let hosts = later.map(|(address, _)| address);
         hosts.min_by_key(|address| order_number(*address))
@@ -189,8 +193,8 @@
 
     /// A host that precedes this one, did not answer, and is due for a retry. Other hosts
     /// learn from it only after it has answered; until then later hosts replace it.
-    pub fn silent_predecessor(&self, now: Timestamp) -> Option<net::SocketAddr> {
-        let is_due = |entry: &PeerEntry| entry.silences > 0 && entry.shunned_until <= now;
+    pub fn predecessor_to_retry(&self, now: Timestamp) -> Option<net::SocketAddr> {
+        let is_due = |entry: &PeerEntry| entry.missed_answers > 0 && entry.retry_at <= now;
         let mut due = self.preceding().filter(|(_, entry)| is_due(entry));
         due.next().map(|(address, _)| address)
     }
@@ -206,38 +210,38 @@
         let hosts = self.own_domain_hosts();
         let mut numbers: Vec<_> = hosts.iter().map(|one| order_number(one.address)).collect();
         numbers.sort_unstable();
-        numbers.truncate(OWN_DOMAIN_LIMIT);
+        numbers.truncate(MAX_OWN_DOMAIN_HOSTS);
         numbers
     }
 
     /// Whether a host named in the settings has answered its last query or was not queried
     /// yet.
-    pub fn may_answer(&self) -> bool {
+    pub fn seed_may_answer(&self) -> bool {
         let mut entries = self.remembered().map(|(_, entry)| entry);
-        entries.any(|entry| entry.named_in_settings && entry.silences == 0)
+        entries.any(|entry| entry.is_seed && entry.missed_answers == 0)
     }
 
     /// The next peer in the rotation.
-    pub fn take_turn(&mut self) -> Option<net::SocketAddr> {
-        self.take_turn_among(|_| true)
+    pub fn next_in_rotation(&mut self) -> Option<net::SocketAddr> {
+        self.next_among(|_| true)
     }
 
     /// The next peer in the rotation among those that know hosts of the own domain: hosts
     /// of that domain and those named in the settings. All hosts know the latter, so no
     /// small group of hosts knows only its own members.
-    pub fn take_turn_for_hosts(&mut self) -> Option<net::SocketAddr> {
+    pub fn next_for_own_domain(&mut self) -> Option<net::SocketAddr> {
         let domain = Some(self.domain);
-        self.take_turn_among(|entry| entry.domain == domain || entry.named_in_settings)
+        self.next_among(|entry| entry.domain == domain || entry.is_seed)
     }
 
     /// The peer to query for the full list: one named in the settings, because those read
     /// the store first. A peer that did not answer is included, because it may have started
     /// meanwhile.
-    pub fn take_turn_at_start(&mut self) -> Option<net::SocketAddr> {
-        self.take_turn_among(|entry| entry.named_in_settings)
+    pub fn next_seed(&mut self) -> Option<net::SocketAddr> {
+        self.next_among(|entry| entry.is_seed)
     }
 
-    fn take_turn_among(&mut self, fits: impl Fn(&PeerEntry) -> bool) -> Option<net::SocketAddr> {
+    fn next_among(&mut self, fits: impl Fn(&PeerEntry) -> bool) -> Option<net::SocketAddr> {
         let fitting: Vec<_> = self
             .remembered()
             .filter(|(_, entry)| fits(entry))
@@ -257,27 +261,27 @@
 
     /// Records that `host` has sent a query, which shows that it is alive, and that it
     /// knows `hosts`. Returns whether it had not answered before.
-    pub fn note_question(&mut self, host: PeerHost, hosts: &[PeerHost]) -> bool {
+    pub fn note_query(&mut self, host: PeerHost, hosts: &[PeerHost]) -> bool {
         self.add(host);
-        let regained = self.note_life(host.address);
+        let regained = self.note_alive(host.address);
         for other in hosts {
             self.add(*other);
         }
         regained
     }
 
-    fn note_life(&mut self, address: net::SocketAddr) -> bool {
+    fn note_alive(&mut self, address: net::SocketAddr) -> bool {
         let Some(entry) = self.peers.get_mut(&address) else {
             return false;
         };
-        entry.shunned_until = Timestamp::ZERO;
-        std::mem::take(&mut entry.silences) > 0
+        entry.retry_at = Timestamp::ZERO;
+        std::mem::take(&mut entry.missed_answers) > 0
     }
 
     /// Records that `peer` answered and knows `hosts`. Returns whether it had not answered
     /// before.
     pub fn note_answer(&mut self, peer: net::SocketAddr, hosts: &[PeerHost]) -> bool {
-        let regained = self.note_life(peer);
+        let regained = self.note_alive(peer);
         for host in hosts {
             self.add(*host);
         }
@@ -285,12 +289,12 @@
     }
 
     /// Records that `peer` did not answer. Returns whether it had answered before.
-    pub fn note_silent(&mut self, peer: net::SocketAddr, now: Timestamp) -> bool {
+    pub fn note_missed_answer(&mut self, peer: net::SocketAddr, now: Timestamp) -> bool {
         let Some(entry) = self.peers.get_mut(&peer) else {
             return false;
         };
-        entry.silences = entry.silences.saturating_add(1);
-        entry.shunned_until = now.after(SHUNNING * entry.silences.min(SILENCE_LIMIT));
-        entry.silences == 1
+        entry.missed_answers = entry.missed_answers.saturating_add(1);
+        entry.retry_at = now.after(RETRY_DELAY * entry.missed_answers.min(MAX_MISSED_ANSWERS));
+        entry.missed_answers == 1
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_word.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_word.rs
@@ -25,15 +25,15 @@
     /// The version of its configuration.
     pub version: ConfigurationVersion,
     /// Whether a peer has sent it the servers that left before it started.
-    pub knows_left: bool,
+    pub knows_left_servers: bool,
     /// Whether its calls to the store fail.
-    pub store_silent: bool,
+    pub store_fails: bool,
     /// How old its data is.
     pub age: time::Duration,
     /// How long the answer may wait for something newer.
     pub wait: time::Duration,
     /// The serial up to which it has the reports of the queried host.
-    pub reports_known: ReportSerial,
+    pub reports_received: ReportSerial,
     /// The position up to which it has received a full server list.
     pub list: Option<ListPosition>,
     /// The hosts of its failure domain that it knows, if it asks for others.
@@ -48,7 +48,7 @@
 
 impl PeerQuestion {
     /// Whether the querying host has no data yet.
-    pub fn knows_nothing(&self) -> bool {
+    pub fn has_no_data(&self) -> bool {
         self.revision == StoreRevision::ZERO
     }
 
@@ -88,7 +88,7 @@
     /// Whether its entry cannot be parsed.
     pub unreadable: bool,
     /// How long ago it was removed from the store, if it was.
-    pub unlisted_for: Option<time::Duration>,
+    pub removed_ago: Option<time::Duration>,
     /// Whether its entry vanished without draining first.
     pub vanished: bool,
     /// How much longer it is cold after its start.
@@ -109,7 +109,7 @@
             slots: server.slots,
             draining: server.phase == ServerPhase::Draining,
             unreadable: server.phase == ServerPhase::Unreadable,
-            unlisted_for: match server.phase {
+            removed_ago: match server.phase {
                 ServerPhase::Active | ServerPhase::Draining | ServerPhase::Unreadable => None,
                 ServerPhase::Vanished { since } | ServerPhase::Left { since } => {
                     Some(now.since(since))
@@ -123,7 +123,7 @@
 
     /// Converts into a record received at `now`.
     pub fn into_record(self, now: Timestamp) -> ServerRecord {
-        let since = self.unlisted_for.map(|age| now.before(age));
+        let since = self.removed_ago.map(|age| now.before(age));
         let phase = match since {
             Some(since) if self.vanished => ServerPhase::Vanished { since },
             Some(since) => ServerPhase::Left { since },
@@ -151,7 +151,7 @@
     /// The domain.
     pub domain: DomainId,
     /// How long ago it ended, if it did.
-    pub ended_for: Option<time::Duration>,
+    pub ended_ago: Option<time::Duration>,
     /// How long the store has lacked it since it was restored from a backup, if it does.
     pub missing_for: Option<time::Duration>,
     /// The revision that began or ended it.
@@ -163,7 +163,7 @@
     pub fn from_record(record: &EvacuationRecord, now: Timestamp) -> Self {
         Self {
             domain: record.domain,
-            ended_for: match record.phase {
+            ended_ago: match record.phase {
                 EvacuationPhase::Lasting | EvacuationPhase::Missing { .. } => None,
                 EvacuationPhase::Ended { at } => Some(now.since(at)),
             },
@@ -177,7 +177,7 @@
 
     /// Converts into a record received at `now`.
     pub fn into_record(self, now: Timestamp) -> EvacuationRecord {
-        let phase = match (self.ended_for, self.missing_for) {
+        let phase = match (self.ended_ago, self.missing_for) {
             (Some(ago), _) => EvacuationPhase::Ended {
                 at: now.before(ago),
             },
@@ -254,7 +254,7 @@
     /// How long ago its data was current with the store.
     pub age: time::Duration,
     /// How long ago a call to the store last failed, as far as it knows.
-    pub store_silent_for: Option<time::Duration>,
+    pub store_failed_ago: Option<time::Duration>,
     /// The routes that are newer than the configuration of the querying host.
     pub routes: Option<RouteDifference>,
     /// The servers that changed after the revision of the querying host, or a part of all
@@ -278,7 +278,7 @@
     pub hosts: Vec<PeerHost>,
     /// A host to query instead, if the querying host has no data and this one is already
     /// sending the full list to the maximum of hosts, or has that many waiting.
-    pub ask_instead: Option<net::SocketAddr>,
+    pub query_instead: Option<net::SocketAddr>,
     /// How long ago a host was known to be listing the store, if this one has no data yet.
-    pub reader_heard: Option<time::Duration>,
+    pub listing_age: Option<time::Duration>,
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
@@ -17,38 +17,38 @@
 
 use cardamomwinch_state::prelude::Timestamp;
 
-use crate::forwarding::beliefs::peer_book::{self, PeerBook};
+use crate::forwarding::beliefs::peer_list::{self, PeerList};
 use crate::forwarding::beliefs::peer_word::PeerWord;
 
 /// A domain has one reader per this many hosts, so that the loss of a reader affects few of
 /// them.
 const HOSTS_PER_READER: usize = 8;
 /// The most readers of a domain. More of them only add calls to the store.
-const READER_LIMIT: usize = 2;
+const MAX_READERS: usize = 2;
 /// How many hosts query the same host. While nothing changes, each query takes half a
 /// kilobyte per second in both directions; a host may use two kilobytes per second.
 const FAN_OUT: usize = 4;
 /// How long a host uses another source after a useless answer. A host that the store
 /// refuses is still reachable, and would otherwise be queried in vain.
-const DETOUR: time::Duration = time::Duration::from_secs(15);
+const FALLBACK_DURATION: time::Duration = time::Duration::from_secs(15);
 /// From this rank on hosts may not know all hosts that precede them, so that many compute
 /// the same rank. They spread their queries over the hosts after [`INNER_RANKS`].
 const SPREAD_RANK: usize = 48;
 /// Hosts below this rank are sources of hosts chosen by rank.
 const INNER_RANKS: usize = SPREAD_RANK / FAN_OUT;
 /// After this many useless answers in a row the host reads the store.
-const MISS_LIMIT: usize = 2;
+const MAX_USELESS_ANSWERS: usize = 2;
 /// The maximum age of the data of a useful answer. Readers have contact with the store at
 /// least every two seconds.
-const LATEST_WORD: time::Duration = time::Duration::from_millis(2_400);
+const MAX_ANSWER_AGE: time::Duration = time::Duration::from_millis(2_400);
 /// A source whose call to the store failed more recently than this has no current data.
-const SILENCE_MEMORY: time::Duration = time::Duration::from_secs(1);
-/// At this age of its data a host reads the store itself, plus up to [`STALENESS_SPREAD`],
+const STORE_FAILURE_WINDOW: time::Duration = time::Duration::from_secs(1);
+/// At this age of its data a host reads the store itself, plus up to [`MAX_DATA_AGE_SPREAD`],
 /// so that not all hosts of a domain that lost their source call the store at the same
 /// time.
-const STALENESS: time::Duration = time::Duration::from_millis(2_600);
-/// See [`STALENESS`].
-const STALENESS_SPREAD: time::Duration = time::Duration::from_millis(600);
+const MAX_DATA_AGE: time::Duration = time::Duration::from_millis(2_600);
+/// See [`MAX_DATA_AGE`].
+const MAX_DATA_AGE_SPREAD: time::Duration = time::Duration::from_millis(600);
 
 /// The source that a host learns from.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -74,28 +74,28 @@
 pub struct SourceChoice {
     order_number: u64,
     /// Useless answers in a row.
-    misses: usize,
-    /// How many hosts after its first choice the host queries, until `detour_until`.
-    detour: usize,
-    detour_until: Timestamp,
+    useless_answers: usize,
+    /// How many hosts after its first choice the host queries, until `fallback_until`.
+    fallback_steps: usize,
+    fallback_until: Timestamp,
 }
 
 impl SourceChoice {
     /// Creates the choice of the host at address `own`.
     pub const fn new(own: net::SocketAddr) -> Self {
         Self {
-            order_number: peer_book::order_number(own),
-            misses: 0,
-            detour: 0,
-            detour_until: Timestamp::ZERO,
+            order_number: peer_list::order_number(own),
+            useless_answers: 0,
+            fallback_steps: 0,
+            fallback_until: Timestamp::ZERO,
         }
     }
 
     /// The host to query; `None` for a reader.
-    pub fn host_to_ask(&self, peers: &PeerBook, now: Timestamp) -> Option<net::SocketAddr> {
+    pub fn host_to_query(&self, peers: &PeerList, now: Timestamp) -> Option<net::SocketAddr> {
         let predecessors = peers.predecessors();
         let hosts = peers.own_domain_count();
-        let readers = hosts.div_ceil(HOSTS_PER_READER).clamp(1, READER_LIMIT);
+        let readers = hosts.div_ceil(HOSTS_PER_READER).clamp(1, MAX_READERS);
         let rank = predecessors.len();
         if rank < readers {
             return None;
@@ -105,18 +105,18 @@
         } else {
             (rank - readers) / FAN_OUT
         };
-        let detour = if now < self.detour_until {
-            self.detour
+        let steps = if now < self.fallback_until {
+            self.fallback_steps
         } else {
             0
         };
-        Some(predecessors[(first + detour) % rank])
+        Some(predecessors[(first + steps) % rank])
     }
 
     /// The host to send reports about servers to: the one that this host queries. A reader
     /// sends them to another reader, because not all hosts learn from the same one.
-    pub fn host_to_report_to(&self, peers: &PeerBook, now: Timestamp) -> Option<net::SocketAddr> {
-        let source = self.host_to_ask(peers, now);
+    pub fn host_to_report_to(&self, peers: &PeerList, now: Timestamp) -> Option<net::SocketAddr> {
+        let source = self.host_to_query(peers, now);
         source.or_else(|| match peers.predecessors().first() {
             Some(first) => Some(*first),
             None => peers.successor(),
@@ -124,31 +124,32 @@
     }
 
     /// Whether the host reads the store itself although it has a source.
-    pub fn distrusts_hosts(&self, age: time::Duration) -> bool {
-        self.misses >= MISS_LIMIT || age >= self.staleness()
+    pub fn must_read_store(&self, age: time::Duration) -> bool {
+        self.useless_answers >= MAX_USELESS_ANSWERS || age >= self.max_data_age()
     }
 
     /// The age at which the host no longer relies on its data.
-    fn staleness(&self) -> time::Duration {
-        STALENESS + STALENESS_SPREAD * (self.order_number % 16) as u32 / 16
+    fn max_data_age(&self) -> time::Duration {
+        MAX_DATA_AGE + MAX_DATA_AGE_SPREAD * (self.order_number % 16) as u32 / 16
     }
 
     /// Records the answer of the source, if any. Returns whether it was useful.
-    pub fn note_word(&mut self, now: Timestamp, word: Option<&PeerWord>) -> bool {
-        let is_useful = word.is_some_and(|word| {
-            let silent = word.store_silent_for;
-            word.age <= LATEST_WORD && silent.is_none_or(|ago| ago >= SILENCE_MEMORY)
+    pub fn note_answer(&mut self, now: Timestamp, answer: Option<&PeerWord>) -> bool {
+        let is_useful = answer.is_some_and(|answer| {
+            let store_failed_ago = answer.store_failed_ago;
+            answer.age <= MAX_ANSWER_AGE
+                && store_failed_ago.is_none_or(|ago| ago >= STORE_FAILURE_WINDOW)
         });
         if is_useful {
-            self.misses = 0;
+            self.useless_answers = 0;
         } else {
-            self.misses += 1;
-            self.detour = if now < self.detour_until {
-                self.detour + 1
+            self.useless_answers += 1;
+            self.fallback_steps = if now < self.fallback_until {
+                self.fallback_steps + 1
             } else {
                 1
             };
-            self.detour_until = now.after(DETOUR);
+            self.fallback_until = now.after(FALLBACK_DURATION);
         }
         is_useful
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/report_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/report_exchange.rs
@@ -32,17 +32,17 @@
     /// The reports to send now, and the host to send them to.
     pub fn next_reports(&mut self, now: Timestamp) -> Option<(net::SocketAddr, Vec<PeerReport>)> {
         let host = self.choice.host_to_report_to(&self.peers, now)?;
-        let told = self.reports_told.filter(|(known, _)| *known == host);
-        let told = told.map(|(_, serial)| serial).unwrap_or_default();
-        self.reports_told = Some((host, self.reports.serial()));
-        let reports = self.describe_reports(told, now);
+        let sent = self.reports_sent.filter(|(known, _)| *known == host);
+        let sent = sent.map(|(_, serial)| serial).unwrap_or_default();
+        self.reports_sent = Some((host, self.reports.serial()));
+        let reports = self.describe_reports(sent, now);
         (!reports.is_empty()).then_some((host, reports))
     }
 
     /// Sends all reports again with the next message, because the last one was not
     /// answered.
-    pub const fn forget_told_reports(&mut self) {
-        self.reports_told = None;
+    pub const fn forget_sent_reports(&mut self) {
+        self.reports_sent = None;
     }
 
     /// The reports after `serial`, as known at `now`.
@@ -53,16 +53,16 @@
             .collect()
     }
 
-    /// Whether there are reports for the host of `question`.
-    pub(super) fn has_reports_for(&self, question: &PeerQuestion) -> bool {
-        let same_domain = question.host.domain == Some(self.settings.domain);
-        same_domain && self.reports.serial() != question.reports_known
+    /// Whether there are reports for the host of `query`.
+    pub(super) fn has_reports_for(&self, query: &PeerQuestion) -> bool {
+        let same_domain = query.host.domain == Some(self.settings.domain);
+        same_domain && self.reports.serial() != query.reports_received
     }
 
-    /// The serial up to which the host of `question` has the reports of this process. Its
+    /// The serial up to which the host of `query` has the reports of this process. Its
     /// query may refer to an earlier process at this address.
-    pub(super) fn reports_known_by(&self, question: &PeerQuestion) -> ReportSerial {
-        let known = question.reports_known;
+    pub(super) fn reports_received_by(&self, query: &PeerQuestion) -> ReportSerial {
+        let known = query.reports_received;
         if known > self.reports.serial() {
             ReportSerial::default()
         } else {
@@ -71,28 +71,28 @@
     }
 
     /// The serial up to which `peer` has sent its reports.
-    pub(super) fn reports_known_of(&self, peer: net::SocketAddr) -> ReportSerial {
-        let known = self.reports_known.filter(|(host, _)| *host == peer);
+    pub(super) fn reports_received_from(&self, peer: net::SocketAddr) -> ReportSerial {
+        let known = self.reports_received.filter(|(host, _)| *host == peer);
         known.map(|(_, serial)| serial).unwrap_or_default()
     }
 
     /// Adds the reports in the answer of `peer`, if there was one. Returns whether any of
     /// them was new.
-    pub(super) fn take_told_reports(
+    pub(super) fn apply_reports_of(
         &mut self,
         now: Timestamp,
         peer: net::SocketAddr,
-        word: Option<&PeerWord>,
+        answer: Option<&PeerWord>,
     ) -> bool {
-        let Some(word) = word else {
-            self.reports_known = None;
+        let Some(answer) = answer else {
+            self.reports_received = None;
             return false;
         };
-        self.reports_known = Some((peer, word.reports_serial));
+        self.reports_received = Some((peer, answer.reports_serial));
         // An answer may take long to arrive over a saturated link. With the time of arrival
         // instead, reports would override later observations of other hosts.
-        let said_at = self.said_at(now, word.waited);
-        let reports = word.reports.iter();
-        self.take_reports(now, reports.map(|report| report.into_report(said_at)))
+        let sent_at = self.sent_at(now, answer.waited);
+        let reports = answer.reports.iter();
+        self.take_reports(now, reports.map(|report| report.into_report(sent_at)))
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
@@ -15,10 +15,10 @@
 pub const PART_LIMIT: usize = 512;
 /// A list older than this is not sent to further hosts, because their data would be too old
 /// on arrival.
-const LIST_LIFETIME: time::Duration = time::Duration::from_secs(1);
+const MAX_LIST_AGE: time::Duration = time::Duration::from_secs(1);
 
 /// How long a list is kept for hosts that have received a part of it.
-const KEPT_LIFETIME: time::Duration = time::Duration::from_secs(10);
+const LIST_RETENTION: time::Duration = time::Duration::from_secs(10);
 
 /// Identifies a list. Hosts that pass parts on keep the order of the list.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -57,48 +57,48 @@
     /// Whether no servers follow.
     pub is_last: bool,
     /// The time as of which the list was current.
-    pub heard_at: Timestamp,
+    pub as_of: Timestamp,
 }
 
 /// A list of all servers, or the first parts of one that is being received.
 #[derive(Debug, Default)]
-pub struct StartList {
+pub struct ServerList {
     id: ListId,
     revision: StoreRevision,
     servers: Vec<ServerRecord>,
-    is_whole: bool,
-    heard_at: Timestamp,
+    is_complete: bool,
+    as_of: Timestamp,
 }
 
-impl StartList {
-    /// Creates the complete list of `servers`, which was current at `heard_at` up to
+impl ServerList {
+    /// Creates the complete list of `servers`, which was current at `as_of` up to
     /// `revision`. Its identifier is a hash of these and of `host`, the order number of
     /// this host, so that other lists have other identifiers.
     pub fn of_servers(
         host: u64,
         revision: StoreRevision,
         servers: Vec<ServerRecord>,
-        heard_at: Timestamp,
+        as_of: Timestamp,
     ) -> Self {
-        let moment = flow::mix(heard_at.get() ^ flow::mix(revision.get()));
+        let time_hash = flow::mix(as_of.get() ^ flow::mix(revision.get()));
         Self {
-            id: ListId::new(flow::mix(host ^ moment)),
+            id: ListId::new(flow::mix(host ^ time_hash)),
             revision,
             servers,
-            is_whole: true,
-            heard_at,
+            is_complete: true,
+            as_of,
         }
     }
 
     /// Whether this list may be sent to further hosts, if `revision` is known now.
-    pub fn may_begin(&self, revision: StoreRevision, now: Timestamp) -> bool {
-        let is_young = now.since(self.heard_at) < LIST_LIFETIME;
-        self.is_whole && is_young && self.revision.era() == revision.era()
+    pub fn may_be_sent(&self, revision: StoreRevision, now: Timestamp) -> bool {
+        let is_recent = now.since(self.as_of) < MAX_LIST_AGE;
+        self.is_complete && is_recent && self.revision.era() == revision.era()
     }
 
     /// Whether the list is too old for any host to be still receiving it.
-    pub fn is_outdated(&self, now: Timestamp) -> bool {
-        self.is_whole && now.since(self.heard_at) >= KEPT_LIFETIME
+    pub fn is_expired(&self, now: Timestamp) -> bool {
+        self.is_complete && now.since(self.as_of) >= LIST_RETENTION
     }
 
     /// Whether `from` is a position in this list.
@@ -108,8 +108,8 @@
 
     /// The position of the next part to receive; `None` if no part or all parts have
     /// arrived.
-    pub fn end(&self) -> Option<ListPosition> {
-        (!self.servers.is_empty() && !self.is_whole).then_some(ListPosition {
+    pub fn next_position(&self) -> Option<ListPosition> {
+        (!self.servers.is_empty() && !self.is_complete).then_some(ListPosition {
             list: self.id,
             revision: self.revision,
             servers: self.servers.len(),
@@ -122,7 +122,7 @@
         let known = from.filter(|from| self.holds(*from));
         let first = known.map_or(0, |from| from.servers);
         let last = self.servers.len().min(first + limit);
-        let is_last = self.is_whole && last == self.servers.len();
+        let is_last = self.is_complete && last == self.servers.len();
         (last > first || is_last).then(|| ListPart {
             begin: ListPosition {
                 list: self.id,
@@ -131,26 +131,26 @@
             },
             servers: self.servers[first..last].to_vec(),
             is_last,
-            heard_at: self.heard_at,
+            as_of: self.as_of,
         })
     }
 
     /// Adds a received part. Returns whether it follows the parts received before.
-    pub fn take(&mut self, part: ListPart) -> bool {
+    pub fn append(&mut self, part: ListPart) -> bool {
         if part.begin.servers == 0 {
             *self = Self {
                 id: part.begin.list,
                 revision: part.begin.revision,
                 servers: Vec::new(),
-                is_whole: false,
-                heard_at: part.heard_at,
+                is_complete: false,
+                as_of: part.as_of,
             };
         }
         if part.begin.list != self.id || part.begin.servers != self.servers.len() {
             return false;
         }
         self.servers.extend(part.servers);
-        self.is_whole = part.is_last;
+        self.is_complete = part.is_last;
         true
     }
 
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_changes.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_changes.rs
@@ -13,32 +13,32 @@
 /// More than this share of the listed servers, in percent, must vanish with one answer of
 /// the store to indicate an outage of the store that this host did not notice. Servers that
 /// fail independently, or with their machine, are fewer.
-const OUTAGE_PART: usize = 25;
+const OUTAGE_PERCENT: usize = 25;
 /// The least number of vanished servers that indicates an outage, so that one of three
 /// servers does not.
-const OUTAGE_SERVERS: usize = 3;
+const MIN_OUTAGE_SERVERS: usize = 3;
 
 impl BeliefEngine {
-    pub(super) fn take_step(
+    pub(super) fn apply_step(
         &mut self,
         now: Timestamp,
-        said_at: Timestamp,
+        sent_at: Timestamp,
         step: store_reader::ReadStep,
     ) {
         match step {
             store_reader::ReadStep::Listing { items, revision } => {
                 self.note_era(now, revision);
-                self.take_listing(now, items, revision);
-                self.advance(said_at, revision);
+                self.apply_listing(now, items, revision);
+                self.advance(sent_at, revision);
             }
             store_reader::ReadStep::Changes { changes, revision } => {
                 for change in changes {
                     self.apply(now, change);
                 }
-                self.advance(said_at, revision);
+                self.advance(sent_at, revision);
             }
         }
-        self.doubt_vanished(now);
+        self.detect_outage(now);
         self.review_own_servers();
     }
 
@@ -55,18 +55,18 @@
     /// many servers at once. Missing entries then count as unknown until they are back, as
     /// after an outage that was noticed. A failure domain that loses power looks the same,
     /// so its idle flows are ended later.
-    fn doubt_vanished(&mut self, now: Timestamp) {
+    fn detect_outage(&mut self, now: Timestamp) {
         let vanished =
             |server: &&ServerRecord| server.phase == ServerPhase::Vanished { since: now };
         let servers = self.directory.iter().filter(vanished).count();
         let listed = self.directory.listed_count() + servers;
-        if servers >= OUTAGE_SERVERS && servers * 100 > listed * OUTAGE_PART {
-            self.silent_at = Some(now);
+        if servers >= MIN_OUTAGE_SERVERS && servers * 100 > listed * OUTAGE_PERCENT {
+            self.store_failed_at = Some(now);
             self.changes.push(BeliefChange::ManyVanished { servers });
         }
     }
 
-    fn take_listing(&mut self, now: Timestamp, items: Vec<StoreChange>, revision: StoreRevision) {
+    fn apply_listing(&mut self, now: Timestamp, items: Vec<StoreChange>, revision: StoreRevision) {
         let mut records = Vec::new();
         let mut unreadable = Vec::new();
         let mut evacuations = Vec::new();
@@ -89,18 +89,18 @@
         let directory = sync::Arc::make_mut(&mut self.directory);
         directory.replace(records, &unreadable, revision, now);
         let changed = directory.replace_evacuations(&evacuations, revision, now);
-        self.tell_evacuations(changed);
+        self.record_evacuation_changes(changed);
         let change = BeliefChange::ServersListed { revision, servers };
         self.changes.push(change);
     }
 
-    fn advance(&mut self, said_at: Timestamp, revision: StoreRevision) {
+    fn advance(&mut self, sent_at: Timestamp, revision: StoreRevision) {
         if revision.era() < self.revision.era() {
             // This was sent before the store was restored from a backup.
             return;
         }
         self.revision = self.revision.max(revision);
-        self.heard_at = self.heard_at.max(said_at);
+        self.as_of = self.as_of.max(sent_at);
     }
 
     fn apply(&mut self, now: Timestamp, change: StoreChange) {
@@ -109,11 +109,11 @@
             StoreChange::Server(entry) => self.note_server(entry, now),
             StoreChange::ServerUnreadable { id, revision } => {
                 sync::Arc::make_mut(&mut self.directory).note_unreadable(id, revision);
-                self.tell_server(id);
+                self.record_server_change(id);
             }
             StoreChange::ServerRemoved { id, revision } => {
                 sync::Arc::make_mut(&mut self.directory).note_removed(id, revision, now);
-                self.tell_server(id);
+                self.record_server_change(id);
             }
             StoreChange::EvacuationBegun { domain, revision } => {
                 self.note_evacuation(domain, EvacuationPhase::Lasting, revision);
@@ -136,11 +136,11 @@
             changed,
         };
         if sync::Arc::make_mut(&mut self.directory).note_evacuation(evacuation) {
-            self.tell_evacuations([evacuation]);
+            self.record_evacuation_changes([evacuation]);
         }
     }
 
-    pub(super) fn tell_evacuations(
+    pub(super) fn record_evacuation_changes(
         &mut self,
         evacuations: impl IntoIterator<Item = EvacuationRecord>,
     ) {
@@ -149,7 +149,7 @@
         self.changes.extend(changes);
     }
 
-    fn tell_server(&mut self, id: BackendId) {
+    fn record_server_change(&mut self, id: BackendId) {
         if let Some(server) = self.directory.get(id).cloned() {
             self.changes.push(BeliefChange::ServerChanged { server });
         }
@@ -159,15 +159,15 @@
         let server = entry.into_record(now);
         let directory = sync::Arc::make_mut(&mut self.directory);
         if directory.knows_later(&server) {
-            self.tell_outdated(&server);
+            self.record_outdated_change(&server);
             return;
         }
         let id = server.id;
         directory.note(server);
-        self.tell_server(id);
+        self.record_server_change(id);
     }
 
-    fn tell_outdated(&mut self, server: &ServerRecord) {
+    fn record_outdated_change(&mut self, server: &ServerRecord) {
         if let Some(known) = self.directory.get(server.id) {
             self.changes.push(BeliefChange::ChangeOutdated {
                 server: server.id,
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_reader.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_reader.rs
@@ -11,25 +11,25 @@
 };
 
 /// The pause after a first failure. Most failures are connections that broke.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(50);
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(50);
 /// The longest pause after failures in a row. Every call to the store costs something, also
 /// one that is refused; but a draining server must be known within seconds.
-const LONGEST_PAUSE: time::Duration = time::Duration::from_millis(600);
+const MAX_BACKOFF: time::Duration = time::Duration::from_millis(600);
 /// The pause after the second and later failures in a row of a host that learns from
 /// another one. The readers of its domain retry often enough, and pass on that the store is
 /// back.
-const FOLLOWER_PAUSE: time::Duration = time::Duration::from_millis(1_200);
+const FOLLOWER_BACKOFF: time::Duration = time::Duration::from_millis(1_200);
 /// The pause after changes. They come in bursts, when servers are replaced or
 /// configurations follow each other, and one call then returns many. The pause is short
 /// compared with the seconds within which changes must take effect; few hosts read the
 /// store, and their data still has to reach the others.
-const GATHERING_PAUSE: time::Duration = time::Duration::from_millis(400);
+const BATCHING_PAUSE: time::Duration = time::Duration::from_millis(400);
 /// A watch waits no longer than this, whatever the settings allow. Other hosts learn from
 /// this one that nothing has changed, and do not rely on data that is older.
-const LONGEST_WATCH: time::Duration = time::Duration::from_secs(2);
+const MAX_WATCH_WAIT: time::Duration = time::Duration::from_secs(2);
 /// If the data is at least this old, the store is called without a wait: a host that begins
 /// to read must not wait for a change to become current.
-const OLD_AGE: time::Duration = time::Duration::from_secs(1);
+const OLD_DATA_AGE: time::Duration = time::Duration::from_secs(1);
 /// A pause is lengthened by up to this share of itself, in percent, so that hosts that lost
 /// the store at the same time do not retry at the same time.
 const JITTER_PERCENT: u64 = 25;
@@ -81,7 +81,7 @@
 pub struct StoreReader {
     state: ReaderState,
     /// The era of the revision that the last watch started from.
-    asked_era: StoreEra,
+    watched_era: StoreEra,
     watch_wait: time::Duration,
     pause: Option<time::Duration>,
     failures: u32,
@@ -93,7 +93,7 @@
     pub const fn new(watch_wait: time::Duration, jitter_seed: u64) -> Self {
         Self {
             state: ReaderState::FIRST_PAGE,
-            asked_era: StoreEra::FIRST,
+            watched_era: StoreEra::FIRST,
             watch_wait,
             pause: None,
             failures: 0,
@@ -116,13 +116,13 @@
                 after: after.clone(),
             },
             ReaderState::Watching { after } => {
-                self.asked_era = after.era();
+                self.watched_era = after.era();
                 StoreCall::Watch {
                     after: *after,
-                    wait: if age >= OLD_AGE {
+                    wait: if age >= OLD_DATA_AGE {
                         time::Duration::ZERO
                     } else {
-                        self.watch_wait.min(LONGEST_WATCH)
+                        self.watch_wait.min(MAX_WATCH_WAIT)
                     },
                 }
             }
@@ -147,8 +147,8 @@
                 items,
                 revision,
                 next,
-            } => self.take_page(items, revision, next),
-            StoreOutcome::Changes { changes, revision } => self.take_changes(changes, revision),
+            } => self.handle_page(items, revision, next),
+            StoreOutcome::Changes { changes, revision } => self.handle_changes(changes, revision),
             StoreOutcome::HistoryGone => {
                 self.state = ReaderState::FIRST_PAGE;
                 None
@@ -172,10 +172,10 @@
         let doublings = self.failures.min(8);
         self.failures = self.failures.saturating_add(1);
         let pause = if follows && self.failures > 1 {
-            FOLLOWER_PAUSE
+            FOLLOWER_BACKOFF
         } else {
-            let doubled = FIRST_PAUSE.saturating_mul(1 << doublings);
-            doubled.min(LONGEST_PAUSE)
+            let doubled = INITIAL_BACKOFF.saturating_mul(1 << doublings);
+            doubled.min(MAX_BACKOFF)
         };
         self.jitter = flow::mix(self.jitter.wrapping_add(1));
         let percent = 100 + (self.jitter % (JITTER_PERCENT + 1)) as u32;
@@ -186,7 +186,7 @@
         }
     }
 
-    fn take_page(
+    fn handle_page(
         &mut self,
         page: Vec<StoreChange>,
         page_revision: StoreRevision,
@@ -219,7 +219,7 @@
         })
     }
 
-    fn take_changes(
+    fn handle_changes(
         &mut self,
         changes: Vec<StoreChange>,
         revision: StoreRevision,
@@ -227,16 +227,16 @@
         let ReaderState::Watching { after } = &mut self.state else {
             return None;
         };
-        if revision.era() != self.asked_era {
+        if revision.era() != self.watched_era {
             // The start revision of the watch means another change in this era, so earlier
             // changes may be missing.
-            self.pause = (revision.era() < after.era()).then_some(GATHERING_PAUSE);
+            self.pause = (revision.era() < after.era()).then_some(BATCHING_PAUSE);
             self.state = ReaderState::FIRST_PAGE;
             return None;
         }
         *after = revision.max(*after);
         if !changes.is_empty() {
-            self.pause = Some(GATHERING_PAUSE);
+            self.pause = Some(BATCHING_PAUSE);
         }
         Some(ReadStep::Changes { changes, revision })
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/waiting_questions.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/waiting_queries.rs
@@ -8,7 +8,7 @@
 use crate::forwarding::beliefs::peer_word::PeerQuestion;
 
 /// The most queries that may wait. If there are more, the oldest ones are answered at once.
-const WAITING_LIMIT: usize = 64;
+const MAX_WAITING: usize = 64;
 /// A waiting query is answered when the data here is newer than the data of its host by
 /// this, even if nothing else has changed, so that the host knows that it is current.
 /// Smaller steps would answer each query at once.
@@ -16,35 +16,37 @@
 
 /// A waiting query and the receiver of its answer.
 #[derive(Debug)]
-struct WaitingQuestion<A> {
-    question: PeerQuestion,
-    asked_at: Timestamp,
+struct WaitingQuery<A> {
+    query: PeerQuestion,
+    received_at: Timestamp,
     answer: A,
 }
 
-impl<A> WaitingQuestion<A> {
+impl<A> WaitingQuery<A> {
     fn is_due(&self, engine: &mut BeliefEngine, now: Timestamp) -> bool {
-        let question = &self.question;
-        if question.knows_nothing() && engine.knows_nothing() {
-            let is_referred = !engine.gives_place(question, now);
-            if is_referred || engine.has_part_for(question) {
+        let query = &self.query;
+        if query.has_no_data() && engine.has_no_data() {
+            let is_redirected = !engine.has_slot_for(query, now);
+            if is_redirected || engine.has_part_for(query) {
                 return true;
             }
         }
-        let asker_heard_at = self.asked_at.before(question.age);
-        now.since(self.asked_at) >= question.wait
-            || engine.knows_more_than(question)
-            || engine.heard_at() >= asker_heard_at.after(FRESHNESS_STEP)
-            || engine.silent_at().is_some_and(|at| at > self.asked_at)
-            || (!engine.knows_nothing() && engine.reader_heard(now).is_some())
+        let known_as_of = self.received_at.before(query.age);
+        now.since(self.received_at) >= query.wait
+            || engine.knows_more_than(query)
+            || engine.as_of() >= known_as_of.after(FRESHNESS_STEP)
+            || engine
+                .store_failed_at()
+                .is_some_and(|at| at > self.received_at)
+            || (!engine.has_no_data() && engine.listing_age(now).is_some())
     }
 }
 
 /// A query to answer now.
 #[derive(Debug)]
-pub struct DueQuestion<A> {
+pub struct DueQuery<A> {
     /// The query.
-    pub question: PeerQuestion,
+    pub query: PeerQuestion,
     /// How long it waited.
     pub waited: time::Duration,
     /// The receiver of the answer.
@@ -53,39 +55,39 @@
 
 /// The waiting queries. `A` is the receiver of an answer.
 #[derive(Debug)]
-pub struct WaitingQuestions<A> {
-    questions: Vec<WaitingQuestion<A>>,
+pub struct WaitingQueries<A> {
+    queries: Vec<WaitingQuery<A>>,
 }
 
-impl<A> Default for WaitingQuestions<A> {
+impl<A> Default for WaitingQueries<A> {
     fn default() -> Self {
         Self {
-            questions: Vec::new(),
+            queries: Vec::new(),
         }
     }
 }
 
-impl<A> WaitingQuestions<A> {
-    /// Adds a query that arrived at `asked_at`.
-    pub fn push(&mut self, question: PeerQuestion, asked_at: Timestamp, answer: A) {
-        self.questions.push(WaitingQuestion {
-            question,
-            asked_at,
+impl<A> WaitingQueries<A> {
+    /// Adds a query that arrived at `received_at`.
+    pub fn push(&mut self, query: PeerQuestion, received_at: Timestamp, answer: A) {
+        self.queries.push(WaitingQuery {
+            query,
+            received_at,
             answer,
         });
     }
 
     /// Removes and returns the queries to answer now.
-    pub fn take_due(&mut self, engine: &mut BeliefEngine, now: Timestamp) -> Vec<DueQuestion<A>> {
-        let excess = self.questions.len().saturating_sub(WAITING_LIMIT);
+    pub fn take_due(&mut self, engine: &mut BeliefEngine, now: Timestamp) -> Vec<DueQuery<A>> {
+        let excess = self.queries.len().saturating_sub(MAX_WAITING);
         let mut index = 0;
-        let due = self.questions.extract_if(.., |waiting| {
+        let due = self.queries.extract_if(.., |waiting| {
             index += 1;
             index <= excess || waiting.is_due(engine, now)
         });
-        due.map(|waiting| DueQuestion {
-            question: waiting.question,
-            waited: now.since(waiting.asked_at),
+        due.map(|waiting| DueQuery {
+            query: waiting.query,
+            waited: now.since(waiting.received_at),
             answer: waiting.answer,
         })
         .collect()
--- a/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
@@ -350,12 +350,12 @@
         host.handle_peer(at(10), host_address(2), Some(word.clone()));
         let is_told = word.list.is_some();
         assert!(is_told || (word.servers.is_empty() && word.routes.is_none()));
-        assert_eq!(word.ask_instead.is_some(), !is_told);
+        assert_eq!(word.query_instead.is_some(), !is_told);
         if is_told {
             assert_eq!(ask_on(&mut peer, &mut host, 10), word.servers.len());
         }
         assert_eq!(host.view().is_usable(), is_told);
-        if let Some(other) = word.ask_instead {
+        if let Some(other) = word.query_instead {
             let (asked, _) = host.next_peer(at(40)).unwrap();
             assert_eq!(asked, other, "one that was told");
             assert!((10..14).map(host_address).any(|told| told == other));
@@ -389,7 +389,7 @@
     for number in 10..14 {
         let mut host = engine(number);
         let word = ask(&mut peer, &mut host, 0);
-        assert!(!word.all_servers && word.ask_instead.is_none());
+        assert!(!word.all_servers && word.query_instead.is_none());
     }
     peer.handle_store(at(10), page(vec![routes(1), server_entry(1, 5, false)], 10));
     let mut host = engine(14);
@@ -411,7 +411,7 @@
     let mut word = peer.answer_peer(at(10), &question);
     let elsewhere = host_address(12);
     word.revision = StoreRevision::ZERO;
-    word.ask_instead = Some(elsewhere);
+    word.query_instead = Some(elsewhere);
     host.handle_peer(at(10), asked, Some(word));
     assert_eq!(host.next_peer(at(11)).unwrap().0, elsewhere);
     assert_ne!(
@@ -529,7 +529,7 @@
     let mut word = peer.answer_peer(at(1_010), &question);
     word.waited = millis(5);
     host.handle_peer(at(2_500), address, Some(word));
-    let heard_at = host.heard_at();
+    let heard_at = host.as_of();
     assert!(heard_at > at(900) && heard_at <= at(1_010), "{heard_at}");
 }
 
@@ -539,7 +539,7 @@
     let mut host = started(1);
     let changed = changes(vec![server_entry(2, 11, true)], 12);
     host.handle_store_answer(at(3_000), at(1_500), changed);
-    assert_eq!(host.heard_at(), at(1_500));
+    assert_eq!(host.as_of(), at(1_500));
     let page = |next: Option<&str>| StoreOutcome::Page {
         items: Vec::new(),
         revision: revision(20),
@@ -548,9 +548,5 @@
     host.handle_store(at(3_100), StoreOutcome::HistoryGone);
     host.handle_store_answer(at(4_000), at(3_900), page(Some("servers/i-01")));
     host.handle_store_answer(at(5_000), at(4_900), page(None));
-    assert_eq!(
-        host.heard_at(),
-        at(3_900),
-        "the first page is the oldest word"
-    );
+    assert_eq!(host.as_of(), at(3_900), "the first page is the oldest word");
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
@@ -123,7 +123,7 @@
     let mut fleet = Fleet::settled(100);
     fleet.write(2, false);
     fleet.run_until(SETTLED + 1_000);
-    fleet.count_anew();
+    fleet.reset_counters();
     fleet.restore(1);
     fleet.run_until(SETTLED + 6_000);
     println!("{} calls, {} listings", fleet.calls, fleet.listings);
@@ -139,11 +139,11 @@
     fleet.write(2, false);
     fleet.run_until(SETTLED + 1_000);
     for host in &mut fleet.hosts {
-        host.condition = Condition::TurnedAway;
+        host.condition = Condition::Refused;
     }
     fleet.run_until(SETTLED + 4_500);
     fleet.restore(1);
-    fleet.count_anew();
+    fleet.reset_counters();
     for host in &mut fleet.hosts {
         host.condition = Condition::Running;
     }
@@ -179,7 +179,7 @@
                 let index = random.random_range(0..fleet.hosts.len());
                 let host = &mut fleet.hosts[index];
                 host.condition = match host.condition {
-                    Condition::Running => Condition::TurnedAway,
+                    Condition::Running => Condition::Refused,
                     _ => Condition::Running,
                 };
             }
@@ -283,11 +283,11 @@
     let mut engine = started(2, Vec::new());
     let word = ask(&mut teller, &mut engine, 60);
     engine.handle_peer(at(61), host_address(1), Some(word));
-    let heard_at = engine.heard_at();
+    let heard_at = engine.as_of();
     engine.handle_store(at(900), watched(vec![entry(1, 1, 27, false)], 1, 27));
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(
-        (engine.revision(), engine.heard_at()),
+        (engine.revision(), engine.as_of()),
         (revision(2, 24), heard_at)
     );
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_sources.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_sources.rs
@@ -18,7 +18,7 @@
     }
     assert!(fleet.calls <= 2 * 6, "{} calls in ten seconds", fleet.calls);
     assert!(oldest <= 2_300, "what a host knew was {oldest} ms old");
-    let most = fleet.questions.iter().max().unwrap();
+    let most = fleet.queries.iter().max().unwrap();
     assert!(*most <= 40, "{most} questions to one host in ten seconds");
     assert!(fleet.time_to_all() <= 500);
 }
@@ -65,7 +65,7 @@
 fn hosts_whose_readers_are_turned_away_learn_elsewhere() {
     let mut fleet = Fleet::settled(25);
     for reader in fleet.readers() {
-        fleet.hosts[reader].condition = Condition::TurnedAway;
+        fleet.hosts[reader].condition = Condition::Refused;
     }
     fleet.run_until(fleet.now + 1_000);
     let time = fleet.time_to_all();
@@ -84,7 +84,7 @@
     fleet.hosts[4].condition = Condition::Running;
     let back = fleet.now;
     fleet.run_until(back + 3_000);
-    assert!(fleet.ignorant(1).is_empty());
+    assert!(fleet.unaware(1).is_empty());
 }
 
 /// A domain has 300 hosts, more than any host remembers. No host may be queried by all of
@@ -93,7 +93,7 @@
 fn no_host_is_asked_by_a_whole_domain() {
     let mut fleet = Fleet::settled(300);
     fleet.run_until(SETTLED + 10_000);
-    let most = fleet.questions.iter().max().unwrap();
+    let most = fleet.queries.iter().max().unwrap();
     assert!(*most <= 100, "{most} questions to one host in ten seconds");
     assert!(fleet.calls <= 24, "{} calls in ten seconds", fleet.calls);
     let time = fleet.time_to_all();
@@ -107,7 +107,7 @@
 fn a_store_that_refuses_everybody_is_asked_by_few() {
     let mut fleet = Fleet::settled(25);
     for host in &mut fleet.hosts {
-        host.condition = Condition::TurnedAway;
+        host.condition = Condition::Refused;
     }
     fleet.run_until(SETTLED + 10_000);
     // One call per second and host.
--- a/crates/cardamomwinch_coordination/tests/forwarding_starts.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_starts.rs
@@ -30,7 +30,7 @@
     let mut fleet = Fleet::of_domains(count, domains);
     let time = fleet.time_to_serve();
     assert!(time <= SERVING, "{time} ms");
-    let most = *fleet.told_all.iter().max().unwrap();
+    let most = *fleet.full_lists_sent.iter().max().unwrap();
     assert!(most <= TOLD_BY_ONE, "one host told {most}");
     assert!(
         fleet.listings <= 3 + count / 20,
@@ -78,7 +78,7 @@
 fn hosts_that_the_store_turns_away_start_with_the_others() {
     let mut fleet = Fleet::of_domains(60, 3);
     for index in (0..60).step_by(3) {
-        fleet.hosts[index].condition = Condition::TurnedAway;
+        fleet.hosts[index].condition = Condition::Refused;
     }
     let time = fleet.time_to_serve();
     assert!(time <= SERVING, "{time} ms");
@@ -93,14 +93,14 @@
 fn hosts_that_start_again_learn_from_those_that_stayed() {
     let mut fleet = Fleet::of_domains(90, 3);
     fleet.run_until(SETTLED);
-    fleet.count_anew();
+    fleet.reset_counters();
     for index in (0..90).filter(|index| index % 9 < 6) {
         fleet.restart(index);
     }
     let time = fleet.time_to_serve();
     assert!(time <= SERVING, "{time} ms");
     assert!(fleet.listings <= 3 + 60 / 20, "{} listings", fleet.listings);
-    let most = *fleet.told_all.iter().max().unwrap();
+    let most = *fleet.full_lists_sent.iter().max().unwrap();
     assert!(most <= TOLD_BY_ONE, "one host told {most}");
 }
 
@@ -127,7 +127,7 @@
     let time = fleet.time_to_serve();
     assert!(time <= SPREAD + SERVING, "{time} ms");
     fleet.run_until(SETTLED / 2);
-    fleet.count_anew();
+    fleet.reset_counters();
     fleet.run_until(SETTLED / 2 + 10_000);
     // Two readers per domain, with an answer every two seconds.
     let calls = 2 * domains * 5;
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
@@ -7,7 +7,7 @@
 use cardamomwinch_coordination::forwarding::beliefs::store_call::{
     StoreCall, StoreChange, StoreEra, StoreOutcome, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::beliefs::waiting_questions::WaitingQuestions;
+use cardamomwinch_coordination::forwarding::beliefs::waiting_queries::WaitingQueries;
 use cardamomwinch_coordination::forwarding::beliefs::{BeliefEngine, BeliefSettings};
 use cardamomwinch_coordination::forwarding::directory::ServerPhase;
 use cardamomwinch_coordination::forwarding::regions::DomainRegions;
@@ -34,7 +34,7 @@
     /// It reaches nothing and cannot be reached, but no connection breaks.
     Cut,
     /// The store refuses it; peers reach it.
-    TurnedAway,
+    Refused,
 }
 
 pub struct PendingCall {
@@ -43,20 +43,20 @@
     pub until: u64,
 }
 
-pub struct PendingQuestion {
+pub struct PendingQuery {
     pub host: usize,
     pub limit: u64,
 }
 
 pub struct SimulatedHost {
     pub engine: BeliefEngine,
-    pub waiting: WaitingQuestions<usize>,
+    pub waiting: WaitingQueries<usize>,
     pub condition: Condition,
     pub call: Option<PendingCall>,
-    pub question: Option<PendingQuestion>,
-    pub ask_at: u64,
+    pub query: Option<PendingQuery>,
+    pub query_at: u64,
     /// When it may send reports again.
-    pub tell_at: u64,
+    pub report_at: u64,
     /// When its process starts, if it has not started yet.
     pub starts_at: Option<u64>,
     /// Until when its link is busy with parts of the list.
@@ -75,12 +75,12 @@
     pub calls: usize,
     /// Calls that begin a listing.
     pub listings: usize,
-    pub questions: Vec<usize>,
+    pub queries: Vec<usize>,
     /// How often each host received reports, and how many reports it sent.
     pub tellings: Vec<usize>,
-    pub reports_told: Vec<usize>,
+    pub reports_sent: Vec<usize>,
     /// How many full lists each host sent.
-    pub told_all: Vec<usize>,
+    pub full_lists_sent: Vec<usize>,
     pub domains: usize,
     pub weight: DirectoryWeight,
     /// The store no longer has the changes up to this revision.
@@ -88,7 +88,7 @@
     /// Until when watches return nothing, in milliseconds.
     pub watches_silent_until: u64,
     /// Parts of the list that have not arrived yet.
-    sent: Vec<SentWord>,
+    sent: Vec<SentAnswer>,
 }
 
 /// What it takes to send all servers, in milliseconds.
@@ -127,11 +127,11 @@
 }
 
 /// An answer that has not arrived yet.
-struct SentWord {
+struct SentAnswer {
     arrives_at: u64,
-    teller: usize,
+    sender: usize,
     asker: usize,
-    word: PeerWord,
+    answer: PeerWord,
 }
 
 pub fn address(index: usize) -> net::SocketAddr {
@@ -162,10 +162,10 @@
             log: vec![(9, 1, false), (10, 2, false)],
             calls: 0,
             listings: 0,
-            questions: vec![0; count],
+            queries: vec![0; count],
             tellings: vec![0; count],
-            reports_told: vec![0; count],
-            told_all: vec![0; count],
+            reports_sent: vec![0; count],
+            full_lists_sent: vec![0; count],
             domains,
             weight: DirectoryWeight::NONE,
             history_begins: 0,
@@ -191,10 +191,7 @@
     /// process break off.
     pub fn restart(&mut self, index: usize) {
         self.hosts[index] = new_host(index, self.domains);
-        let questions = self
-            .hosts
-            .iter_mut()
-            .filter_map(|host| host.question.as_mut());
+        let questions = self.hosts.iter_mut().filter_map(|host| host.query.as_mut());
         for question in questions.filter(|question| question.host == index) {
             question.limit = self.now;
         }
@@ -210,15 +207,15 @@
     }
 
     /// Resets all counters.
-    pub fn count_anew(&mut self) {
+    pub fn reset_counters(&mut self) {
         self.calls = 0;
         self.listings = 0;
-        self.questions.fill(0);
-        self.told_all.fill(0);
+        self.queries.fill(0);
+        self.full_lists_sent.fill(0);
     }
 
     /// Number of reachable hosts that cannot forward anything yet.
-    pub fn unready(&self) -> usize {
+    pub fn unready_count(&self) -> usize {
         let in_reach =
             |host: &&SimulatedHost| !matches!(host.condition, Condition::Dead | Condition::Cut);
         let hosts = self.hosts.iter().filter(in_reach);
@@ -229,7 +226,9 @@
     pub fn time_to_serve(&mut self) -> u64 {
         let start = self.now;
         let starts = |host: &SimulatedHost| host.starts_at.is_some();
-        while (self.unready() > 0 || self.hosts.iter().any(starts)) && self.now < start + 20_000 {
+        while (self.unready_count() > 0 || self.hosts.iter().any(starts))
+            && self.now < start + 20_000
+        {
             self.run_until(self.now + STEP);
         }
         self.now - start
@@ -238,7 +237,7 @@
     pub fn settled(count: usize) -> Self {
         let mut fleet = Self::new(count);
         fleet.run_until(SETTLED);
-        fleet.count_anew();
+        fleet.reset_counters();
         fleet
     }
 
@@ -273,9 +272,9 @@
                 }
                 if self.hosts[index].condition != Condition::Dead {
                     self.read_store(index);
-                    self.ask(index);
+                    self.query(index);
                     self.answer(index);
-                    self.tell(index);
+                    self.send_reports(index);
                 }
             }
         }
@@ -288,7 +287,7 @@
         let timeout = self.now >= call.until + 1_000;
         match self.hosts[index].condition {
             Condition::Cut => return timeout.then_some(StoreOutcome::Failed),
-            Condition::TurnedAway => return Some(StoreOutcome::Failed),
+            Condition::Refused => return Some(StoreOutcome::Failed),
             Condition::Running | Condition::Dead => {}
         }
         let in_era = |number| StoreRevision::in_era(StoreEra::new(self.era), number);
@@ -365,26 +364,26 @@
         }
     }
 
-    pub fn ask(&mut self, index: usize) {
+    pub fn query(&mut self, index: usize) {
         let now = at(self.now);
-        let pending = self.hosts[index].question.as_ref();
+        let pending = self.hosts[index].query.as_ref();
         let failed = pending.is_some_and(|question| {
             self.hosts[question.host].condition == Condition::Dead || self.now >= question.limit
         });
         if failed {
-            let question = self.hosts[index].question.take().unwrap();
-            self.take_word(index, question.host, None);
+            let question = self.hosts[index].query.take().unwrap();
+            self.handle_answer(index, question.host, None);
         }
         let host = &mut self.hosts[index];
-        if host.question.is_some() || self.now < host.ask_at {
+        if host.query.is_some() || self.now < host.query_at {
             return;
         }
         let Some((peer, question)) = host.engine.next_peer(now) else {
-            host.ask_at = self.now + host.engine.peer_pause().as_millis() as u64;
+            host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
             return;
         };
         let asked = index_of(peer);
-        self.questions[asked] += 1;
+        self.queries[asked] += 1;
         let reachable = |index: usize| self.hosts[index].condition != Condition::Cut;
         let connects = reachable(index) && reachable(asked);
         let limit = if !connects && question.revision == StoreRevision::ZERO {
@@ -393,23 +392,23 @@
             question.timeout().as_millis() as u64
         };
         let limit = self.now + limit;
-        self.hosts[index].question = Some(PendingQuestion { host: asked, limit });
+        self.hosts[index].query = Some(PendingQuery { host: asked, limit });
         if connects {
             self.hosts[asked].waiting.push(question, now, index);
         }
     }
 
     /// Sends reports, as often as hosts do.
-    pub fn tell(&mut self, index: usize) {
+    pub fn send_reports(&mut self, index: usize) {
         let host = &mut self.hosts[index];
-        if self.now < host.tell_at {
+        if self.now < host.report_at {
             return;
         }
         let Some((peer, reports)) = host.engine.next_reports(at(self.now)) else {
             return;
         };
-        host.tell_at = self.now + REPORT_PAUSE;
-        self.reports_told[index] += reports.len();
+        host.report_at = self.now + REPORT_PAUSE;
+        self.reports_sent[index] += reports.len();
         let told = index_of(peer);
         let in_reach = |index: usize| {
             !matches!(
@@ -423,8 +422,8 @@
             let reports = reports.into_iter().map(|report| report.into_report(now));
             self.hosts[told].engine.take_reports(now, reports);
         } else {
-            self.hosts[index].tell_at = self.now + 400;
-            self.hosts[index].engine.forget_told_reports();
+            self.hosts[index].report_at = self.now + 400;
+            self.hosts[index].engine.forget_sent_reports();
         }
     }
 
@@ -435,7 +434,7 @@
         let words: Vec<_> = due
             .into_iter()
             .map(|due| {
-                let mut word = host.engine.answer_peer(now, &due.question);
+                let mut word = host.engine.answer_peer(now, &due.query);
                 word.waited = due.waited;
                 (due.answer, word)
             })
@@ -451,14 +450,14 @@
 
     /// Sends a part of the list after the earlier parts on the link of `teller`.
     fn send_part(&mut self, teller: usize, asker: usize, word: PeerWord) {
-        self.told_all[teller] += usize::from(word.all_servers);
+        self.full_lists_sent[teller] += usize::from(word.all_servers);
         let host = &mut self.hosts[teller];
         host.sends_until = host.sends_until.max(self.now) + self.weight.part_time;
-        self.sent.push(SentWord {
+        self.sent.push(SentAnswer {
             arrives_at: host.sends_until,
-            teller,
+            sender: teller,
             asker,
-            word,
+            answer: word,
         });
     }
 
@@ -466,23 +465,23 @@
         let now = self.now;
         let arrived = self.sent.extract_if(.., |sent| sent.arrives_at <= now);
         for sent in arrived.collect::<Vec<_>>() {
-            self.deliver(sent.teller, sent.asker, sent.word);
+            self.deliver(sent.sender, sent.asker, sent.answer);
         }
     }
 
     fn deliver(&mut self, teller: usize, asker: usize, word: PeerWord) {
-        let waits = self.hosts[asker].question.as_ref();
+        let waits = self.hosts[asker].query.as_ref();
         let cut = [teller, asker].map(|one| self.hosts[one].condition == Condition::Cut);
         if waits.is_some_and(|question| question.host == teller) && cut == [false; 2] {
-            self.hosts[asker].question = None;
-            self.take_word(asker, teller, Some(word));
+            self.hosts[asker].query = None;
+            self.handle_answer(asker, teller, Some(word));
         }
     }
 
-    pub fn take_word(&mut self, index: usize, peer: usize, word: Option<PeerWord>) {
+    pub fn handle_answer(&mut self, index: usize, peer: usize, word: Option<PeerWord>) {
         let host = &mut self.hosts[index];
         host.engine.handle_peer(at(self.now), address(peer), word);
-        host.ask_at = self.now + host.engine.peer_pause().as_millis() as u64;
+        host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
     }
 
     /// The running hosts that have a call at the store.
@@ -500,7 +499,7 @@
     }
 
     /// The reachable hosts that do not know that server `number` drains.
-    pub fn ignorant(&self, number: u64) -> Vec<usize> {
+    pub fn unaware(&self, number: u64) -> Vec<usize> {
         let id = near_server(number).id;
         let knows = |host: &SimulatedHost| {
             let view = host.engine.view();
@@ -518,7 +517,7 @@
     pub fn time_to_all(&mut self) -> u64 {
         let start = self.now;
         self.write(1, true);
-        while !self.ignorant(1).is_empty() && self.now < start + 20_000 {
+        while !self.unaware(1).is_empty() && self.now < start + 20_000 {
             self.run_until(self.now + STEP);
         }
         self.now - start
@@ -545,12 +544,12 @@
     };
     SimulatedHost {
         engine: BeliefEngine::new(settings, index as u64),
-        waiting: WaitingQuestions::default(),
+        waiting: WaitingQueries::default(),
         condition: Condition::Running,
         call: None,
-        question: None,
-        ask_at: 0,
-        tell_at: 0,
+        query: None,
+        query_at: 0,
+        report_at: 0,
         starts_at: None,
         sends_until: 0,
     }
--- a/crates/cardamomwinch_coordination/tests/forwarding_whole_fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_whole_fleet.rs
@@ -50,9 +50,9 @@
     assert!(time <= telling_time(weight) + PASSING_ON, "{time} ms");
     assert!(fleet.listings <= 12, "{} listings", fleet.listings);
     assert!(fleet.calls <= hosts / 2, "{} calls", fleet.calls);
-    let asked = *fleet.questions.iter().max().unwrap();
+    let asked = *fleet.queries.iter().max().unwrap();
     assert!(asked <= hosts, "{asked} questions to one host");
-    let told = *fleet.told_all.iter().max().unwrap();
+    let told = *fleet.full_lists_sent.iter().max().unwrap();
     assert!(told <= 8, "one host told {told}");
 }
 
@@ -67,7 +67,7 @@
     let weight = weight(hosts);
     let mut fleet = Fleet::starting_within(hosts, DOMAINS, SPREAD).with_weight(weight);
     fleet.run_until(SETTLED / 2);
-    fleet.count_anew();
+    fleet.reset_counters();
     for index in (0..hosts).filter(|index| index % 20 < 11) {
         fleet.restart(index);
     }
@@ -87,14 +87,14 @@
     let weight = weight(hosts);
     let mut fleet = Fleet::starting_within(hosts, DOMAINS, SPREAD).with_weight(weight);
     fleet.run_until(SETTLED / 2);
-    fleet.count_anew();
+    fleet.reset_counters();
     let begun = fleet.now;
     fleet.watches_silent_until = begun + SILENCE;
     fleet.run_until(begun + SILENCE / 4);
     fleet.write(1, true);
     fleet.history_begins = fleet.revision;
     fleet.run_until(begun + SILENCE);
-    while !fleet.ignorant(1).is_empty() && fleet.now < begun + COUNTED {
+    while !fleet.unaware(1).is_empty() && fleet.now < begun + COUNTED {
         fleet.run_until(fleet.now + STEP);
     }
     let time = fleet.now - begun - SILENCE;
--- a/crates/cardamomwinch_forwarder/src/belief_lines.rs
+++ b/crates/cardamomwinch_forwarder/src/belief_lines.rs
@@ -170,7 +170,7 @@
             },
             BeliefChange::ManyVanished { servers } => Self::ManyVanished { servers: *servers },
             BeliefChange::StoreLost => Self::StoreLost {},
-            BeliefChange::StoreRegained { silence } => Self::StoreRegained {
+            BeliefChange::StoreRegained { outage: silence } => Self::StoreRegained {
                 silence_ms: silence.as_millis() as u64,
             },
             BeliefChange::StoreRestored { last, first } => Self::StoreRestored {
@@ -188,7 +188,7 @@
             BeliefChange::SourceChanged { source } => Self::Source {
                 source: source.to_string(),
             },
-            BeliefChange::PeerBelieved {
+            BeliefChange::PeerDataApplied {
                 peer,
                 revision,
                 version,
--- a/crates/cardamomwinch_forwarder/src/control_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/control_thread.rs
@@ -12,7 +12,7 @@
     PeerQuestion, PeerReport, PeerWord,
 };
 use cardamomwinch_coordination::forwarding::beliefs::store_call::{StoreCall, StoreOutcome};
-use cardamomwinch_coordination::forwarding::beliefs::waiting_questions::WaitingQuestions;
+use cardamomwinch_coordination::forwarding::beliefs::waiting_queries::WaitingQueries;
 use cardamomwinch_coordination::forwarding::server_reports::ServerReport;
 use cardamomwinch_platform::prelude::StoreClient;
 use cardamomwinch_protocol::administration::BeliefReport;
@@ -61,7 +61,7 @@
 
 struct ControlState {
     engine: BeliefEngine,
-    waiting: WaitingQuestions<Sender<PeerWord>>,
+    waiting: WaitingQueries<Sender<PeerWord>>,
     /// Wakes the task that passes reports on.
     reported: Sender<()>,
     logger: DecisionLogger<BeliefLine>,
@@ -104,7 +104,7 @@
     /// Answers the peers that waited for what is known now.
     fn answer_due(&mut self, now: Timestamp) {
         for due in self.waiting.take_due(&mut self.engine, now) {
-            let mut word = self.engine.answer_peer(now, &due.question);
+            let mut word = self.engine.answer_peer(now, &due.query);
             word.waited = due.waited;
             // Whoever asked may have left since.
             drop(due.answer.try_send(word));
@@ -144,7 +144,7 @@
         let state = ControlState {
             reported: reporter,
             engine,
-            waiting: WaitingQuestions::default(),
+            waiting: WaitingQueries::default(),
             logger,
             views,
             clock: *timers.clock(),
@@ -265,7 +265,7 @@
                 && let Err(error) = peer_calls::tell(&client, peer, reports).await
             {
                 log::info!("{error}");
-                self.state.borrow_mut().engine.forget_told_reports();
+                self.state.borrow_mut().engine.forget_sent_reports();
             }
             Timer::after(REPORT_PAUSE).await;
         }
--- a/crates/cardamomwinch_forwarder/src/peer_calls.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_calls.rs
@@ -59,7 +59,7 @@
     question: PeerQuestion,
 ) -> Result<PeerWord, PeerCallError> {
     let mut limits = CallLimits::whole(question.timeout());
-    if question.knows_nothing() {
+    if question.has_no_data() {
         limits.connect = START_CONNECT;
     }
     let params = (WireQuestion::from(question),);
--- a/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
@@ -107,11 +107,11 @@
         Self {
             revision: question.revision,
             version: question.version,
-            knows_left: question.knows_left,
-            store_silent: question.store_silent,
+            knows_left: question.knows_left_servers,
+            store_silent: question.store_fails,
             age_ms: question.age.as_millis() as u64,
             wait_ms: question.wait.as_millis() as u64,
-            reports_known: question.reports_known.get(),
+            reports_known: question.reports_received.get(),
             list: question.list.map(WirePosition::from),
             hosts: question.hosts.into_iter().map(WireHost::from).collect(),
             host: question.host.into(),
@@ -124,11 +124,11 @@
         Self {
             revision: question.revision,
             version: question.version,
-            knows_left: question.knows_left,
-            store_silent: question.store_silent,
+            knows_left_servers: question.knows_left,
+            store_fails: question.store_silent,
             age: time::Duration::from_millis(question.age_ms),
             wait: time::Duration::from_millis(question.wait_ms),
-            reports_known: ReportSerial::new(question.reports_known),
+            reports_received: ReportSerial::new(question.reports_known),
             list: question.list.map(ListPosition::from),
             hosts: question.hosts.into_iter().map(PeerHost::from).collect(),
             host: question.host.into(),
@@ -152,7 +152,7 @@
     fn from(evacuation: PeerEvacuation) -> Self {
         Self {
             domain: evacuation.domain,
-            ended_for_ms: evacuation.ended_for.map(|ago| ago.as_millis() as u64),
+            ended_for_ms: evacuation.ended_ago.map(|ago| ago.as_millis() as u64),
             missing_for_ms: evacuation.missing_for.map(|ago| ago.as_millis() as u64),
             changed: evacuation.changed,
         }
@@ -163,7 +163,7 @@
     fn from(evacuation: WireEvacuation) -> Self {
         Self {
             domain: evacuation.domain,
-            ended_for: evacuation.ended_for_ms.map(time::Duration::from_millis),
+            ended_ago: evacuation.ended_for_ms.map(time::Duration::from_millis),
             missing_for: evacuation.missing_for_ms.map(time::Duration::from_millis),
             changed: evacuation.changed,
         }
@@ -203,7 +203,7 @@
             revision: word.revision,
             waited_ms: word.waited.as_millis() as u64,
             age_ms: word.age.as_millis() as u64,
-            store_silent_for_ms: word.store_silent_for.map(|ago| ago.as_millis() as u64),
+            store_silent_for_ms: word.store_failed_ago.map(|ago| ago.as_millis() as u64),
             routes: word.routes.map(WireRoutes::from),
             servers: word.servers.into(),
             list: word.list.map(WirePosition::from),
@@ -213,8 +213,8 @@
             reports_serial: word.reports_serial.get(),
             hosts_digest: word.hosts_digest,
             hosts: word.hosts.into_iter().map(WireHost::from).collect(),
-            ask_instead: word.ask_instead,
-            reader_heard_ms: word.reader_heard.map(|ago| ago.as_millis() as u64),
+            ask_instead: word.query_instead,
+            reader_heard_ms: word.listing_age.map(|ago| ago.as_millis() as u64),
         }
     }
 }
@@ -227,7 +227,7 @@
             revision: word.revision,
             waited: time::Duration::from_millis(word.waited_ms),
             age: time::Duration::from_millis(word.age_ms),
-            store_silent_for: word.store_silent_for_ms.map(time::Duration::from_millis),
+            store_failed_ago: word.store_silent_for_ms.map(time::Duration::from_millis),
             routes: word.routes.map(RouteDifference::try_from).transpose()?,
             servers: word.servers.try_into()?,
             list: word.list.map(ListPosition::from),
@@ -237,8 +237,8 @@
             reports_serial: ReportSerial::new(word.reports_serial),
             hosts_digest: word.hosts_digest,
             hosts: word.hosts.into_iter().map(PeerHost::from).collect(),
-            ask_instead: word.ask_instead,
-            reader_heard: word.reader_heard_ms.map(time::Duration::from_millis),
+            query_instead: word.ask_instead,
+            listing_age: word.reader_heard_ms.map(time::Duration::from_millis),
         })
     }
 }
--- a/crates/cardamomwinch_forwarder/src/peer_wire/servers.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/servers.rs
@@ -97,7 +97,7 @@
             started: server.started,
             draining: server.draining,
             unreadable: server.unreadable,
-            unlisted_for_ms: server.unlisted_for.map(|age| age.as_millis() as u64),
+            unlisted_for_ms: server.removed_ago.map(|age| age.as_millis() as u64),
             vanished: server.vanished,
             cold_left_ms: server.cold_left.as_millis() as u64,
         }
@@ -113,7 +113,7 @@
             slots: kind.slots,
             draining: self.draining,
             unreadable: self.unreadable,
-            unlisted_for: self.unlisted_for_ms.map(time::Duration::from_millis),
+            removed_ago: self.unlisted_for_ms.map(time::Duration::from_millis),
             vanished: self.vanished,
             cold_left: time::Duration::from_millis(self.cold_left_ms),
             changed: self.changed.into(),
--- a/crates/cardamomwinch_forwarder/tests/peer_wire.rs
+++ b/crates/cardamomwinch_forwarder/tests/peer_wire.rs
@@ -48,7 +48,7 @@
         slots: SlotCount::new(2),
         draining: false,
         unreadable: false,
-        unlisted_for: None,
+        removed_ago: None,
         vanished: false,
         cold_left: time::Duration::ZERO,
         changed: StoreRevision::new(number),
@@ -60,7 +60,7 @@
         revision: StoreRevision::new(77),
         waited: time::Duration::from_millis(12),
         age: time::Duration::from_millis(34),
-        store_silent_for: None,
+        store_failed_ago: None,
         routes: Some(RouteDifference {
             version: ConfigurationVersion::new(7),
             all: false,
@@ -81,8 +81,8 @@
         reports_serial: ReportSerial::default(),
         hosts_digest: Some(5),
         hosts: Vec::new(),
-        ask_instead: Some(net::SocketAddr::from(([10, 1, 0, 7], 8166))),
-        reader_heard: Some(time::Duration::from_millis(310)),
+        query_instead: Some(net::SocketAddr::from(([10, 1, 0, 7], 8166))),
+        listing_age: Some(time::Duration::from_millis(310)),
     }
 }
 
@@ -102,7 +102,7 @@
     leaving.started = Some(ServerStart::new(1_700_000_000_000));
     let mut gone = server(3);
     gone.service = ServiceId::from_name("docvault");
-    gone.unlisted_for = Some(time::Duration::from_secs(3));
+    gone.removed_ago = Some(time::Duration::from_secs(3));
     gone.vanished = true;
     let mut cold = server(4);
     cold.cold_left = time::Duration::from_secs(2);
@@ -116,7 +116,7 @@
     }]);
     let evacuation = |name: &str, ended_for, missing_for| PeerEvacuation {
         domain: DomainId::from_name(name),
-        ended_for,
+        ended_ago: ended_for,
         missing_for,
         changed: StoreRevision::in_era(StoreEra::new(3), 9),
     };
