--- a/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
@@ -71,9 +71,9 @@
 fn started_of(domain_name: &str, number: u8) -> BeliefEngine {
     let mut engine = engine_of(domain_name, number);
     let call = engine.next_store_call(at(0));
-    let is_named = number <= 3;
+    let is_seed = number <= 3;
     let lists = call == StoreCall::List { after: None };
-    assert_eq!(lists, is_named, "others are asked first: {call:?}");
+    assert_eq!(lists, is_seed, "others are queried first: {call:?}");
     let items = vec![
         routes(1),
         server_entry(1, 5, false),
@@ -109,7 +109,7 @@
 /// Guards against a watch as long as the settings allow, here 20 seconds. Hosts that learn
 /// from this one would take it for dead and all read the store.
 #[test]
-fn a_watch_waits_no_longer_than_others_rely_on_it() {
+fn a_watch_waits_no_longer_than_hosts_rely_on_its_data() {
     let settings = BeliefSettings {
         domain: domain("near"),
         regions: DomainRegions::default(),
@@ -165,13 +165,13 @@
     assert!(pauses[0] < pauses[2] && pauses[2] < pauses[4]);
     assert!(pauses[5] <= millis(750));
     let lost = engine.take_changes();
-    assert_eq!(lost, [BeliefChange::StoreLost], "told once");
+    assert_eq!(lost, [BeliefChange::StoreLost], "logged once");
 }
 
 /// Entries of running servers expired during an outage of the store, so the next listing
 /// has none of them. Without a grace period the host would refuse every caller.
 #[test]
-fn servers_whose_entries_lapsed_stay_usable_for_a_moment() {
+fn servers_whose_entries_expired_stay_usable_for_a_grace_period() {
     let mut engine = started(1);
     engine.handle_store(at(100), StoreOutcome::Failed);
     engine.handle_store(at(150), StoreOutcome::Paused);
@@ -183,7 +183,7 @@
     ));
     assert!(
         !engine.view().is_complete(at(5_000)),
-        "what is missing says nothing"
+        "missing entries are unknown"
     );
     engine.handle_store(at(6_000), changes(vec![server_entry(1, 31, false)], 31));
     engine.tick(at(8_000));
@@ -209,10 +209,10 @@
 /// A host is cut off from the store, and a server begins to drain. The host must apply the
 /// answer of a peer that still reads the store.
 #[test]
-fn a_host_without_the_store_believes_its_peer() {
+fn a_host_without_the_store_applies_the_data_of_a_peer() {
     let mut cut = started(1);
     let mut peer = started_of("far", 2);
-    let first = ask(&mut peer, &mut cut, 50);
+    let first = query_peer(&mut peer, &mut cut, 50);
     cut.handle_peer(at(50), host_address(2), Some(first));
     assert_eq!(cut.next_peer(at(60)), None, "the store answers");
     peer.handle_store(
@@ -220,32 +220,32 @@
         changes(vec![routes(2), server_entry(1, 11, true)], 11),
     );
     cut.handle_store(at(100), StoreOutcome::Failed);
-    let word = ask(&mut peer, &mut cut, 200);
-    assert_eq!(word.servers.len(), 1, "only what changed is told");
-    cut.handle_peer(at(200), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut cut, 200);
+    assert_eq!(answer.servers.len(), 1, "only what changed is sent");
+    cut.handle_peer(at(200), host_address(2), Some(answer));
     assert_eq!(phase(&cut, 1), Some(ServerPhase::Draining));
     assert_eq!(cut.view().routes.version(), ConfigurationVersion::new(2));
     assert_eq!(cut.revision(), revision(11));
 }
 
 /// Returns the answer of `peer` to a query of `host`.
-fn ask(
+fn query_peer(
     peer: &mut BeliefEngine,
     host: &mut BeliefEngine,
     moment: u64,
 ) -> cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerWord {
-    let (_, question) = host.next_peer(at(moment)).expect("a peer is needed");
-    peer.answer_peer(at(moment), &question)
+    let (_, query) = host.next_peer(at(moment)).expect("a peer is needed");
+    peer.answer_peer(at(moment), &query)
 }
 
 /// An answer of a peer with older data must not undo newer changes.
 #[test]
-fn an_older_word_changes_nothing() {
+fn an_older_answer_changes_nothing() {
     let mut host = started(1);
     let mut peer = started(2);
     host.handle_store(at(10), changes(vec![server_entry(1, 11, true)], 11));
-    let word = ask(&mut peer, &mut host, 20);
-    host.handle_peer(at(20), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 20);
+    host.handle_peer(at(20), host_address(2), Some(answer));
     assert_eq!(phase(&host, 1), Some(ServerPhase::Draining));
     assert_eq!(host.revision(), revision(11));
 }
@@ -265,8 +265,8 @@
         at(1_000),
         page(vec![routes(1), server_entry(2, 6, false)], 11),
     );
-    let word = ask(&mut peer, &mut host, 1_010);
-    host.handle_peer(at(1_010), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 1_010);
+    host.handle_peer(at(1_010), host_address(2), Some(answer));
     assert!(matches!(phase(&host, 1), Some(ServerPhase::Left { .. })));
     assert_eq!(phase(&host, 2), Some(ServerPhase::Active));
 }
@@ -281,14 +281,14 @@
 #[test]
 fn silent_peers_are_forgotten() {
     let mut host = started(1);
-    let word = {
+    let answer = {
         let mut peer = started(2);
         let mut other = started(9);
-        let (_, question) = other.next_peer(at(0)).unwrap();
-        peer.answer_peer(at(0), &question);
-        ask(&mut peer, &mut host, 0)
+        let (_, query) = other.next_peer(at(0)).unwrap();
+        peer.answer_peer(at(0), &query);
+        query_peer(&mut peer, &mut host, 0)
     };
-    host.handle_peer(at(0), host_address(2), Some(word));
+    host.handle_peer(at(0), host_address(2), Some(answer));
     assert!(knows(&host, 9));
     for _ in 0..3 {
         host.handle_peer(at(1), host_address(9), None);
@@ -314,8 +314,8 @@
         next: Some("servers/1".to_owned()),
     };
     host.handle_store(at(20), first_page);
-    let word = ask(&mut peer, &mut host, 25);
-    host.handle_peer(at(25), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 25);
+    host.handle_peer(at(25), host_address(2), Some(answer));
     assert_eq!(phase(&host, 3), Some(ServerPhase::Active));
     host.handle_store(at(30), page(vec![server_entry(2, 6, false)], 12));
     assert_eq!(phase(&host, 3), Some(ServerPhase::Active));
@@ -341,41 +341,44 @@
 /// servers to all of them at once would saturate the links and memory of the seeds. Four
 /// hosts receive the list and pass it on; the others are redirected to them.
 #[test]
-fn few_hosts_that_start_are_told_everything_at_a_time() {
+fn few_starting_hosts_receive_the_full_list_at_a_time() {
     let mut peer = host_of_many(2_000);
-    let mut told = Vec::new();
+    let mut receives = Vec::new();
     for number in 10..30 {
         let mut host = engine(number);
-        let word = ask(&mut peer, &mut host, 10);
-        host.handle_peer(at(10), host_address(2), Some(word.clone()));
-        let is_told = word.list.is_some();
-        assert!(is_told || (word.servers.is_empty() && word.routes.is_none()));
-        assert_eq!(word.query_instead.is_some(), !is_told);
-        if is_told {
-            assert_eq!(ask_on(&mut peer, &mut host, 10), word.servers.len());
+        let answer = query_peer(&mut peer, &mut host, 10);
+        host.handle_peer(at(10), host_address(2), Some(answer.clone()));
+        let receives_list = answer.list.is_some();
+        assert!(receives_list || (answer.servers.is_empty() && answer.routes.is_none()));
+        assert_eq!(answer.query_instead.is_some(), !receives_list);
+        if receives_list {
+            assert_eq!(
+                query_remaining_parts(&mut peer, &mut host, 10),
+                answer.servers.len()
+            );
         }
-        assert_eq!(host.view().is_usable(), is_told);
-        if let Some(other) = word.query_instead {
-            let (asked, _) = host.next_peer(at(40)).unwrap();
-            assert_eq!(asked, other, "one that was told");
-            assert!((10..14).map(host_address).any(|told| told == other));
+        assert_eq!(host.view().is_usable(), receives_list);
+        if let Some(other) = answer.query_instead {
+            let (queried, _) = host.next_peer(at(40)).unwrap();
+            assert_eq!(queried, other, "one that receives the list");
+            assert!((10..14).map(host_address).any(|receiver| receiver == other));
         }
-        told.push(is_told);
+        receives.push(receives_list);
     }
-    assert_eq!(told.iter().filter(|all| **all).count(), 4);
-    assert!(told[..4].iter().all(|all| *all));
+    assert_eq!(receives.iter().filter(|all| **all).count(), 4);
+    assert!(receives[..4].iter().all(|all| *all));
     let mut later = engine(30);
-    assert!(ask(&mut peer, &mut later, 300).list.is_some());
+    assert!(query_peer(&mut peer, &mut later, 300).list.is_some());
 }
 
 /// Has `host` query `peer` for all further parts of the list of 2,000 servers, and returns
 /// how many servers the first part held.
-fn ask_on(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> usize {
+fn query_remaining_parts(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> usize {
     let mut others = 0;
     while !host.view().is_usable() && others < 2_000 {
-        let word = ask(peer, host, moment);
-        others += word.servers.len();
-        host.handle_peer(at(moment), host_address(2), Some(word));
+        let answer = query_peer(peer, host, moment);
+        others += answer.servers.len();
+        host.handle_peer(at(moment), host_address(2), Some(answer));
     }
     2_000 - others
 }
@@ -384,38 +387,38 @@
 /// the full list. The next host that queries it must receive the list, instead of being
 /// redirected to the four, which have no data.
 #[test]
-fn answers_of_a_host_that_knows_nothing_count_for_nothing() {
+fn answers_of_a_host_without_data_occupy_no_transfer_slot() {
     let mut peer = engine(2);
     for number in 10..14 {
         let mut host = engine(number);
-        let word = ask(&mut peer, &mut host, 0);
-        assert!(!word.all_servers && word.query_instead.is_none());
+        let answer = query_peer(&mut peer, &mut host, 0);
+        assert!(!answer.all_servers && answer.query_instead.is_none());
     }
     peer.handle_store(at(10), page(vec![routes(1), server_entry(1, 5, false)], 10));
     let mut host = engine(14);
-    assert!(ask(&mut peer, &mut host, 20).all_servers);
+    assert!(query_peer(&mut peer, &mut host, 20).all_servers);
 }
 
 /// A host was cut off for so long that its source cannot send a difference and must send
 /// the full list, which four others are receiving. The host must query the one that it is
 /// redirected to; it used to query its source again and again without a pause.
 #[test]
-fn a_host_that_is_referred_asks_elsewhere() {
+fn a_redirected_host_queries_another_host() {
     let mut peer = host_of_many(20);
     for number in 10..14 {
         let mut other = engine(number);
-        assert!(ask(&mut peer, &mut other, 10).all_servers);
+        assert!(query_peer(&mut peer, &mut other, 10).all_servers);
     }
     let mut host = started(9);
-    let (asked, question) = host.next_peer(at(10)).unwrap();
-    let mut word = peer.answer_peer(at(10), &question);
+    let (queried, query) = host.next_peer(at(10)).unwrap();
+    let mut answer = peer.answer_peer(at(10), &query);
     let elsewhere = host_address(12);
-    word.revision = StoreRevision::ZERO;
-    word.query_instead = Some(elsewhere);
-    host.handle_peer(at(10), asked, Some(word));
+    answer.revision = StoreRevision::ZERO;
+    answer.query_instead = Some(elsewhere);
+    host.handle_peer(at(10), queried, Some(answer));
     assert_eq!(host.next_peer(at(11)).unwrap().0, elsewhere);
     assert_ne!(
-        host.next_peer(at(12)).map(|(asked, _)| asked),
+        host.next_peer(at(12)).map(|(queried, _)| queried),
         Some(elsewhere)
     );
 }
@@ -423,12 +426,12 @@
 /// A host receives the full list from a peer while it lists the store. The pages that it
 /// has read are older, and the rest is not needed.
 #[test]
-fn a_host_that_was_told_everything_stops_listing() {
+fn a_host_that_received_the_full_list_stops_listing() {
     let mut peer = started_of("far", 2);
     let mut host = engine(9);
     host.next_store_call(at(0));
-    let word = ask(&mut peer, &mut host, 5);
-    host.handle_peer(at(5), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 5);
+    host.handle_peer(at(5), host_address(2), Some(answer));
     assert!(host.view().is_usable());
     let call = host.next_store_call(at(10));
     assert!(matches!(call, StoreCall::Pause(_)), "{call:?}");
@@ -439,11 +442,11 @@
 
 /// Like the test above, but calls to the store fail, so only a peer can send the list.
 #[test]
-fn a_host_that_starts_without_the_store_is_told_all() {
+fn a_host_that_starts_without_the_store_receives_the_full_list() {
     let mut peer = host_of_many(2_000);
     let mut host = engine(1);
     host.handle_store(at(5), StoreOutcome::Failed);
-    ask_on(&mut peer, &mut host, 10);
+    query_remaining_parts(&mut peer, &mut host, 10);
     assert!(host.view().is_usable());
     assert_eq!(host.view().directory.len(), 2_000);
 }
@@ -452,7 +455,7 @@
 /// the entries of running servers expire. Idle flows were ended on half of all servers at
 /// once.
 #[test]
-fn entries_that_vanish_together_are_taken_for_an_outage() {
+fn entries_that_vanish_together_count_as_an_outage() {
     let mut engine = engine(1);
     let servers = (1..=8).map(|number| server_entry(number, number, false));
     engine.handle_store(at(0), page(servers.chain([routes(1)]).collect(), 10));
@@ -463,15 +466,15 @@
     };
     engine.handle_store(at(2_500), changes((1..=4).map(removed).collect(), 14));
     assert!(!engine.view().is_complete(at(2_600)));
-    let told = engine.take_changes();
-    let noted = BeliefChange::ManyVanished { servers: 4 };
-    assert!(told.contains(&noted), "{told:?}");
+    let changed = engine.take_changes();
+    let outage = BeliefChange::ManyVanished { servers: 4 };
+    assert!(changed.contains(&outage), "{changed:?}");
     assert!(engine.view().is_complete(at(6_000)), "it does not last");
 }
 
 /// Two of eight servers lose power. Their idle flows must be ended at once.
 #[test]
-fn few_entries_that_vanish_say_that_their_servers_have_gone() {
+fn few_vanished_entries_mean_that_their_servers_are_dead() {
     let mut engine = engine(1);
     let servers = (1..=8).map(|number| server_entry(number, number, false));
     engine.handle_store(at(0), page(servers.chain([routes(1)]).collect(), 10));
@@ -486,17 +489,17 @@
 /// A peer fails and comes back. The log must show both times, with one line each, however
 /// often the peer is queried: engineers need them to explain late changes.
 #[test]
-fn a_peer_is_told_as_lost_and_regained_once() {
+fn a_peer_is_logged_as_lost_and_regained_once() {
     let mut host = started(1);
     let peer = host_address(2);
     host.handle_peer(at(10), peer, None);
     host.handle_peer(at(20), peer, None);
     assert_eq!(host.take_changes(), [BeliefChange::PeerLost { peer }]);
     let mut other = started(2);
-    let (_, question) = other.next_peer(at(30)).unwrap();
-    host.answer_peer(at(30), &question);
+    let (_, query) = other.next_peer(at(30)).unwrap();
+    host.answer_peer(at(30), &query);
     assert_eq!(host.take_changes(), [BeliefChange::PeerRegained { peer }]);
-    host.answer_peer(at(40), &question);
+    host.answer_peer(at(40), &query);
     assert_eq!(host.take_changes(), []);
 }
 
@@ -504,7 +507,7 @@
 /// serve the callers meanwhile, with more delay; the log must show when this began and
 /// ended.
 #[test]
-fn a_domain_without_servers_is_told_as_lost_and_regained() {
+fn a_domain_without_servers_is_logged_as_lost_and_regained() {
     let mut host = started(1);
     let desk = service("desk");
     host.handle_store(at(10), changes(vec![server_entry(1, 11, true)], 11));
@@ -521,21 +524,21 @@
 /// arrive. Dated by its arrival, the answer would claim that a server which started
 /// meanwhile does not exist, and flows on that server would be reset.
 #[test]
-fn what_a_peer_says_is_as_old_as_its_way_was_long() {
+fn the_age_of_a_peer_answer_includes_its_transit_time() {
     let mut host = started(1);
     let mut peer = started(2);
     peer.handle_store(at(1_000), changes(vec![server_entry(2, 11, true)], 12));
-    let (address, question) = host.next_peer(at(1_000)).unwrap();
-    let mut word = peer.answer_peer(at(1_010), &question);
-    word.waited = millis(5);
-    host.handle_peer(at(2_500), address, Some(word));
+    let (address, query) = host.next_peer(at(1_000)).unwrap();
+    let mut answer = peer.answer_peer(at(1_010), &query);
+    answer.waited = millis(5);
+    host.handle_peer(at(2_500), address, Some(answer));
     let heard_at = host.as_of();
     assert!(heard_at > at(900) && heard_at <= at(1_010), "{heard_at}");
 }
 
 /// Like the test above, with long answers of the store.
 #[test]
-fn what_the_store_says_is_as_old_as_its_way_was_long() {
+fn the_age_of_a_store_answer_includes_its_transit_time() {
     let mut host = started(1);
     let changed = changes(vec![server_entry(2, 11, true)], 12);
     host.handle_store_answer(at(3_000), at(1_500), changed);
@@ -548,5 +551,5 @@
     host.handle_store(at(3_100), StoreOutcome::HistoryGone);
     host.handle_store_answer(at(4_000), at(3_900), page(Some("servers/i-01")));
     host.handle_store_answer(at(5_000), at(4_900), page(None));
-    assert_eq!(host.as_of(), at(3_900), "the first page is the oldest word");
+    assert_eq!(host.as_of(), at(3_900), "the first page is the oldest data");
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_restarts.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restarts.rs
@@ -32,7 +32,7 @@
 /// know the flow, and a request that may run only once would be lost. If this host resets
 /// the idle flow first, the caller opens another one for its next request.
 #[test]
-fn flows_that_rest_on_what_ran_before_are_ended() {
+fn idle_flows_on_the_earlier_process_are_ended() {
     let mut host = host();
     host.establish(at(100), 1);
     host.change(|directory| directory.note(started_at(1, 4_000, 7)));
@@ -88,16 +88,16 @@
 }
 
 #[test]
-fn peers_tell_starts_and_entries_that_cannot_be_understood() {
+fn answers_include_process_starts_and_unreadable_entries() {
     let mut record = started_at(1, 4_000, 7);
     for phase in [ServerPhase::Active, ServerPhase::Unreadable] {
         record.phase = phase;
-        let told = PeerServer::from_record(&record, at(50)).into_record(at(50));
-        assert_eq!((told.started, told.phase), (record.started, phase));
+        let received = PeerServer::from_record(&record, at(50)).into_record(at(50));
+        assert_eq!((received.started, received.phase), (record.started, phase));
     }
 }
 
-fn beliefs() -> BeliefEngine {
+fn discovery_engine() -> BeliefEngine {
     let settings = BeliefSettings {
         domain: domain("near"),
         regions: DomainRegions::default(),
@@ -143,7 +143,7 @@
 /// because nothing shows that it still accepts them.
 #[test]
 fn a_server_whose_entry_became_unreadable_keeps_its_flows_and_gets_no_new_ones() {
-    let mut engine = beliefs();
+    let mut engine = discovery_engine();
     let changes = vec![unreadable(1, 11), unreadable(3, 12)];
     let revision = StoreRevision::new(12);
     engine.handle_store(at(100), StoreOutcome::Changes { changes, revision });
@@ -162,8 +162,8 @@
 /// A host lists the store again while an entry is unreadable, as it does after lost
 /// history. The server must not count as vanished.
 #[test]
-fn a_listing_with_an_unreadable_entry_does_not_lack_its_server() {
-    let mut engine = beliefs();
+fn a_listing_with_an_unreadable_entry_keeps_its_server() {
+    let mut engine = discovery_engine();
     engine.handle_store(at(100), StoreOutcome::HistoryGone);
     let items = vec![unreadable(1, 11), server_entry(2, 6, false)];
     engine.handle_store(at(110), page(items, 20));
--- a/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
@@ -22,7 +22,7 @@
     server_entry_at(number, revision(era, written), draining)
 }
 
-fn begun(name: &str, era: u64, written: u64) -> StoreChange {
+fn evacuation_begun(name: &str, era: u64, written: u64) -> StoreChange {
     StoreChange::EvacuationBegun {
         domain: domain(name),
         revision: revision(era, written),
@@ -78,16 +78,16 @@
     view.directory.evacuations().is_evacuated(domain(name))
 }
 
-/// The answer of `teller` to a query of `asker`.
-fn ask(teller: &mut BeliefEngine, asker: &mut BeliefEngine, moment: u64) -> PeerWord {
-    let (_, question) = asker.next_peer(at(moment)).unwrap();
-    teller.answer_peer(at(moment), &question)
+/// The answer of `peer` to a query of `host`.
+fn query_peer(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> PeerWord {
+    let (_, query) = host.next_peer(at(moment)).unwrap();
+    peer.answer_peer(at(moment), &query)
 }
 
 /// Guards against new flows on a draining server. After the restore its change has a number
 /// that other hosts already know from the earlier era, so they would ignore it.
 #[test]
-fn a_change_reaches_all_hosts_although_its_number_was_given_out_before() {
+fn a_change_reaches_all_hosts_although_its_number_was_assigned_before() {
     let mut fleet = Fleet::settled(25);
     for _ in 0..3 {
         fleet.write(2, false);
@@ -134,7 +134,7 @@
 /// Guards against all hosts of a large domain listing the store after an outage of several
 /// seconds: with 26,000 servers that is fifty calls per host.
 #[test]
-fn hosts_that_all_went_to_a_store_leave_its_listing_to_few() {
+fn few_hosts_list_a_store_after_an_outage() {
     let mut fleet = Fleet::settled(100);
     fleet.write(2, false);
     fleet.run_until(SETTLED + 1_000);
@@ -167,11 +167,11 @@
     fifth = { 15 },
     sixth = { 16 },
 )]
-fn all_hosts_agree_with_a_store_that_was_restored_again_and_again(seed: u64) {
+fn all_hosts_agree_with_a_store_that_was_restored_repeatedly(seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut fleet = Fleet::settled(12);
     // Whether each server drains. A draining server stays so.
-    let mut leaves = [false; 8];
+    let mut drains = [false; 8];
     for _ in 0..40 {
         match random.random_range(0..6) {
             0 => fleet.restore(random.random_range(0..4)),
@@ -184,9 +184,9 @@
                 };
             }
             _ => {
-                let number = random.random_range(0..leaves.len());
-                leaves[number] |= random.random_bool(0.2);
-                fleet.write(1 + number as u64, leaves[number]);
+                let number = random.random_range(0..drains.len());
+                drains[number] |= random.random_bool(0.2);
+                fleet.write(1 + number as u64, drains[number]);
             }
         }
         fleet.run_until(fleet.now + random.random_range(1..60) * 10);
@@ -194,11 +194,11 @@
     for host in &mut fleet.hosts {
         host.condition = Condition::Running;
     }
-    for (number, leaves) in (1..).zip(leaves) {
-        fleet.write(number, leaves);
+    for (number, drains) in (1..).zip(drains) {
+        fleet.write(number, drains);
     }
     fleet.run_until(fleet.now + 5_000);
-    let expected = leaves.map(|leaves| match leaves {
+    let expected = drains.map(|drains| match drains {
         true => Some(ServerPhase::Draining),
         false => Some(ServerPhase::Active),
     });
@@ -211,23 +211,23 @@
 /// Guards against new flows on a draining server whose entry had a higher number in the
 /// earlier era.
 #[test]
-fn what_a_later_era_says_is_later_whatever_its_number() {
+fn entries_of_a_later_era_are_later_whatever_their_numbers() {
     let mut engine = started(1, vec![entry(1, 1, 25, false)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
-    let leaves = watched(vec![entry(1, 2, 25, true)], 2, 25);
+    let drains = watched(vec![entry(1, 2, 25, true)], 2, 25);
     engine.next_store_call(at(110));
-    engine.handle_store(at(200), leaves);
+    engine.handle_store(at(200), drains);
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(engine.revision(), revision(2, 25));
-    let told = engine.take_changes();
-    let is_told = |change: &BeliefChange| matches!(change, BeliefChange::StoreRestored { .. });
-    assert_eq!(told.iter().filter(|one| is_told(one)).count(), 1);
+    let changed = engine.take_changes();
+    let is_restored = |change: &BeliefChange| matches!(change, BeliefChange::StoreRestored { .. });
+    assert_eq!(changed.iter().filter(|one| is_restored(one)).count(), 1);
 }
 
 /// Guards against new flows on a draining server. The restored store has already passed the
 /// number that the watch starts from, so the watch misses changes.
 #[test]
-fn changes_of_another_era_than_was_asked_are_listed_instead() {
+fn changes_of_another_era_than_the_watch_cause_a_listing() {
     let mut engine = started(1, Vec::new());
     engine.handle_store(at(100), watched(vec![entry(2, 2, 27, false)], 2, 27));
     let call = engine.next_store_call(at(110));
@@ -240,16 +240,16 @@
 /// Guards against missed changes if a peer sends data of the new era while a watch of the
 /// earlier era is open.
 #[test]
-fn a_watch_that_began_in_the_era_before_proves_nothing_of_this_one() {
-    let mut teller = started(1, Vec::new());
+fn changes_of_a_watch_from_an_earlier_era_are_not_applied() {
+    let mut peer = started(1, Vec::new());
     restored(
-        &mut teller,
+        &mut peer,
         50,
         vec![entry(1, 2, 5, false), entry(2, 2, 6, false)],
     );
     let mut engine = started(2, Vec::new());
-    let word = ask(&mut teller, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(word));
+    let answer = query_peer(&mut peer, &mut engine, 60);
+    engine.handle_peer(at(61), host_address(1), Some(answer));
     assert_eq!(engine.revision(), revision(2, 24));
     engine.handle_store(at(100), watched(vec![entry(2, 2, 28, false)], 2, 28));
     assert_eq!(engine.revision(), revision(2, 24));
@@ -260,7 +260,7 @@
 /// Guards against a list with servers of two eras, because the store was restored between
 /// two pages.
 #[test]
-fn pages_of_two_eras_are_not_put_together() {
+fn pages_of_two_eras_are_not_combined() {
     let mut engine = belief_engine(1);
     let first = page(vec![entry(1, 1, 5, false)], 1, 26, Some("servers/1"));
     engine.handle_store(at(0), first);
@@ -273,16 +273,16 @@
 /// Guards against a draining server that counts as active again, because an answer from
 /// before the restore arrives after it.
 #[test]
-fn what_the_store_said_before_its_restore_changes_nothing_after_it() {
-    let mut teller = started(1, Vec::new());
+fn answers_from_before_a_restore_change_nothing_after_it() {
+    let mut peer = started(1, Vec::new());
     restored(
-        &mut teller,
+        &mut peer,
         50,
         vec![entry(1, 2, 5, true), entry(2, 2, 6, false)],
     );
     let mut engine = started(2, Vec::new());
-    let word = ask(&mut teller, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(word));
+    let answer = query_peer(&mut peer, &mut engine, 60);
+    engine.handle_peer(at(61), host_address(1), Some(answer));
     let heard_at = engine.as_of();
     engine.handle_store(at(900), watched(vec![entry(1, 1, 27, false)], 1, 27));
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
@@ -295,16 +295,16 @@
 /// Guards against new flows on a server that is gone. It was added and removed in changes
 /// that the store lost, and the queried host has never known it.
 #[test]
-fn a_server_that_only_the_asker_knew_is_not_kept_after_a_restore() {
-    let mut teller = started(1, Vec::new());
+fn a_server_that_only_the_querying_host_knew_is_not_kept_after_a_restore() {
+    let mut peer = started(1, Vec::new());
     restored(
-        &mut teller,
+        &mut peer,
         50,
         vec![entry(1, 2, 5, false), entry(2, 2, 6, false)],
     );
     let mut engine = started(2, vec![entry(3, 1, 26, false)]);
-    let word = ask(&mut teller, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(word));
+    let answer = query_peer(&mut peer, &mut engine, 60);
+    engine.handle_peer(at(61), host_address(1), Some(answer));
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
     assert!(matches!(
         phase(&engine, 3),
@@ -314,7 +314,7 @@
 
 /// Guards against new flows on a draining server, if the backup is older than its draining.
 #[test]
-fn an_old_copy_takes_back_no_word_of_a_server_that_it_leaves() {
+fn an_old_backup_does_not_undo_the_draining_of_a_server() {
     let mut engine = started(1, vec![entry(1, 1, 26, true)]);
     restored(
         &mut engine,
@@ -324,8 +324,8 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(phase(&engine, 2), Some(ServerPhase::Active));
     let mut follower = started(2, Vec::new());
-    let word = ask(&mut engine, &mut follower, 110);
-    follower.handle_peer(at(111), host_address(1), Some(word));
+    let answer = query_peer(&mut engine, &mut follower, 110);
+    follower.handle_peer(at(111), host_address(1), Some(answer));
     assert_eq!(phase(&follower, 1), Some(ServerPhase::Draining));
     let again = page(
         vec![entry(1, 2, 5, false), entry(2, 2, 6, false)],
@@ -341,7 +341,7 @@
 /// Guards against a server that never gets flows again: the process that was draining is
 /// not the one that is listed.
 #[test]
-fn a_server_that_started_again_takes_flows_after_a_restore() {
+fn a_restarted_server_accepts_flows_after_a_restore() {
     let started_entry = |era, written, draining, start| {
         let StoreChange::Server(mut one) = entry(1, era, written, draining) else {
             panic!("an entry is a server's");
@@ -356,15 +356,15 @@
     let mut engine = started(1, vec![started_entry(1, 26, true, 7_000)]);
     restored(&mut engine, 100, vec![started_entry(2, 5, false, 7_000)]);
     engine.next_store_call(at(110));
-    let word = watched(vec![started_entry(2, 25, false, 7_000)], 2, 25);
-    engine.handle_store(at(200), word);
+    let watched_change = watched(vec![started_entry(2, 25, false, 7_000)], 2, 25);
+    engine.handle_store(at(200), watched_change);
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
 }
 
 /// Guards against ending flows on running servers that the backup lacks, because they were
 /// added after it was made.
 #[test]
-fn what_a_copy_lacks_says_nothing_until_it_is_written_again() {
+fn entries_missing_in_a_backup_are_unknown_until_written_again() {
     let mut engine = started(1, Vec::new());
     restored(&mut engine, 100, vec![entry(2, 2, 6, false)]);
     assert!(matches!(
@@ -377,13 +377,13 @@
 /// Guards against new flows in an evacuated domain, if the backup is older than the
 /// evacuation.
 #[test]
-fn an_evacuation_that_a_copy_lacks_counts_until_it_could_be_written_again() {
-    let mut engine = started(1, vec![begun("far", 1, 26)]);
+fn an_evacuation_missing_in_a_backup_counts_until_it_could_be_written_again() {
+    let mut engine = started(1, vec![evacuation_begun("far", 1, 26)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
     assert!(is_evacuated(&engine, "far"));
     let mut follower = started(2, Vec::new());
-    let word = ask(&mut engine, &mut follower, 110);
-    follower.handle_peer(at(111), host_address(1), Some(word));
+    let answer = query_peer(&mut engine, &mut follower, 110);
+    follower.handle_peer(at(111), host_address(1), Some(answer));
     assert!(is_evacuated(&follower, "far"));
     for host in [&mut engine, &mut follower] {
         host.tick(at(2_600));
@@ -397,7 +397,7 @@
 /// restore lacks the evacuation, too.
 #[test]
 fn a_second_listing_ends_no_evacuation_that_could_still_be_written_again() {
-    let mut engine = started(1, vec![begun("far", 1, 26)]);
+    let mut engine = started(1, vec![evacuation_begun("far", 1, 26)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
     engine.handle_store(at(900), StoreOutcome::HistoryGone);
     let again = page(vec![entry(1, 2, 5, false)], 2, 25, None);
@@ -410,11 +410,14 @@
 /// Guards against new flows in an evacuated domain: an evacuation that was written again
 /// must not end with the grace period.
 #[test]
-fn an_evacuation_that_is_written_again_lasts() {
-    let mut engine = started(1, vec![begun("far", 1, 26)]);
+fn an_evacuation_that_is_written_again_stays_active() {
+    let mut engine = started(1, vec![evacuation_begun("far", 1, 26)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
     engine.next_store_call(at(110));
-    engine.handle_store(at(1_500), watched(vec![begun("far", 2, 25)], 2, 25));
+    engine.handle_store(
+        at(1_500),
+        watched(vec![evacuation_begun("far", 2, 25)], 2, 25),
+    );
     engine.tick(at(9_000));
     assert!(is_evacuated(&engine, "far"));
 }
@@ -434,6 +437,6 @@
     no_number = { "2." },
     words = { "one.two" },
 )]
-fn texts_that_are_no_revision_are_refused(text: &str) {
+fn invalid_revisions_are_refused(text: &str) {
     assert!(text.parse::<StoreRevision>().is_err());
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_sources.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_sources.rs
@@ -19,7 +19,7 @@
     assert!(fleet.calls <= 2 * 6, "{} calls in ten seconds", fleet.calls);
     assert!(oldest <= 2_300, "what a host knew was {oldest} ms old");
     let most = fleet.queries.iter().max().unwrap();
-    assert!(*most <= 40, "{most} questions to one host in ten seconds");
+    assert!(*most <= 40, "{most} queries to one host in ten seconds");
     assert!(fleet.time_to_all() <= 500);
 }
 
@@ -41,7 +41,7 @@
 /// may keep relying on old data, and the calls of the whole domain to the store must not
 /// last.
 #[test]
-fn hosts_whose_readers_are_cut_off_read_themselves() {
+fn hosts_whose_readers_are_cut_off_read_the_store() {
     let mut fleet = Fleet::settled(25);
     for reader in fleet.readers() {
         fleet.hosts[reader].condition = Condition::Cut;
@@ -62,7 +62,7 @@
 /// The store refuses the readers and serves all others. The readers still answer queries,
 /// but their data gets old.
 #[test]
-fn hosts_whose_readers_are_turned_away_learn_elsewhere() {
+fn hosts_whose_readers_are_refused_use_another_source() {
     let mut fleet = Fleet::settled(25);
     for reader in fleet.readers() {
         fleet.hosts[reader].condition = Condition::Refused;
@@ -90,11 +90,11 @@
 /// A domain has 300 hosts, more than any host remembers. No host may be queried by all of
 /// them, and the calls to the store must not grow with them.
 #[test]
-fn no_host_is_asked_by_a_whole_domain() {
+fn no_host_is_queried_by_a_whole_domain() {
     let mut fleet = Fleet::settled(300);
     fleet.run_until(SETTLED + 10_000);
     let most = fleet.queries.iter().max().unwrap();
-    assert!(*most <= 100, "{most} questions to one host in ten seconds");
+    assert!(*most <= 100, "{most} queries to one host in ten seconds");
     assert!(fleet.calls <= 24, "{} calls in ten seconds", fleet.calls);
     let time = fleet.time_to_all();
     assert!(time <= 700, "{time} ms");
@@ -104,7 +104,7 @@
 /// calling the store, though the two readers of the domain do so already. All must know of
 /// a change soon after the store is back.
 #[test]
-fn a_store_that_refuses_everybody_is_asked_by_few() {
+fn a_store_that_refuses_all_hosts_is_called_by_few() {
     let mut fleet = Fleet::settled(25);
     for host in &mut fleet.hosts {
         host.condition = Condition::Refused;
--- a/crates/cardamomwinch_coordination/tests/forwarding_starts.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_starts.rs
@@ -8,14 +8,14 @@
 
 /// The time within which all hosts that start together must forward, in milliseconds. To
 /// callers a delay of 300 ms is no more than one retransmission.
-const SERVING: u64 = 300;
+const SERVING_LIMIT: u64 = 300;
 /// The time within which all hosts start, in milliseconds.
-const SPREAD: u64 = 300;
+const START_SPREAD: u64 = 300;
 /// The time within which a host that reaches no other host must forward, in milliseconds.
-const ALONE: u64 = 300;
+const ALONE_LIMIT: u64 = 300;
 /// The most hosts that one host sends the full list to while all start: four per quarter of
 /// a second.
-const TOLD_BY_ONE: usize = 16;
+const MAX_LISTS_SENT: usize = 16;
 
 /// All hosts lose power and restart at the same time, without data. Each used to list the
 /// store, a megabyte, and watch it for seconds until it had found its source: a thousand
@@ -29,9 +29,9 @@
 fn hosts_that_start_together_read_the_store_once(count: usize, domains: usize) {
     let mut fleet = Fleet::of_domains(count, domains);
     let time = fleet.time_to_serve();
-    assert!(time <= SERVING, "{time} ms");
+    assert!(time <= SERVING_LIMIT, "{time} ms");
     let most = *fleet.full_lists_sent.iter().max().unwrap();
-    assert!(most <= TOLD_BY_ONE, "one host told {most}");
+    assert!(most <= MAX_LISTS_SENT, "one host sent {most} lists");
     assert!(
         fleet.listings <= 3 + count / 20,
         "{} listings",
@@ -63,25 +63,25 @@
     gone = { Condition::Dead },
     cut_off = { Condition::Cut },
 )]
-fn hosts_that_reach_nobody_read_the_store_themselves(condition: Condition) {
+fn hosts_that_reach_no_seed_list_the_store_themselves(condition: Condition) {
     let mut fleet = Fleet::of_domains(60, 3);
     for index in 0..3 {
         fleet.hosts[index].condition = condition;
     }
     let time = fleet.time_to_serve();
-    assert!(time <= ALONE, "{time} ms");
+    assert!(time <= ALONE_LIMIT, "{time} ms");
 }
 
 /// The store refuses a third of the hosts, one seed among them, while all start. They must
 /// get the full list from the others, and later changes, too.
 #[test]
-fn hosts_that_the_store_turns_away_start_with_the_others() {
+fn hosts_that_the_store_refuses_start_with_the_others() {
     let mut fleet = Fleet::of_domains(60, 3);
     for index in (0..60).step_by(3) {
         fleet.hosts[index].condition = Condition::Refused;
     }
     let time = fleet.time_to_serve();
-    assert!(time <= SERVING, "{time} ms");
+    assert!(time <= SERVING_LIMIT, "{time} ms");
     fleet.run_until(10_000);
     let time = fleet.time_to_all();
     assert!(time <= 3_000, "{time} ms");
@@ -98,10 +98,10 @@
         fleet.restart(index);
     }
     let time = fleet.time_to_serve();
-    assert!(time <= SERVING, "{time} ms");
+    assert!(time <= SERVING_LIMIT, "{time} ms");
     assert!(fleet.listings <= 3 + 60 / 20, "{} listings", fleet.listings);
     let most = *fleet.full_lists_sent.iter().max().unwrap();
-    assert!(most <= TOLD_BY_ONE, "one host told {most}");
+    assert!(most <= MAX_LISTS_SENT, "one host sent {most} lists");
 }
 
 /// A change is written shortly after all hosts started, while they are still finding their
@@ -123,9 +123,9 @@
     of_300 = { 300, 5 },
 )]
 fn hosts_find_those_of_their_domain_within_seconds(count: usize, domains: usize) {
-    let mut fleet = Fleet::starting_within(count, domains, SPREAD);
+    let mut fleet = Fleet::starting_within(count, domains, START_SPREAD);
     let time = fleet.time_to_serve();
-    assert!(time <= SPREAD + SERVING, "{time} ms");
+    assert!(time <= START_SPREAD + SERVING_LIMIT, "{time} ms");
     fleet.run_until(SETTLED / 2);
     fleet.reset_counters();
     fleet.run_until(SETTLED / 2 + 10_000);
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
@@ -76,7 +76,7 @@
     /// Calls that begin a listing.
     pub listings: usize,
     pub queries: Vec<usize>,
-    /// How often each host received reports, and how many reports it sent.
+    /// How many messages with reports each host received, and how many reports it sent.
     pub tellings: Vec<usize>,
     pub reports_sent: Vec<usize>,
     /// How many full lists each host sent.
@@ -130,7 +130,7 @@
 struct SentAnswer {
     arrives_at: u64,
     sender: usize,
-    asker: usize,
+    receiver: usize,
     answer: PeerWord,
 }
 
@@ -191,9 +191,9 @@
     /// process break off.
     pub fn restart(&mut self, index: usize) {
         self.hosts[index] = new_host(index, self.domains);
-        let questions = self.hosts.iter_mut().filter_map(|host| host.query.as_mut());
-        for question in questions.filter(|question| question.host == index) {
-            question.limit = self.now;
+        let queries = self.hosts.iter_mut().filter_map(|host| host.query.as_mut());
+        for query in queries.filter(|query| query.host == index) {
+            query.limit = self.now;
         }
     }
 
@@ -367,34 +367,37 @@
     pub fn query(&mut self, index: usize) {
         let now = at(self.now);
         let pending = self.hosts[index].query.as_ref();
-        let failed = pending.is_some_and(|question| {
-            self.hosts[question.host].condition == Condition::Dead || self.now >= question.limit
+        let failed = pending.is_some_and(|query| {
+            self.hosts[query.host].condition == Condition::Dead || self.now >= query.limit
         });
         if failed {
-            let question = self.hosts[index].query.take().unwrap();
-            self.handle_answer(index, question.host, None);
+            let query = self.hosts[index].query.take().unwrap();
+            self.handle_answer(index, query.host, None);
         }
         let host = &mut self.hosts[index];
         if host.query.is_some() || self.now < host.query_at {
             return;
         }
-        let Some((peer, question)) = host.engine.next_peer(now) else {
+        let Some((peer, query)) = host.engine.next_peer(now) else {
             host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
             return;
         };
-        let asked = index_of(peer);
-        self.queries[asked] += 1;
+        let peer_index = index_of(peer);
+        self.queries[peer_index] += 1;
         let reachable = |index: usize| self.hosts[index].condition != Condition::Cut;
-        let connects = reachable(index) && reachable(asked);
-        let limit = if !connects && question.revision == StoreRevision::ZERO {
+        let connects = reachable(index) && reachable(peer_index);
+        let limit = if !connects && query.revision == StoreRevision::ZERO {
             START_CONNECT
         } else {
-            question.timeout().as_millis() as u64
+            query.timeout().as_millis() as u64
         };
         let limit = self.now + limit;
-        self.hosts[index].query = Some(PendingQuery { host: asked, limit });
+        self.hosts[index].query = Some(PendingQuery {
+            host: peer_index,
+            limit,
+        });
         if connects {
-            self.hosts[asked].waiting.push(question, now, index);
+            self.hosts[peer_index].waiting.push(query, now, index);
         }
     }
 
@@ -409,18 +412,18 @@
         };
         host.report_at = self.now + REPORT_PAUSE;
         self.reports_sent[index] += reports.len();
-        let told = index_of(peer);
+        let receiver = index_of(peer);
         let in_reach = |index: usize| {
             !matches!(
                 self.hosts[index].condition,
                 Condition::Dead | Condition::Cut
             )
         };
-        if in_reach(index) && in_reach(told) {
-            self.tellings[told] += 1;
+        if in_reach(index) && in_reach(receiver) {
+            self.tellings[receiver] += 1;
             let now = at(self.now);
             let reports = reports.into_iter().map(|report| report.into_report(now));
-            self.hosts[told].engine.take_reports(now, reports);
+            self.hosts[receiver].engine.take_reports(now, reports);
         } else {
             self.hosts[index].report_at = self.now + 400;
             self.hosts[index].engine.forget_sent_reports();
@@ -431,33 +434,33 @@
         let now = at(self.now);
         let host = &mut self.hosts[index];
         let due = host.waiting.take_due(&mut host.engine, now);
-        let words: Vec<_> = due
+        let answers: Vec<_> = due
             .into_iter()
             .map(|due| {
-                let mut word = host.engine.answer_peer(now, &due.query);
-                word.waited = due.waited;
-                (due.answer, word)
+                let mut answer = host.engine.answer_peer(now, &due.query);
+                answer.waited = due.waited;
+                (due.answer, answer)
             })
             .collect();
-        for (asker, word) in words {
-            if word.list.is_some() {
-                self.send_part(index, asker, word);
+        for (receiver, answer) in answers {
+            if answer.list.is_some() {
+                self.send_part(index, receiver, answer);
                 continue;
             }
-            self.deliver(index, asker, word);
+            self.deliver(index, receiver, answer);
         }
     }
 
-    /// Sends a part of the list after the earlier parts on the link of `teller`.
-    fn send_part(&mut self, teller: usize, asker: usize, word: PeerWord) {
-        self.full_lists_sent[teller] += usize::from(word.all_servers);
-        let host = &mut self.hosts[teller];
+    /// Sends a part of the list after the earlier parts on the link of `sender`.
+    fn send_part(&mut self, sender: usize, receiver: usize, answer: PeerWord) {
+        self.full_lists_sent[sender] += usize::from(answer.all_servers);
+        let host = &mut self.hosts[sender];
         host.sends_until = host.sends_until.max(self.now) + self.weight.part_time;
         self.sent.push(SentAnswer {
             arrives_at: host.sends_until,
-            sender: teller,
-            asker,
-            answer: word,
+            sender,
+            receiver,
+            answer,
         });
     }
 
@@ -465,22 +468,22 @@
         let now = self.now;
         let arrived = self.sent.extract_if(.., |sent| sent.arrives_at <= now);
         for sent in arrived.collect::<Vec<_>>() {
-            self.deliver(sent.sender, sent.asker, sent.answer);
+            self.deliver(sent.sender, sent.receiver, sent.answer);
         }
     }
 
-    fn deliver(&mut self, teller: usize, asker: usize, word: PeerWord) {
-        let waits = self.hosts[asker].query.as_ref();
-        let cut = [teller, asker].map(|one| self.hosts[one].condition == Condition::Cut);
-        if waits.is_some_and(|question| question.host == teller) && cut == [false; 2] {
-            self.hosts[asker].query = None;
-            self.handle_answer(asker, teller, Some(word));
+    fn deliver(&mut self, sender: usize, receiver: usize, answer: PeerWord) {
+        let waits = self.hosts[receiver].query.as_ref();
+        let cut = [sender, receiver].map(|one| self.hosts[one].condition == Condition::Cut);
+        if waits.is_some_and(|query| query.host == sender) && cut == [false; 2] {
+            self.hosts[receiver].query = None;
+            self.handle_answer(receiver, sender, Some(answer));
         }
     }
 
-    pub fn handle_answer(&mut self, index: usize, peer: usize, word: Option<PeerWord>) {
+    pub fn handle_answer(&mut self, index: usize, peer: usize, answer: Option<PeerWord>) {
         let host = &mut self.hosts[index];
-        host.engine.handle_peer(at(self.now), address(peer), word);
+        host.engine.handle_peer(at(self.now), address(peer), answer);
         host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
     }
 
--- a/crates/cardamomwinch_coordination/tests/forwarding_whole_fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_whole_fleet.rs
@@ -13,28 +13,28 @@
 /// The size of a server in a message, in bytes.
 const WIRE_BYTES: u64 = 50;
 /// The time within which all hosts start, in milliseconds.
-const SPREAD: u64 = 300;
+const START_SPREAD: u64 = 300;
 /// Hosts that receive the list from the same host at the same time, over the same link.
-const TOLD_AT_ONCE: u64 = 4;
+const CONCURRENT_TRANSFERS: u64 = 4;
 /// The time that passing the list from host to host may take in addition, in milliseconds.
-const PASSING_ON: u64 = 600;
+const PASSING_TIME: u64 = 600;
 /// How long watches return nothing before the store drops its history, in milliseconds.
-const SILENCE: u64 = 1_000;
+const WATCH_OUTAGE: u64 = 1_000;
 /// How long calls to the store are counted, in milliseconds.
-const COUNTED: u64 = 12_000;
+const COUNTING_PERIOD: u64 = 12_000;
 
 fn weight(hosts: usize) -> DirectoryWeight {
     DirectoryWeight::of_servers(hosts as u64 * SERVERS_PER_HOST, WIRE_BYTES)
 }
 
 /// How long it takes to list the store, in milliseconds.
-fn reading_time(weight: DirectoryWeight) -> u64 {
+fn listing_time(weight: DirectoryWeight) -> u64 {
     weight.pages * weight.page_time
 }
 
 /// How long it takes to list the store and to send the list to others, in milliseconds.
-fn telling_time(weight: DirectoryWeight) -> u64 {
-    reading_time(weight) + TOLD_AT_ONCE * weight.parts * weight.part_time
+fn spreading_time(weight: DirectoryWeight) -> u64 {
+    listing_time(weight) + CONCURRENT_TRANSFERS * weight.parts * weight.part_time
 }
 
 /// Guards against hosts that each list thousands of servers at their start, because the few
@@ -47,13 +47,13 @@
     let weight = weight(hosts);
     let mut fleet = Fleet::of_domains(hosts, DOMAINS).with_weight(weight);
     let time = fleet.time_to_serve();
-    assert!(time <= telling_time(weight) + PASSING_ON, "{time} ms");
+    assert!(time <= spreading_time(weight) + PASSING_TIME, "{time} ms");
     assert!(fleet.listings <= 12, "{} listings", fleet.listings);
     assert!(fleet.calls <= hosts / 2, "{} calls", fleet.calls);
-    let asked = *fleet.queries.iter().max().unwrap();
-    assert!(asked <= hosts, "{asked} questions to one host");
-    let told = *fleet.full_lists_sent.iter().max().unwrap();
-    assert!(told <= 8, "one host told {told}");
+    let queries = *fleet.queries.iter().max().unwrap();
+    assert!(queries <= hosts, "{queries} queries to one host");
+    let sent = *fleet.full_lists_sent.iter().max().unwrap();
+    assert!(sent <= 8, "one host sent {sent} lists");
 }
 
 /// Guards against the same if more than half of the hosts lose power, the seeds among them.
@@ -65,14 +65,14 @@
 )]
 fn hosts_that_lost_power_together_leave_a_long_list_to_few(hosts: usize) {
     let weight = weight(hosts);
-    let mut fleet = Fleet::starting_within(hosts, DOMAINS, SPREAD).with_weight(weight);
+    let mut fleet = Fleet::starting_within(hosts, DOMAINS, START_SPREAD).with_weight(weight);
     fleet.run_until(SETTLED / 2);
     fleet.reset_counters();
     for index in (0..hosts).filter(|index| index % 20 < 11) {
         fleet.restart(index);
     }
     let time = fleet.time_to_serve();
-    assert!(time <= telling_time(weight) + PASSING_ON, "{time} ms");
+    assert!(time <= spreading_time(weight) + PASSING_TIME, "{time} ms");
     assert!(fleet.listings <= 12, "{} listings", fleet.listings);
     assert!(fleet.calls <= hosts / 2, "{} calls", fleet.calls);
 }
@@ -83,23 +83,23 @@
     whole_fleet = { 585 },
     twice_the_fleet = { 1_170 },
 )]
-fn a_history_that_is_gone_is_made_good_by_few_listings(hosts: usize) {
+fn a_lost_history_costs_few_listings(hosts: usize) {
     let weight = weight(hosts);
-    let mut fleet = Fleet::starting_within(hosts, DOMAINS, SPREAD).with_weight(weight);
+    let mut fleet = Fleet::starting_within(hosts, DOMAINS, START_SPREAD).with_weight(weight);
     fleet.run_until(SETTLED / 2);
     fleet.reset_counters();
     let begun = fleet.now;
-    fleet.watches_silent_until = begun + SILENCE;
-    fleet.run_until(begun + SILENCE / 4);
+    fleet.watches_silent_until = begun + WATCH_OUTAGE;
+    fleet.run_until(begun + WATCH_OUTAGE / 4);
     fleet.write(1, true);
     fleet.history_begins = fleet.revision;
-    fleet.run_until(begun + SILENCE);
-    while !fleet.unaware(1).is_empty() && fleet.now < begun + COUNTED {
+    fleet.run_until(begun + WATCH_OUTAGE);
+    while !fleet.unaware(1).is_empty() && fleet.now < begun + COUNTING_PERIOD {
         fleet.run_until(fleet.now + STEP);
     }
-    let time = fleet.now - begun - SILENCE;
-    assert!(time <= reading_time(weight) + 2 * PASSING_ON, "{time} ms");
-    fleet.run_until(begun + COUNTED);
+    let time = fleet.now - begun - WATCH_OUTAGE;
+    assert!(time <= listing_time(weight) + 2 * PASSING_TIME, "{time} ms");
+    fleet.run_until(begun + COUNTING_PERIOD);
     assert!(fleet.listings <= hosts / 20, "{} listings", fleet.listings);
     assert!(fleet.calls <= hosts / 2, "{} calls", fleet.calls);
 }
--- a/crates/cardamomwinch_coordination/tests/health_draining.rs
+++ b/crates/cardamomwinch_coordination/tests/health_draining.rs
@@ -13,11 +13,11 @@
 
 const STEP: time::Duration = time::Duration::from_millis(50);
 
-struct Bench {
+struct HostBench {
     engine: HostEngine,
     now: Timestamp,
     calls: Vec<PlatformRequest>,
-    asked: Vec<(BackendId, net::SocketAddr)>,
+    probes: Vec<(BackendId, net::SocketAddr)>,
     logged: Vec<DecisionRecord>,
     draining: Option<net::SocketAddr>,
     root_revision: u64,
@@ -27,7 +27,7 @@
     net::SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-impl Bench {
+impl HostBench {
     /// A host whose configuration is in force.
     fn serving() -> Self {
         let identity = HostIdentity {
@@ -40,7 +40,7 @@
             engine: HostBuilder::new(identity, keys).build(),
             now: Timestamp::new(1_000_000_000),
             calls: Vec::new(),
-            asked: Vec::new(),
+            probes: Vec::new(),
             logged: Vec::new(),
             draining: None,
             root_revision: 1,
@@ -52,11 +52,11 @@
     }
 
     fn control(&mut self, event: ControlEvent) {
-        let (calls, asked, logged) = (&mut self.calls, &mut self.asked, &mut self.logged);
+        let (calls, probes, logged) = (&mut self.calls, &mut self.probes, &mut self.logged);
         let mut sink = |effect: HostEffect<'_>| match effect {
             HostEffect::Control(ControlEffect::Platform(request)) => calls.push(request),
             HostEffect::Control(ControlEffect::AskLoad { backend, address }) => {
-                asked.push((backend, address));
+                probes.push((backend, address));
             }
             HostEffect::Control(ControlEffect::Decide(record)) => logged.push(record),
             _ => {}
@@ -76,7 +76,7 @@
             let result = Ok(PlatformAnswer::Value { revision, text });
             self.control(ControlEvent::Platform(PlatformOutcome { request, result }));
         }
-        for (backend, address) in std::mem::take(&mut self.asked) {
+        for (backend, address) in std::mem::take(&mut self.probes) {
             let result = Ok(LoadReport {
                 busy_slots: 0,
                 connections: 0,
@@ -153,8 +153,8 @@
 /// An operator drains a server at the server itself, whose endpoint then reports so. Within
 /// three seconds no new flow may go there, and the decision must be logged.
 #[test]
-fn a_server_that_says_it_drains_gets_no_new_flow_after_three_seconds() {
-    let mut bench = Bench::serving();
+fn a_server_that_reports_draining_gets_no_new_flow_after_three_seconds() {
+    let mut bench = HostBench::serving();
     assert!(bench.opened_at(9001, 0) > 0);
     bench.draining = Some(address(9001));
     bench.pass_ms(3000);
@@ -169,7 +169,7 @@
 /// once the host has adopted the preset.
 #[test]
 fn a_server_that_drains_by_configuration_gets_no_new_flow_after_three_seconds() {
-    let mut bench = Bench::serving();
+    let mut bench = HostBench::serving();
     assert!(bench.opened_at(9001, 0) > 0);
     bench.root_revision = 2;
     bench.pass_ms(3000);
--- a/crates/cardamomwinch_coordination/tests/health_ejection.rs
+++ b/crates/cardamomwinch_coordination/tests/health_ejection.rs
@@ -15,7 +15,7 @@
 
 const START: Timestamp = Timestamp::new(1_000_000_000_000);
 const STEP: time::Duration = time::Duration::from_millis(250);
-const WELL: LoadReport = LoadReport {
+const HEALTHY: LoadReport = LoadReport {
     busy_slots: 0,
     connections: 0,
     healthy: true,
@@ -25,9 +25,9 @@
 
 /// How a server behaves in a test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Conduct {
+enum Behavior {
     /// Endpoint and requests are answered.
-    Well,
+    Healthy,
     /// Nothing is answered.
     Silent,
     /// The endpoint answers and reports that the server is healthy; requests are not
@@ -36,18 +36,18 @@
     /// Requests are answered; the endpoint does not.
     OnlyTraffic,
     /// Both are answered, but the endpoint reports that the server is unhealthy.
-    CallsItselfIll,
+    ReportsUnhealthy,
     /// Both are answered, and the endpoint reports that the server drains.
     Drains,
 }
 
-struct Bench {
+struct HealthBench {
     table: HealthTable,
     configuration: InForceConfiguration,
     shards: SortedVector<ShardId, ShardView>,
     now: Timestamp,
-    conduct: Vec<Conduct>,
-    questions: Vec<usize>,
+    behaviors: Vec<Behavior>,
+    probes: Vec<usize>,
     /// When each server last answered a request or had none waiting.
     answered: Vec<Timestamp>,
     changes: Vec<HealthChange>,
@@ -88,13 +88,13 @@
         limits,
         backends: (0..servers)
             .map(server)
-            .map(|held| (held.id, held))
+            .map(|entry| (entry.id, entry))
             .collect(),
         ..InForceConfiguration::default()
     }
 }
 
-impl Bench {
+impl HealthBench {
     fn new(servers: u16) -> Self {
         let view = ShardView {
             home: Some(HostId::from_name("bud-csepel-1")),
@@ -109,8 +109,8 @@
             configuration: configuration(servers),
             shards: [(shard, view)].into_iter().collect(),
             now: START,
-            conduct: vec![Conduct::Well; usize::from(servers)],
-            questions: vec![0; usize::from(servers)],
+            behaviors: vec![Behavior::Healthy; usize::from(servers)],
+            probes: vec![0; usize::from(servers)],
             answered: vec![START; usize::from(servers)],
             changes: Vec::new(),
             ejections: Vec::new(),
@@ -118,7 +118,7 @@
     }
 
     fn position(&self, backend: BackendId) -> usize {
-        let positions = 0..self.conduct.len();
+        let positions = 0..self.behaviors.len();
         positions
             .into_iter()
             .find(|index| server(*index as u16).id == backend)
@@ -129,29 +129,31 @@
         self.now = self.now.after(STEP);
         self.table
             .follow(self.now, &self.configuration, &self.shards);
-        for question in self.table.due_questions(self.now, &self.configuration) {
-            let position = self.position(question.backend);
-            self.questions[position] += 1;
-            let result = match self.conduct[position] {
-                Conduct::Well | Conduct::OnlyEndpoint => Ok(WELL),
-                Conduct::Silent | Conduct::OnlyTraffic => Err(LoadFailure),
-                Conduct::CallsItselfIll => Ok(LoadReport {
+        for probe in self.table.due_questions(self.now, &self.configuration) {
+            let position = self.position(probe.backend);
+            self.probes[position] += 1;
+            let result = match self.behaviors[position] {
+                Behavior::Healthy | Behavior::OnlyEndpoint => Ok(HEALTHY),
+                Behavior::Silent | Behavior::OnlyTraffic => Err(LoadFailure),
+                Behavior::ReportsUnhealthy => Ok(LoadReport {
                     healthy: false,
-                    ..WELL
+                    ..HEALTHY
                 }),
-                Conduct::Drains => Ok(LoadReport {
+                Behavior::Drains => Ok(LoadReport {
                     draining: true,
-                    ..WELL
+                    ..HEALTHY
                 }),
             };
-            self.table.take_load(self.now, question.backend, result);
+            self.table.take_load(self.now, probe.backend, result);
         }
-        let observations: Vec<BackendObservation> = (0..self.conduct.len())
+        let observations: Vec<BackendObservation> = (0..self.behaviors.len())
             .map(|index| self.observed(index))
             .collect();
         self.table.take_observations(self.now, &observations);
         let changes = self.table.review(self.now, &self.configuration);
-        let ejected = changes.iter().any(|held| held.turn == HealthTurn::Ejected);
+        let ejected = changes
+            .iter()
+            .any(|change| change.turn == HealthTurn::Ejected);
         self.ejections.extend(ejected.then_some(self.now));
         self.changes.extend(changes);
     }
@@ -159,8 +161,8 @@
     fn observed(&mut self, index: usize) -> BackendObservation {
         // An ejected server gets no more requests that it could leave unanswered.
         let out = self.ejected().contains(&index);
-        let conduct = self.conduct[index];
-        let answers = !matches!(conduct, Conduct::Silent | Conduct::OnlyEndpoint);
+        let behavior = self.behaviors[index];
+        let answers = !matches!(behavior, Behavior::Silent | Behavior::OnlyEndpoint);
         if answers || out {
             self.answered[index] = self.now;
         }
@@ -192,7 +194,10 @@
     }
 
     fn turns(&self, turn: HealthTurn) -> usize {
-        self.changes.iter().filter(|held| held.turn == turn).count()
+        self.changes
+            .iter()
+            .filter(|change| change.turn == turn)
+            .count()
     }
 }
 
@@ -201,13 +206,13 @@
 /// slowly.
 #[test]
 fn a_silent_server_among_answering_ones_is_ejected_and_returns_slowly() {
-    let mut bench = Bench::new(4);
+    let mut bench = HealthBench::new(4);
     bench.pass(5);
     assert_eq!(bench.ejected(), Vec::<usize>::new());
-    bench.conduct[1] = Conduct::Silent;
+    bench.behaviors[1] = Behavior::Silent;
     bench.pass(5);
     assert_eq!(bench.ejected(), [1]);
-    bench.conduct[1] = Conduct::Well;
+    bench.behaviors[1] = Behavior::Healthy;
     let mut percents = Vec::new();
     for _ in 0..60 {
         bench.pass(1);
@@ -226,13 +231,13 @@
 /// server looks dead. None may be ejected: there would be no server to use when the network
 /// is back.
 #[test]
-fn a_cut_ejects_nobody() {
-    let mut bench = Bench::new(4);
+fn a_network_cut_ejects_no_server() {
+    let mut bench = HealthBench::new(4);
     bench.pass(5);
-    bench.conduct = vec![Conduct::Silent; 4];
+    bench.behaviors = vec![Behavior::Silent; 4];
     bench.pass(60);
     assert_eq!(bench.ejected(), Vec::<usize>::new());
-    bench.conduct = vec![Conduct::Well; 4];
+    bench.behaviors = vec![Behavior::Healthy; 4];
     bench.pass(5);
     assert_eq!(bench.turns(HealthTurn::Ejected), 0);
 }
@@ -241,10 +246,10 @@
 /// would get every new flow and fail, too.
 #[test]
 fn at_most_half_of_the_servers_are_ejected() {
-    let mut bench = Bench::new(4);
+    let mut bench = HealthBench::new(4);
     bench.pass(5);
     for index in 0..3 {
-        bench.conduct[index] = Conduct::Silent;
+        bench.behaviors[index] = Behavior::Silent;
         bench.pass(10);
         assert!(bench.ejected().len() <= 2, "{:?}", bench.ejected());
     }
@@ -254,9 +259,9 @@
 /// The only server of a service in a domain fails. Ejecting it would help no caller.
 #[test]
 fn the_last_server_is_never_ejected() {
-    let mut bench = Bench::new(1);
+    let mut bench = HealthBench::new(1);
     bench.pass(5);
-    bench.conduct[0] = Conduct::Silent;
+    bench.behaviors[0] = Behavior::Silent;
     bench.pass(30);
     assert_eq!(bench.ejected(), Vec::<usize>::new());
 }
@@ -264,10 +269,10 @@
 /// A load endpoint fails, or reports its server as unhealthy, while the server answers
 /// every request. What the home observes itself takes precedence.
 #[test]
-fn a_server_that_answers_requests_is_well_whatever_its_endpoint_says() {
-    let mut bench = Bench::new(4);
-    bench.conduct[0] = Conduct::OnlyTraffic;
-    bench.conduct[1] = Conduct::CallsItselfIll;
+fn a_server_that_answers_requests_is_healthy_whatever_its_endpoint_reports() {
+    let mut bench = HealthBench::new(4);
+    bench.behaviors[0] = Behavior::OnlyTraffic;
+    bench.behaviors[1] = Behavior::ReportsUnhealthy;
     bench.pass(30);
     assert_eq!(bench.ejected(), Vec::<usize>::new());
 }
@@ -276,11 +281,11 @@
 /// It must be ejected. The answers of its endpoint end the ejection for a trial, but less
 /// and less often, so that it does not flap.
 #[test]
-fn a_server_whose_endpoint_misleads_is_tried_ever_more_rarely() {
-    let mut bench = Bench::new(4);
+fn a_server_whose_endpoint_misleads_is_tried_less_and_less_often() {
+    let mut bench = HealthBench::new(4);
     bench.pass(5);
-    bench.conduct[2] = Conduct::OnlyEndpoint;
-    let before = bench.questions.clone();
+    bench.behaviors[2] = Behavior::OnlyEndpoint;
+    let before = bench.probes.clone();
     bench.pass(130);
     let times = &bench.ejections;
     assert!((3..=8).contains(&times.len()), "{times:?}");
@@ -294,23 +299,28 @@
         "{:?}",
         bench.changes
     );
-    let asked = |index: usize| bench.questions[index] - before[index];
-    assert!(asked(2) * 4 < asked(1) * 3, "{} of {}", asked(2), asked(1));
+    let probes = |index: usize| bench.probes[index] - before[index];
+    assert!(
+        probes(2) * 4 < probes(1) * 3,
+        "{} of {}",
+        probes(2),
+        probes(1)
+    );
 }
 
 /// An operator drains a server at the server itself. Its endpoint reports so, and it must
 /// get no new flow within three seconds. It then exits, and its silence must not count as
 /// the end of the draining.
 #[test]
-fn a_server_that_says_it_drains_gets_no_new_flow() {
-    let mut bench = Bench::new(2);
+fn a_server_that_reports_draining_gets_no_new_flow() {
+    let mut bench = HealthBench::new(2);
     bench.pass(5);
-    bench.conduct[0] = Conduct::Drains;
-    let told = bench.now;
+    bench.behaviors[0] = Behavior::Drains;
+    let drained_at = bench.now;
     while bench.turns(HealthTurn::Draining) == 0 {
         bench.step();
     }
-    assert!(bench.now.since(told) < time::Duration::from_secs(3));
+    assert!(bench.now.since(drained_at) < time::Duration::from_secs(3));
     assert!(
         bench
             .table
@@ -319,7 +329,7 @@
             .unwrap()
             .draining
     );
-    bench.conduct[0] = Conduct::Silent;
+    bench.behaviors[0] = Behavior::Silent;
     bench.pass(20);
     assert!(
         bench
@@ -336,7 +346,7 @@
 /// were there before, and servers that a host finds when it starts itself, must not.
 #[test]
 fn a_server_that_joins_starts_slowly() {
-    let mut bench = Bench::new(3);
+    let mut bench = HealthBench::new(3);
     let cold_host = InForceConfiguration::default();
     bench
         .table
@@ -348,8 +358,8 @@
         .table
         .note_configuration(bench.now, &bench.configuration, &next);
     bench.configuration = next;
-    bench.conduct.push(Conduct::Well);
-    bench.questions.push(0);
+    bench.behaviors.push(Behavior::Healthy);
+    bench.probes.push(0);
     bench.answered.push(bench.now);
     bench.pass(1);
     assert_eq!(bench.warm_percent(0), 100);
@@ -362,11 +372,11 @@
 /// times as other homes; a host that loses the lease stops. If all hosts probed, each
 /// server would get three thousand probes a second.
 #[test]
-fn only_the_home_asks_and_about_once_a_second() {
-    let mut bench = Bench::new(6);
+fn only_the_home_probes_about_once_a_second() {
+    let mut bench = HealthBench::new(6);
     bench.pass(60);
-    for asked in &bench.questions {
-        assert!((50..=70).contains(asked), "{:?}", bench.questions);
+    for count in &bench.probes {
+        assert!((50..=70).contains(count), "{:?}", bench.probes);
     }
     let shard = server(0).shard(1);
     let elsewhere = ShardView {
@@ -375,7 +385,7 @@
     };
     bench.shards.insert(shard, elsewhere);
     bench.pass(1);
-    let before = bench.questions.clone();
+    let before = bench.probes.clone();
     bench.pass(10);
-    assert_eq!(bench.questions, before);
+    assert_eq!(bench.probes, before);
 }
