--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
@@ -1,14 +1,15 @@
-//! Where a host learns from: the store, or another host of its failure domain.
+//! Chooses the source that a host learns from: the store, or another host of its failure
+//! domain.
 //!
-//! Every host orders the hosts of its domain alike. The first few read the store;
-//! each other one asks a host before it, which answers as soon as it has heard of
-//! something newer. Nobody is appointed and nothing is agreed: hosts that know
-//! different hosts only ask more of the store than need be. What keeps every host
-//! right is the age of what it knows, which is told along. Where that grows, a
-//! host asks another one, and reads the store itself.
+//! All hosts sort the hosts of a domain in the same order. The first few read the store.
+//! Every other host queries one that precedes it, which answers as soon as it has something
+//! newer. There is no election and no agreement: hosts that know different hosts only make
+//! more calls to the store than necessary. Correctness depends on the age of the data,
+//! which every answer includes. When the data gets too old, a host queries another host and
+//! reads the store itself.
 //!
-//! Without this the calls to the store grow with the number of hosts, and each
-//! host receives every listing and every change over its own link.
+//! Otherwise the calls to the store would grow with the number of hosts, and each host
+//! would receive every listing and every change over its own link.
 
 use std::fmt;
 use std::net;
@@ -16,45 +17,46 @@
 
 use cardamomwinch_state::prelude::Timestamp;
 
-use crate::forwarding::beliefs::peer_book::{self, PeerBook};
+use crate::forwarding::beliefs::peer_list::{self, PeerList};
 use crate::forwarding::beliefs::peer_word::PeerWord;
 
-/// A domain has one reader for so many hosts, so that the loss of one concerns few.
+/// A domain has one reader per this many hosts, so that the loss of a reader affects few of
+/// them.
 const HOSTS_PER_READER: usize = 8;
-/// More readers than this add calls and nothing else.
-const READER_LIMIT: usize = 2;
-/// How many hosts ask the same one. Each question in a quiet second takes half a
-/// kilobyte both ways; a host may use two kilobytes a second.
+/// The most readers of a domain. More of them only add calls to the store.
+const MAX_READERS: usize = 2;
+/// How many hosts query the same host. While nothing changes, each query takes half a
+/// kilobyte per second in both directions; a host may use two kilobytes per second.
 const FAN_OUT: usize = 4;
-/// For so long after a useless answer a host asks another one than it would. A
-/// host that the store turns away stays in reach, and would be asked in vain.
-const DETOUR: time::Duration = time::Duration::from_secs(15);
-/// From this rank on hosts may not know all hosts before them, so that many seem
-/// to have the same rank. They spread over the hosts behind [`INNER_RANKS`].
+/// How long a host uses another source after a useless answer. A host that the store
+/// refuses is still reachable, and would otherwise be queried in vain.
+const FALLBACK_DURATION: time::Duration = time::Duration::from_secs(15);
+/// From this rank on hosts may not know all hosts that precede them, so that many compute
+/// the same rank. They spread their queries over the hosts after [`INNER_RANKS`].
 const SPREAD_RANK: usize = 48;
-/// Hosts of lower rank are asked by others by their rank.
+/// Hosts below this rank are sources of hosts chosen by rank.
 const INNER_RANKS: usize = SPREAD_RANK / FAN_OUT;
-/// So many useless answers in a row, and the host reads the store meanwhile.
-const MISS_LIMIT: usize = 2;
-/// What a source tells must not be older. Readers hear of the store at least
-/// every two seconds.
-const LATEST_WORD: time::Duration = time::Duration::from_millis(2_400);
-/// A source that found the store silent so lately knows nothing of what happens.
-const SILENCE_MEMORY: time::Duration = time::Duration::from_secs(1);
-/// What a host knows must not get older than this before it reads the store
-/// itself, and up to [`STALENESS_SPREAD`] more, so that not all hosts of a domain
-/// that lost their source go to the store at once.
-const STALENESS: time::Duration = time::Duration::from_millis(2_600);
-/// See [`STALENESS`].
-const STALENESS_SPREAD: time::Duration = time::Duration::from_millis(600);
+/// After this many useless answers in a row the host reads the store.
+const MAX_USELESS_ANSWERS: usize = 2;
+/// The maximum age of the data of a useful answer. Readers have contact with the store at
+/// least every two seconds.
+const MAX_ANSWER_AGE: time::Duration = time::Duration::from_millis(2_400);
+/// A source whose call to the store failed more recently than this has no current data.
+const STORE_FAILURE_WINDOW: time::Duration = time::Duration::from_secs(1);
+/// At this age of its data a host reads the store itself, plus up to [`MAX_DATA_AGE_SPREAD`],
+/// so that not all hosts of a domain that lost their source call the store at the same
+/// time.
+const MAX_DATA_AGE: time::Duration = time::Duration::from_millis(2_600);
+/// See [`MAX_DATA_AGE`].
+const MAX_DATA_AGE_SPREAD: time::Duration = time::Duration::from_millis(600);
 
-/// Where a host learns from.
+/// The source that a host learns from.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum ReadSource {
-    /// From the store itself.
+    /// The store.
     #[default]
     Store,
-    /// From this host.
+    /// The host at this address.
     Host(net::SocketAddr),
 }
 
@@ -72,28 +74,28 @@
 pub struct SourceChoice {
     order_number: u64,
     /// Useless answers in a row.
-    misses: usize,
-    /// How many hosts further than its first one the host asks, and until when.
-    detour: usize,
-    detour_until: Timestamp,
+    useless_answers: usize,
+    /// How many hosts after its first choice the host queries, until `fallback_until`.
+    fallback_steps: usize,
+    fallback_until: Timestamp,
 }
 
 impl SourceChoice {
-    /// Begins for the host that others ask at `own`.
+    /// Creates the choice of the host at address `own`.
     pub const fn new(own: net::SocketAddr) -> Self {
         Self {
-            order_number: peer_book::order_number(own),
-            misses: 0,
-            detour: 0,
-            detour_until: Timestamp::ZERO,
+            order_number: peer_list::order_number(own),
+            useless_answers: 0,
+            fallback_steps: 0,
+            fallback_until: Timestamp::ZERO,
         }
     }
 
-    /// The host to ask; `None` for a reader.
-    pub fn host_to_ask(&self, peers: &PeerBook, now: Timestamp) -> Option<net::SocketAddr> {
+    /// The host to query; `None` for a reader.
+    pub fn host_to_query(&self, peers: &PeerList, now: Timestamp) -> Option<net::SocketAddr> {
         let predecessors = peers.predecessors();
         let hosts = peers.own_domain_count();
-        let readers = hosts.div_ceil(HOSTS_PER_READER).clamp(1, READER_LIMIT);
+        let readers = hosts.div_ceil(HOSTS_PER_READER).clamp(1, MAX_READERS);
         let rank = predecessors.len();
         if rank < readers {
             return None;
@@ -103,51 +105,51 @@
         } else {
             (rank - readers) / FAN_OUT
         };
-        let detour = if now < self.detour_until {
-            self.detour
+        let steps = if now < self.fallback_until {
+            self.fallback_steps
         } else {
             0
         };
-        Some(predecessors[(first + detour) % rank])
+        Some(predecessors[(first + steps) % rank])
     }
 
-    /// The host that is told what this one has seen of servers: the one that it asks, and
-    /// among readers another one, which the others do not all learn from.
-    pub fn host_to_report_to(&self, peers: &PeerBook, now: Timestamp) -> Option<net::SocketAddr> {
-        let source = self.host_to_ask(peers, now);
+    /// The host to send reports about servers to: the one that this host queries. A reader
+    /// sends them to another reader, because not all hosts learn from the same one.
+    pub fn host_to_report_to(&self, peers: &PeerList, now: Timestamp) -> Option<net::SocketAddr> {
+        let source = self.host_to_query(peers, now);
         source.or_else(|| match peers.predecessors().first() {
             Some(first) => Some(*first),
             None => peers.successor(),
         })
     }
 
-    /// Whether the host reads the store itself although it has someone to ask.
-    pub fn distrusts_hosts(&self, age: time::Duration) -> bool {
-        self.misses >= MISS_LIMIT || age >= self.staleness()
+    /// Whether the host reads the store itself although it has a source.
+    pub fn must_read_store(&self, age: time::Duration) -> bool {
+        self.useless_answers >= MAX_USELESS_ANSWERS || age >= self.max_data_age()
     }
 
-    /// The age from which on what the host knows is not relied on.
-    fn staleness(&self) -> time::Duration {
-        STALENESS + STALENESS_SPREAD * (self.order_number % 16) as u32 / 16
+    /// The age at which the host no longer relies on its data.
+    fn max_data_age(&self) -> time::Duration {
+        MAX_DATA_AGE + MAX_DATA_AGE_SPREAD * (self.order_number % 16) as u32 / 16
     }
 
-    /// Notes what the host that was asked has told, if anything. Returns whether
-    /// it was of use.
-    pub fn note_word(&mut self, now: Timestamp, word: Option<&PeerWord>) -> bool {
-        let is_useful = word.is_some_and(|word| {
-            let silent = word.store_silent_for;
-            word.age <= LATEST_WORD && silent.is_none_or(|ago| ago >= SILENCE_MEMORY)
+    /// Records the answer of the source, if any. Returns whether it was useful.
+    pub fn note_answer(&mut self, now: Timestamp, answer: Option<&PeerWord>) -> bool {
+        let is_useful = answer.is_some_and(|answer| {
+            let store_failed_ago = answer.store_failed_ago;
+            answer.age <= MAX_ANSWER_AGE
+                && store_failed_ago.is_none_or(|ago| ago >= STORE_FAILURE_WINDOW)
         });
         if is_useful {
-            self.misses = 0;
+            self.useless_answers = 0;
         } else {
-            self.misses += 1;
-            self.detour = if now < self.detour_until {
-                self.detour + 1
+            self.useless_answers += 1;
+            self.fallback_steps = if now < self.fallback_until {
+                self.fallback_steps + 1
             } else {
                 1
             };
-            self.detour_until = now.after(DETOUR);
+            self.fallback_until = now.after(FALLBACK_DURATION);
         }
         is_useful
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
@@ -1,7 +1,7 @@
-//! The list of all servers as it is told to a host that knows nothing, in parts.
+//! The list of all servers as it is sent, in parts, to a host without data.
 //!
 //! A host passes on the parts that it has while it waits for the next ones, so that the
-//! time until all know everything hardly grows with the number of hosts in between.
+//! number of hosts in between adds little to the time until all have the list.
 
 use std::time;
 
@@ -11,17 +11,16 @@
 use crate::forwarding::beliefs::store_call::StoreRevision;
 use crate::forwarding::directory::ServerRecord;
 
-/// Servers that are told at a time: some 25 kilobytes, a fiftieth of a second on a link of
-/// 10 Mbit/s.
+/// The most servers in a part: some 25 kilobytes, which take 20 ms on a link of 10 Mbit/s.
 pub const PART_LIMIT: usize = 512;
-/// A list that is older than this is not told to further hosts, which would take themselves
-/// for up to date too late.
-const LIST_LIFETIME: time::Duration = time::Duration::from_secs(1);
+/// A list older than this is not sent to further hosts, because their data would be too old
+/// on arrival.
+const MAX_LIST_AGE: time::Duration = time::Duration::from_secs(1);
 
-/// For so long a list is kept for those that have a part of it.
-const KEPT_LIFETIME: time::Duration = time::Duration::from_secs(10);
+/// How long a list is kept for hosts that have received a part of it.
+const LIST_RETENTION: time::Duration = time::Duration::from_secs(10);
 
-/// Names a list. Hosts that pass parts on tell the same list in the same order.
+/// Identifies a list. Hosts that pass parts on keep the order of the list.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ListId(u64);
 
@@ -37,91 +36,93 @@
     }
 }
 
-/// A place in a list.
+/// A position in a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListPosition {
     /// The list.
     pub list: ListId,
-    /// The revision of the store up to which it is told.
+    /// The revision of the store that the list reflects.
     pub revision: StoreRevision,
-    /// How many servers stand before.
+    /// Number of servers before this position.
     pub servers: usize,
 }
 
 /// A part of a list.
 #[derive(Debug, Clone)]
 pub struct ListPart {
-    /// Where it begins.
+    /// Its position in the list.
     pub begin: ListPosition,
     /// Its servers.
     pub servers: Vec<ServerRecord>,
     /// Whether no servers follow.
     pub is_last: bool,
-    /// When the list was right.
-    pub heard_at: Timestamp,
+    /// The time as of which the list was current.
+    pub as_of: Timestamp,
 }
 
-/// A list, as far as this host has it.
+/// A list of all servers, or the first parts of one that is being received.
 #[derive(Debug, Default)]
-pub struct StartList {
+pub struct ServerList {
     id: ListId,
     revision: StoreRevision,
     servers: Vec<ServerRecord>,
-    is_whole: bool,
-    heard_at: Timestamp,
+    is_complete: bool,
+    as_of: Timestamp,
 }
 
-impl StartList {
-    /// The whole list of `servers`, which was right at `heard_at` up to `revision`. Lists of
-    /// other hosts and other moments have other names: `host` is the number of this one.
+impl ServerList {
+    /// Creates the complete list of `servers`, which was current at `as_of` up to
+    /// `revision`. Its identifier is a hash of these and of `host`, the order number of
+    /// this host, so that other lists have other identifiers.
     pub fn of_servers(
         host: u64,
         revision: StoreRevision,
         servers: Vec<ServerRecord>,
-        heard_at: Timestamp,
+        as_of: Timestamp,
     ) -> Self {
-        let moment = flow::mix(heard_at.get() ^ flow::mix(revision.get()));
+        let time_hash = flow::mix(as_of.get() ^ flow::mix(revision.get()));
         Self {
-            id: ListId::new(flow::mix(host ^ moment)),
+            id: ListId::new(flow::mix(host ^ time_hash)),
             revision,
             servers,
-            is_whole: true,
-            heard_at,
+            is_complete: true,
+            as_of,
         }
     }
 
-    /// Whether further hosts are told this list, where `revision` is known by now.
-    pub fn may_begin(&self, revision: StoreRevision, now: Timestamp) -> bool {
-        let is_young = now.since(self.heard_at) < LIST_LIFETIME;
-        self.is_whole && is_young && self.revision.era() == revision.era()
+    /// Whether this list may be sent to further hosts, if `revision` is known now.
+    pub fn may_be_sent(&self, revision: StoreRevision, now: Timestamp) -> bool {
+        let is_recent = now.since(self.as_of) < MAX_LIST_AGE;
+        self.is_complete && is_recent && self.revision.era() == revision.era()
     }
 
-    /// Whether nobody is being told this list any more.
-    pub fn is_outdated(&self, now: Timestamp) -> bool {
-        self.is_whole && now.since(self.heard_at) >= KEPT_LIFETIME
+    /// Whether the list is too old for any host to be still receiving it.
+    pub fn is_expired(&self, now: Timestamp) -> bool {
+        self.is_complete && now.since(self.as_of) >= LIST_RETENTION
     }
 
-    /// Whether `from` is a place in this list.
+    /// Whether `from` is a position in this list.
     pub fn holds(&self, from: ListPosition) -> bool {
         from.list == self.id && from.servers <= self.servers.len()
     }
 
-    /// Behind what the next part is to be told; `None` where nothing or everything was.
-    pub fn end(&self) -> Option<ListPosition> {
-        (!self.servers.is_empty() && !self.is_whole).then_some(ListPosition {
+    /// The position of the next part to receive; `None` if no part or all parts have
+    /// arrived.
+    pub fn next_position(&self) -> Option<ListPosition> {
+        (!self.servers.is_empty() && !self.is_complete).then_some(ListPosition {
             list: self.id,
             revision: self.revision,
             servers: self.servers.len(),
         })
     }
 
-    /// The part for a host that has the list up to `from`, or nothing of any. `None` where
-    /// this host has nothing further. A part has `limit` servers at most.
+    /// The part for a host that has received the list up to `from`, or nothing. `None` if
+    /// this host has no further servers. A part has at most `limit` servers.
     pub fn part_after(&self, from: Option<ListPosition>, limit: usize) -> Option<ListPart> {
         let known = from.filter(|from| self.holds(*from));
         let first = known.map_or(0, |from| from.servers);
         let last = self.servers.len().min(first + limit);
-        let is_last = self.is_whole && last == self.servers.len();
+        let is_last = self.is_complete && last == self.servers.len();
         (last > first || is_last).then(|| ListPart {
             begin: ListPosition {
                 list: self.id,
@@ -130,30 +131,30 @@
             },
             servers: self.servers[first..last].to_vec(),
             is_last,
-            heard_at: self.heard_at,
+            as_of: self.as_of,
         })
     }
 
-    /// Adds a part that this host was told. Returns whether it belongs behind what it has.
-    pub fn take(&mut self, part: ListPart) -> bool {
+    /// Adds a received part. Returns whether it follows the parts received before.
+    pub fn append(&mut self, part: ListPart) -> bool {
         if part.begin.servers == 0 {
             *self = Self {
                 id: part.begin.list,
                 revision: part.begin.revision,
                 servers: Vec::new(),
-                is_whole: false,
-                heard_at: part.heard_at,
+                is_complete: false,
+                as_of: part.as_of,
             };
         }
         if part.begin.list != self.id || part.begin.servers != self.servers.len() {
             return false;
         }
         self.servers.extend(part.servers);
-        self.is_whole = part.is_last;
+        self.is_complete = part.is_last;
         true
     }
 
-    /// All servers that it has.
+    /// The servers received so far.
     pub fn servers(&self) -> &[ServerRecord] {
         &self.servers
     }
--- a/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
@@ -1,4 +1,4 @@
-//! What a host believes, and whom it asks.
+//! What a host learns from the store and from peers, and which peers it queries.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -71,9 +71,9 @@
 fn started_of(domain_name: &str, number: u8) -> BeliefEngine {
     let mut engine = engine_of(domain_name, number);
     let call = engine.next_store_call(at(0));
-    let is_named = number <= 3;
+    let is_seed = number <= 3;
     let lists = call == StoreCall::List { after: None };
-    assert_eq!(lists, is_named, "others are asked first: {call:?}");
+    assert_eq!(lists, is_seed, "others are queried first: {call:?}");
     let items = vec![
         routes(1),
         server_entry(1, 5, false),
@@ -106,10 +106,10 @@
     ));
 }
 
-/// The settings let a watch wait for twenty seconds. Hosts that learn from this one
-/// would take it for dead and all read the store.
+/// Guards against a watch as long as the settings allow, here 20 seconds. Hosts that learn
+/// from this one would take it for dead and all read the store.
 #[test]
-fn a_watch_waits_no_longer_than_others_rely_on_it() {
+fn a_watch_waits_no_longer_than_hosts_rely_on_its_data() {
     let settings = BeliefSettings {
         domain: domain("near"),
         regions: DomainRegions::default(),
@@ -127,8 +127,8 @@
     assert!(wait <= millis(2_000));
 }
 
-/// The history that a watch needs is gone. Without reading everything again, the
-/// host would never learn what changed in the gap.
+/// The store no longer has the history that a watch needs. Unless it lists everything
+/// again, the host never learns of the changes in the gap.
 #[test]
 fn a_host_lists_again_where_the_history_is_gone() {
     let mut engine = started(1);
@@ -148,8 +148,8 @@
     assert_eq!(phase(&engine, 2), Some(ServerPhase::Active));
 }
 
-/// The store refuses. Calls in a tight loop would cost as much as good ones, and
-/// hosts that lost it together must not come back together.
+/// The store refuses all calls. Calls in a tight loop would cost as much as successful
+/// ones, and hosts that lost the store at the same time must not retry at the same time.
 #[test]
 fn failures_are_followed_by_growing_pauses() {
     let mut engine = started(1);
@@ -165,13 +165,13 @@
     assert!(pauses[0] < pauses[2] && pauses[2] < pauses[4]);
     assert!(pauses[5] <= millis(750));
     let lost = engine.take_changes();
-    assert_eq!(lost, [BeliefChange::StoreLost], "told once");
+    assert_eq!(lost, [BeliefChange::StoreLost], "logged once");
 }
 
-/// While the store was down, entries lapsed though their servers live. Listed
-/// again, the host finds none; without the grace it would refuse every caller.
+/// Entries of running servers expired during an outage of the store, so the next listing
+/// has none of them. Without a grace period the host would refuse every caller.
 #[test]
-fn servers_whose_entries_lapsed_stay_usable_for_a_moment() {
+fn servers_whose_entries_expired_stay_usable_for_a_grace_period() {
     let mut engine = started(1);
     engine.handle_store(at(100), StoreOutcome::Failed);
     engine.handle_store(at(150), StoreOutcome::Paused);
@@ -183,7 +183,7 @@
     ));
     assert!(
         !engine.view().is_complete(at(5_000)),
-        "what is missing says nothing"
+        "missing entries are unknown"
     );
     engine.handle_store(at(6_000), changes(vec![server_entry(1, 31, false)], 31));
     engine.tick(at(8_000));
@@ -191,8 +191,8 @@
     assert!(matches!(phase(&engine, 2), Some(ServerPhase::Left { .. })));
 }
 
-/// A server that said it would leave is taken off the list. It must not get new
-/// flows for another moment, as one whose entry lapsed would.
+/// A draining server is removed from the store. It must not get new flows during the grace
+/// period of servers whose entry expired.
 #[test]
 fn a_server_that_drained_has_left_at_once() {
     let mut engine = started(1);
@@ -206,13 +206,13 @@
     assert!(matches!(phase(&engine, 1), Some(ServerPhase::Left { .. })));
 }
 
-/// This host is cut off from the store and its server begins to leave. A peer
-/// that still reads the store knows, and its word must count.
+/// A host is cut off from the store, and a server begins to drain. The host must apply the
+/// answer of a peer that still reads the store.
 #[test]
-fn a_host_without_the_store_believes_its_peer() {
+fn a_host_without_the_store_applies_the_data_of_a_peer() {
     let mut cut = started(1);
     let mut peer = started_of("far", 2);
-    let first = ask(&mut peer, &mut cut, 50);
+    let first = query_peer(&mut peer, &mut cut, 50);
     cut.handle_peer(at(50), host_address(2), Some(first));
     assert_eq!(cut.next_peer(at(60)), None, "the store answers");
     peer.handle_store(
@@ -220,38 +220,38 @@
         changes(vec![routes(2), server_entry(1, 11, true)], 11),
     );
     cut.handle_store(at(100), StoreOutcome::Failed);
-    let word = ask(&mut peer, &mut cut, 200);
-    assert_eq!(word.servers.len(), 1, "only what changed is told");
-    cut.handle_peer(at(200), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut cut, 200);
+    assert_eq!(answer.servers.len(), 1, "only what changed is sent");
+    cut.handle_peer(at(200), host_address(2), Some(answer));
     assert_eq!(phase(&cut, 1), Some(ServerPhase::Draining));
     assert_eq!(cut.view().routes.version(), ConfigurationVersion::new(2));
     assert_eq!(cut.revision(), revision(11));
 }
 
-/// Lets `host` ask `peer`.
-fn ask(
+/// Returns the answer of `peer` to a query of `host`.
+fn query_peer(
     peer: &mut BeliefEngine,
     host: &mut BeliefEngine,
     moment: u64,
 ) -> cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerWord {
-    let (_, question) = host.next_peer(at(moment)).expect("a peer is needed");
-    peer.answer_peer(at(moment), &question)
+    let (_, query) = host.next_peer(at(moment)).expect("a peer is needed");
+    peer.answer_peer(at(moment), &query)
 }
 
-/// A peer that itself lags must not turn the clock back.
+/// An answer of a peer with older data must not undo newer changes.
 #[test]
-fn an_older_word_changes_nothing() {
+fn an_older_answer_changes_nothing() {
     let mut host = started(1);
     let mut peer = started(2);
     host.handle_store(at(10), changes(vec![server_entry(1, 11, true)], 11));
-    let word = ask(&mut peer, &mut host, 20);
-    host.handle_peer(at(20), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 20);
+    host.handle_peer(at(20), host_address(2), Some(answer));
     assert_eq!(phase(&host, 1), Some(ServerPhase::Draining));
     assert_eq!(host.revision(), revision(11));
 }
 
-/// A host starts after a server has left with flows still on it. Only its peers
-/// can tell it where the packets of these flows belong.
+/// A host starts after a server was removed with flows still on it. Only peers can tell the
+/// host where the packets of these flows belong.
 #[test]
 fn a_host_that_starts_learns_of_servers_that_have_left() {
     let mut peer = started(2);
@@ -265,8 +265,8 @@
         at(1_000),
         page(vec![routes(1), server_entry(2, 6, false)], 11),
     );
-    let word = ask(&mut peer, &mut host, 1_010);
-    host.handle_peer(at(1_010), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 1_010);
+    host.handle_peer(at(1_010), host_address(2), Some(answer));
     assert!(matches!(phase(&host, 1), Some(ServerPhase::Left { .. })));
     assert_eq!(phase(&host, 2), Some(ServerPhase::Active));
 }
@@ -276,19 +276,19 @@
     hosts.iter().any(|one| one.address == host_address(number))
 }
 
-/// Peers die and are replaced. One that stays silent is forgotten, or its turn
-/// would be wasted for ever; those that the settings name are kept.
+/// Peers fail and are replaced. A peer that stays silent must be forgotten, because each
+/// query to it is wasted; seeds of the settings are kept.
 #[test]
 fn silent_peers_are_forgotten() {
     let mut host = started(1);
-    let word = {
+    let answer = {
         let mut peer = started(2);
         let mut other = started(9);
-        let (_, question) = other.next_peer(at(0)).unwrap();
-        peer.answer_peer(at(0), &question);
-        ask(&mut peer, &mut host, 0)
+        let (_, query) = other.next_peer(at(0)).unwrap();
+        peer.answer_peer(at(0), &query);
+        query_peer(&mut peer, &mut host, 0)
     };
-    host.handle_peer(at(0), host_address(2), Some(word));
+    host.handle_peer(at(0), host_address(2), Some(answer));
     assert!(knows(&host, 9));
     for _ in 0..3 {
         host.handle_peer(at(1), host_address(9), None);
@@ -298,10 +298,10 @@
     assert!(knows(&host, 3));
 }
 
-/// A host reads the store's list page by page, and a peer tells it meanwhile of a
-/// server that came after the first page, and of one that began to leave. The list
-/// is older than that. Taken as it stands, it made the new server vanish, whose
-/// flows were then ended, and sent new flows to the one that leaves.
+/// While a host lists the store page by page, a peer sends it a server that was added after
+/// the first page, and one that began to drain. The listing is older than both. Applied
+/// without comparing revisions, it made the new server vanish, so its flows were ended, and
+/// sent new flows to the draining one.
 #[test]
 fn a_listing_does_not_undo_what_came_after_its_first_page() {
     let mut peer = started_of("far", 2);
@@ -314,8 +314,8 @@
         next: Some("servers/1".to_owned()),
     };
     host.handle_store(at(20), first_page);
-    let word = ask(&mut peer, &mut host, 25);
-    host.handle_peer(at(25), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 25);
+    host.handle_peer(at(25), host_address(2), Some(answer));
     assert_eq!(phase(&host, 3), Some(ServerPhase::Active));
     host.handle_store(at(30), page(vec![server_entry(2, 6, false)], 12));
     assert_eq!(phase(&host, 3), Some(ServerPhase::Active));
@@ -337,98 +337,101 @@
     peer
 }
 
-/// Hundreds of hosts start at the same time and ask the few that the settings name.
-/// If each were told thousands of servers at once, links and memory of those few would
-/// fill up. Four are told, and pass it on; the others are told whom to ask.
+/// Hundreds of hosts start at the same time and query the few seeds. Sending thousands of
+/// servers to all of them at once would saturate the links and memory of the seeds. Four
+/// hosts receive the list and pass it on; the others are redirected to them.
 #[test]
-fn few_hosts_that_start_are_told_everything_at_a_time() {
+fn few_starting_hosts_receive_the_full_list_at_a_time() {
     let mut peer = host_of_many(2_000);
-    let mut told = Vec::new();
+    let mut receives = Vec::new();
     for number in 10..30 {
         let mut host = engine(number);
-        let word = ask(&mut peer, &mut host, 10);
-        host.handle_peer(at(10), host_address(2), Some(word.clone()));
-        let is_told = word.list.is_some();
-        assert!(is_told || (word.servers.is_empty() && word.routes.is_none()));
-        assert_eq!(word.ask_instead.is_some(), !is_told);
-        if is_told {
-            assert_eq!(ask_on(&mut peer, &mut host, 10), word.servers.len());
+        let answer = query_peer(&mut peer, &mut host, 10);
+        host.handle_peer(at(10), host_address(2), Some(answer.clone()));
+        let receives_list = answer.list.is_some();
+        assert!(receives_list || (answer.servers.is_empty() && answer.routes.is_none()));
+        assert_eq!(answer.query_instead.is_some(), !receives_list);
+        if receives_list {
+            assert_eq!(
+                query_remaining_parts(&mut peer, &mut host, 10),
+                answer.servers.len()
+            );
         }
-        assert_eq!(host.view().is_usable(), is_told);
-        if let Some(other) = word.ask_instead {
-            let (asked, _) = host.next_peer(at(40)).unwrap();
-            assert_eq!(asked, other, "one that was told");
-            assert!((10..14).map(host_address).any(|told| told == other));
+        assert_eq!(host.view().is_usable(), receives_list);
+        if let Some(other) = answer.query_instead {
+            let (queried, _) = host.next_peer(at(40)).unwrap();
+            assert_eq!(queried, other, "one that receives the list");
+            assert!((10..14).map(host_address).any(|receiver| receiver == other));
         }
-        told.push(is_told);
+        receives.push(receives_list);
     }
-    assert_eq!(told.iter().filter(|all| **all).count(), 4);
-    assert!(told[..4].iter().all(|all| *all));
+    assert_eq!(receives.iter().filter(|all| **all).count(), 4);
+    assert!(receives[..4].iter().all(|all| *all));
     let mut later = engine(30);
-    assert!(ask(&mut peer, &mut later, 300).list.is_some());
+    assert!(query_peer(&mut peer, &mut later, 300).list.is_some());
 }
 
-/// Has `host` ask `peer` for all further parts of the list of 2,000 servers, and returns
-/// how many the first one held.
-fn ask_on(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> usize {
+/// Has `host` query `peer` for all further parts of the list of 2,000 servers, and returns
+/// how many servers the first part held.
+fn query_remaining_parts(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> usize {
     let mut others = 0;
     while !host.view().is_usable() && others < 2_000 {
-        let word = ask(peer, host, moment);
-        others += word.servers.len();
-        host.handle_peer(at(moment), host_address(2), Some(word));
+        let answer = query_peer(peer, host, moment);
+        others += answer.servers.len();
+        host.handle_peer(at(moment), host_address(2), Some(answer));
     }
     2_000 - others
 }
 
-/// Four hosts ask one that is starting, too, and are answered in vain. A moment later it
-/// knows everything, and the next one that asks must get it, instead of being sent to those
-/// that know nothing.
+/// Four hosts query a peer that is starting, too, and has no data. Shortly after, it has
+/// the full list. The next host that queries it must receive the list, instead of being
+/// redirected to the four, which have no data.
 #[test]
-fn answers_of_a_host_that_knows_nothing_count_for_nothing() {
+fn answers_of_a_host_without_data_occupy_no_transfer_slot() {
     let mut peer = engine(2);
     for number in 10..14 {
         let mut host = engine(number);
-        let word = ask(&mut peer, &mut host, 0);
-        assert!(!word.all_servers && word.ask_instead.is_none());
+        let answer = query_peer(&mut peer, &mut host, 0);
+        assert!(!answer.all_servers && answer.query_instead.is_none());
     }
     peer.handle_store(at(10), page(vec![routes(1), server_entry(1, 5, false)], 10));
     let mut host = engine(14);
-    assert!(ask(&mut peer, &mut host, 20).all_servers);
+    assert!(query_peer(&mut peer, &mut host, 20).all_servers);
 }
 
-/// A host was cut off for so long that its source can tell no difference any more, and
-/// must tell everything, which it has just told four others. The host asks the one that is
-/// named instead; it went on asking its source without a pause.
+/// A host was cut off for so long that its source cannot send a difference and must send
+/// the full list, which four others are receiving. The host must query the one that it is
+/// redirected to; it used to query its source again and again without a pause.
 #[test]
-fn a_host_that_is_referred_asks_elsewhere() {
+fn a_redirected_host_queries_another_host() {
     let mut peer = host_of_many(20);
     for number in 10..14 {
         let mut other = engine(number);
-        assert!(ask(&mut peer, &mut other, 10).all_servers);
+        assert!(query_peer(&mut peer, &mut other, 10).all_servers);
     }
     let mut host = started(9);
-    let (asked, question) = host.next_peer(at(10)).unwrap();
-    let mut word = peer.answer_peer(at(10), &question);
+    let (queried, query) = host.next_peer(at(10)).unwrap();
+    let mut answer = peer.answer_peer(at(10), &query);
     let elsewhere = host_address(12);
-    word.revision = StoreRevision::ZERO;
-    word.ask_instead = Some(elsewhere);
-    host.handle_peer(at(10), asked, Some(word));
+    answer.revision = StoreRevision::ZERO;
+    answer.query_instead = Some(elsewhere);
+    host.handle_peer(at(10), queried, Some(answer));
     assert_eq!(host.next_peer(at(11)).unwrap().0, elsewhere);
     assert_ne!(
-        host.next_peer(at(12)).map(|(asked, _)| asked),
+        host.next_peer(at(12)).map(|(queried, _)| queried),
         Some(elsewhere)
     );
 }
 
-/// A host is told everything by another one while it reads the store's list. What it
-/// has read of that is older, and the rest is not needed.
+/// A host receives the full list from a peer while it lists the store. The pages that it
+/// has read are older, and the rest is not needed.
 #[test]
-fn a_host_that_was_told_everything_stops_listing() {
+fn a_host_that_received_the_full_list_stops_listing() {
     let mut peer = started_of("far", 2);
     let mut host = engine(9);
     host.next_store_call(at(0));
-    let word = ask(&mut peer, &mut host, 5);
-    host.handle_peer(at(5), host_address(2), Some(word));
+    let answer = query_peer(&mut peer, &mut host, 5);
+    host.handle_peer(at(5), host_address(2), Some(answer));
     assert!(host.view().is_usable());
     let call = host.next_store_call(at(10));
     assert!(matches!(call, StoreCall::Pause(_)), "{call:?}");
@@ -437,22 +440,22 @@
     assert!(matches!(call, StoreCall::Watch { after: from, .. } if from == after));
 }
 
-/// Like above, but the store does not answer. Then nobody else can tell.
+/// Like the test above, but calls to the store fail, so only a peer can send the list.
 #[test]
-fn a_host_that_starts_without_the_store_is_told_all() {
+fn a_host_that_starts_without_the_store_receives_the_full_list() {
     let mut peer = host_of_many(2_000);
     let mut host = engine(1);
     host.handle_store(at(5), StoreOutcome::Failed);
-    ask_on(&mut peer, &mut host, 10);
+    query_remaining_parts(&mut peer, &mut host, 10);
     assert!(host.view().is_usable());
     assert_eq!(host.view().directory.len(), 2_000);
 }
 
-/// The store is away for two and a half seconds, which no call of this host notices,
-/// and entries of servers that live lapse meanwhile. Their flows were ended where
-/// they rested, on half of all servers at once.
+/// The store has an outage of two and a half seconds that no call of this host notices, and
+/// the entries of running servers expire. Idle flows were ended on half of all servers at
+/// once.
 #[test]
-fn entries_that_vanish_together_are_taken_for_an_outage() {
+fn entries_that_vanish_together_count_as_an_outage() {
     let mut engine = engine(1);
     let servers = (1..=8).map(|number| server_entry(number, number, false));
     engine.handle_store(at(0), page(servers.chain([routes(1)]).collect(), 10));
@@ -463,15 +466,15 @@
     };
     engine.handle_store(at(2_500), changes((1..=4).map(removed).collect(), 14));
     assert!(!engine.view().is_complete(at(2_600)));
-    let told = engine.take_changes();
-    let noted = BeliefChange::ManyVanished { servers: 4 };
-    assert!(told.contains(&noted), "{told:?}");
+    let changed = engine.take_changes();
+    let outage = BeliefChange::ManyVanished { servers: 4 };
+    assert!(changed.contains(&outage), "{changed:?}");
     assert!(engine.view().is_complete(at(6_000)), "it does not last");
 }
 
-/// Two of eight servers lose power. What rests on them is to be ended at once.
+/// Two of eight servers lose power. Their idle flows must be ended at once.
 #[test]
-fn few_entries_that_vanish_say_that_their_servers_have_gone() {
+fn few_vanished_entries_mean_that_their_servers_are_dead() {
     let mut engine = engine(1);
     let servers = (1..=8).map(|number| server_entry(number, number, false));
     engine.handle_store(at(0), page(servers.chain([routes(1)]).collect(), 10));
@@ -483,27 +486,28 @@
     assert!(engine.view().is_complete(at(2_600)));
 }
 
-/// A peer dies and comes back. An engineer who looks for the cause of late changes must
-/// find when, and one line each, however often it is asked.
+/// A peer fails and comes back. The log must show both times, with one line each, however
+/// often the peer is queried: engineers need them to explain late changes.
 #[test]
-fn a_peer_is_told_as_lost_and_regained_once() {
+fn a_peer_is_logged_as_lost_and_regained_once() {
     let mut host = started(1);
     let peer = host_address(2);
     host.handle_peer(at(10), peer, None);
     host.handle_peer(at(20), peer, None);
     assert_eq!(host.take_changes(), [BeliefChange::PeerLost { peer }]);
     let mut other = started(2);
-    let (_, question) = other.next_peer(at(30)).unwrap();
-    host.answer_peer(at(30), &question);
+    let (_, query) = other.next_peer(at(30)).unwrap();
+    host.answer_peer(at(30), &query);
     assert_eq!(host.take_changes(), [BeliefChange::PeerRegained { peer }]);
-    host.answer_peer(at(40), &question);
+    host.answer_peer(at(40), &query);
     assert_eq!(host.take_changes(), []);
 }
 
-/// All servers of a service in the own domain leave, and later one comes. Callers are
-/// served elsewhere meanwhile, later than usual; the log must say from when to when.
+/// All servers of a service in the own domain leave, and later one joins. Other domains
+/// serve the callers meanwhile, with more delay; the log must show when this began and
+/// ended.
 #[test]
-fn a_domain_without_servers_is_told_as_lost_and_regained() {
+fn a_domain_without_servers_is_logged_as_lost_and_regained() {
     let mut host = started(1);
     let desk = service("desk");
     host.handle_store(at(10), changes(vec![server_entry(1, 11, true)], 11));
@@ -516,29 +520,29 @@
     assert!(host.take_changes().contains(&regained));
 }
 
-/// A host whose link is full asks another one, and the answer is on its way for a second
-/// and a half. Taken for word of the moment in which it arrived, it would say that a server
-/// which started meanwhile does not exist, and flows on that would be reset.
+/// A host with a saturated link queries a peer, and the answer takes a second and a half to
+/// arrive. Dated by its arrival, the answer would claim that a server which started
+/// meanwhile does not exist, and flows on that server would be reset.
 #[test]
-fn what_a_peer_says_is_as_old_as_its_way_was_long() {
+fn the_age_of_a_peer_answer_includes_its_transit_time() {
     let mut host = started(1);
     let mut peer = started(2);
     peer.handle_store(at(1_000), changes(vec![server_entry(2, 11, true)], 12));
-    let (address, question) = host.next_peer(at(1_000)).unwrap();
-    let mut word = peer.answer_peer(at(1_010), &question);
-    word.waited = millis(5);
-    host.handle_peer(at(2_500), address, Some(word));
-    let heard_at = host.heard_at();
+    let (address, query) = host.next_peer(at(1_000)).unwrap();
+    let mut answer = peer.answer_peer(at(1_010), &query);
+    answer.waited = millis(5);
+    host.handle_peer(at(2_500), address, Some(answer));
+    let heard_at = host.as_of();
     assert!(heard_at > at(900) && heard_at <= at(1_010), "{heard_at}");
 }
 
-/// The same with a long answer of the store.
+/// Like the test above, with long answers of the store.
 #[test]
-fn what_the_store_says_is_as_old_as_its_way_was_long() {
+fn the_age_of_a_store_answer_includes_its_transit_time() {
     let mut host = started(1);
     let changed = changes(vec![server_entry(2, 11, true)], 12);
     host.handle_store_answer(at(3_000), at(1_500), changed);
-    assert_eq!(host.heard_at(), at(1_500));
+    assert_eq!(host.as_of(), at(1_500));
     let page = |next: Option<&str>| StoreOutcome::Page {
         items: Vec::new(),
         revision: revision(20),
@@ -547,9 +551,5 @@
     host.handle_store(at(3_100), StoreOutcome::HistoryGone);
     host.handle_store_answer(at(4_000), at(3_900), page(Some("servers/i-01")));
     host.handle_store_answer(at(5_000), at(4_900), page(None));
-    assert_eq!(
-        host.heard_at(),
-        at(3_900),
-        "the first page is the oldest word"
-    );
+    assert_eq!(host.as_of(), at(3_900), "the first page is the oldest data");
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
@@ -1,4 +1,4 @@
-//! What hosts believe after the store has come back from a copy of itself.
+//! What hosts know after the store was restored from a backup.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -22,14 +22,15 @@
     server_entry_at(number, revision(era, written), draining)
 }
 
-fn begun(name: &str, era: u64, written: u64) -> StoreChange {
+fn evacuation_begun(name: &str, era: u64, written: u64) -> StoreChange {
     StoreChange::EvacuationBegun {
         domain: domain(name),
         revision: revision(era, written),
     }
 }
 
-/// A page with a route and `more`, read at `number` of `era`; `next` where more follow.
+/// A page with a route and `more`, read at `number` of `era`; `next` is the key of the next
+/// page.
 fn page(more: Vec<StoreChange>, era: u64, number: u64, next: Option<&str>) -> StoreOutcome {
     let routes = document(1, vec![(service_address(), route(true))]);
     let mut items = vec![StoreChange::Routes(routes)];
@@ -59,7 +60,7 @@
     engine
 }
 
-/// The store is back from a copy of revision 24: all that the host knew is asked anew.
+/// Restores the store from a backup of revision 24; the host lists everything again.
 fn restored(engine: &mut BeliefEngine, moment: u64, items: Vec<StoreChange>) {
     engine.handle_store(at(moment), StoreOutcome::HistoryGone);
     let call = engine.next_store_call(at(moment));
@@ -77,15 +78,16 @@
     view.directory.evacuations().is_evacuated(domain(name))
 }
 
-/// What `teller` answers `asker` now.
-fn ask(teller: &mut BeliefEngine, asker: &mut BeliefEngine, moment: u64) -> PeerWord {
-    let (_, question) = asker.next_peer(at(moment)).unwrap();
-    teller.answer_peer(at(moment), &question)
+/// The answer of `peer` to a query of `host`.
+fn query_peer(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> PeerWord {
+    let (_, query) = host.next_peer(at(moment)).unwrap();
+    peer.answer_peer(at(moment), &query)
 }
 
-/// New flows on a leaving server: its change had a number that followers had passed.
+/// Guards against new flows on a draining server. After the restore its change has a number
+/// that other hosts already know from the earlier era, so they would ignore it.
 #[test]
-fn a_change_reaches_all_hosts_although_its_number_was_given_out_before() {
+fn a_change_reaches_all_hosts_although_its_number_was_assigned_before() {
     let mut fleet = Fleet::settled(25);
     for _ in 0..3 {
         fleet.write(2, false);
@@ -97,7 +99,8 @@
     assert!(time <= 500, "{time} ms");
 }
 
-/// New flows on a leaving server: the store restored twice, with hosts still catching up.
+/// Guards against new flows on a draining server after the store was restored twice while
+/// hosts were still catching up.
 #[test]
 fn a_change_reaches_all_hosts_after_two_restores_in_a_row() {
     let mut fleet = Fleet::settled(25);
@@ -114,13 +117,13 @@
     assert!(time <= 2_500, "{time} ms");
 }
 
-/// A store that is back meets every host of a large domain with a listing of all.
+/// Guards against all hosts of a large domain listing a restored store.
 #[test]
 fn a_restored_store_is_read_by_few_hosts() {
     let mut fleet = Fleet::settled(100);
     fleet.write(2, false);
     fleet.run_until(SETTLED + 1_000);
-    fleet.count_anew();
+    fleet.reset_counters();
     fleet.restore(1);
     fleet.run_until(SETTLED + 6_000);
     println!("{} calls, {} listings", fleet.calls, fleet.listings);
@@ -128,19 +131,19 @@
     assert!(fleet.calls <= 200, "{} calls", fleet.calls);
 }
 
-/// A store that was away for seconds is back, and all hosts of a large domain ask it for
-/// everything: 26,000 servers are fifty calls for each.
+/// Guards against all hosts of a large domain listing the store after an outage of several
+/// seconds: with 26,000 servers that is fifty calls per host.
 #[test]
-fn hosts_that_all_went_to_a_store_leave_its_listing_to_few() {
+fn few_hosts_list_a_store_after_an_outage() {
     let mut fleet = Fleet::settled(100);
     fleet.write(2, false);
     fleet.run_until(SETTLED + 1_000);
     for host in &mut fleet.hosts {
-        host.condition = Condition::TurnedAway;
+        host.condition = Condition::Refused;
     }
     fleet.run_until(SETTLED + 4_500);
     fleet.restore(1);
-    fleet.count_anew();
+    fleet.reset_counters();
     for host in &mut fleet.hosts {
         host.condition = Condition::Running;
     }
@@ -154,8 +157,8 @@
     assert!(fleet.listings <= 20, "{} listings", fleet.listings);
 }
 
-/// Hosts that believe different things for good: restores, writes and hosts that the store
-/// turns away, in any order, and then what servers write again.
+/// Guards against hosts whose data differs permanently after restores, writes and refused
+/// hosts in any order. In the end all servers write their entries again.
 #[yare::parameterized(
     first = { 11 },
     second = { 12 },
@@ -164,11 +167,11 @@
     fifth = { 15 },
     sixth = { 16 },
 )]
-fn all_hosts_agree_with_a_store_that_was_restored_again_and_again(seed: u64) {
+fn all_hosts_agree_with_a_store_that_was_restored_repeatedly(seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut fleet = Fleet::settled(12);
-    // What servers say of themselves: none takes it back that it leaves.
-    let mut leaves = [false; 8];
+    // Whether each server drains. A draining server stays so.
+    let mut drains = [false; 8];
     for _ in 0..40 {
         match random.random_range(0..6) {
             0 => fleet.restore(random.random_range(0..4)),
@@ -176,14 +179,14 @@
                 let index = random.random_range(0..fleet.hosts.len());
                 let host = &mut fleet.hosts[index];
                 host.condition = match host.condition {
-                    Condition::Running => Condition::TurnedAway,
+                    Condition::Running => Condition::Refused,
                     _ => Condition::Running,
                 };
             }
             _ => {
-                let number = random.random_range(0..leaves.len());
-                leaves[number] |= random.random_bool(0.2);
-                fleet.write(1 + number as u64, leaves[number]);
+                let number = random.random_range(0..drains.len());
+                drains[number] |= random.random_bool(0.2);
+                fleet.write(1 + number as u64, drains[number]);
             }
         }
         fleet.run_until(fleet.now + random.random_range(1..60) * 10);
@@ -191,11 +194,11 @@
     for host in &mut fleet.hosts {
         host.condition = Condition::Running;
     }
-    for (number, leaves) in (1..).zip(leaves) {
-        fleet.write(number, leaves);
+    for (number, drains) in (1..).zip(drains) {
+        fleet.write(number, drains);
     }
     fleet.run_until(fleet.now + 5_000);
-    let expected = leaves.map(|leaves| match leaves {
+    let expected = drains.map(|drains| match drains {
         true => Some(ServerPhase::Draining),
         false => Some(ServerPhase::Active),
     });
@@ -205,24 +208,26 @@
     }
 }
 
-/// New flows on a leaving server: its entry had a higher number in the era before.
+/// Guards against new flows on a draining server whose entry had a higher number in the
+/// earlier era.
 #[test]
-fn what_a_later_era_says_is_later_whatever_its_number() {
+fn entries_of_a_later_era_are_later_whatever_their_numbers() {
     let mut engine = started(1, vec![entry(1, 1, 25, false)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
-    let leaves = watched(vec![entry(1, 2, 25, true)], 2, 25);
+    let drains = watched(vec![entry(1, 2, 25, true)], 2, 25);
     engine.next_store_call(at(110));
-    engine.handle_store(at(200), leaves);
+    engine.handle_store(at(200), drains);
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(engine.revision(), revision(2, 25));
-    let told = engine.take_changes();
-    let is_told = |change: &BeliefChange| matches!(change, BeliefChange::StoreRestored { .. });
-    assert_eq!(told.iter().filter(|one| is_told(one)).count(), 1);
+    let changed = engine.take_changes();
+    let is_restored = |change: &BeliefChange| matches!(change, BeliefChange::StoreRestored { .. });
+    assert_eq!(changed.iter().filter(|one| is_restored(one)).count(), 1);
 }
 
-/// New flows on a leaving server: the store has passed the number that is watched from.
+/// Guards against new flows on a draining server. The restored store has already passed the
+/// number that the watch starts from, so the watch misses changes.
 #[test]
-fn changes_of_another_era_than_was_asked_are_listed_instead() {
+fn changes_of_another_era_than_the_watch_cause_a_listing() {
     let mut engine = started(1, Vec::new());
     engine.handle_store(at(100), watched(vec![entry(2, 2, 27, false)], 2, 27));
     let call = engine.next_store_call(at(110));
@@ -232,18 +237,19 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
 }
 
-/// Changes that nobody read: a peer had told of the new era while the watch was on its way.
+/// Guards against missed changes if a peer sends data of the new era while a watch of the
+/// earlier era is open.
 #[test]
-fn a_watch_that_began_in_the_era_before_proves_nothing_of_this_one() {
-    let mut teller = started(1, Vec::new());
+fn changes_of_a_watch_from_an_earlier_era_are_not_applied() {
+    let mut peer = started(1, Vec::new());
     restored(
-        &mut teller,
+        &mut peer,
         50,
         vec![entry(1, 2, 5, false), entry(2, 2, 6, false)],
     );
     let mut engine = started(2, Vec::new());
-    let word = ask(&mut teller, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(word));
+    let answer = query_peer(&mut peer, &mut engine, 60);
+    engine.handle_peer(at(61), host_address(1), Some(answer));
     assert_eq!(engine.revision(), revision(2, 24));
     engine.handle_store(at(100), watched(vec![entry(2, 2, 28, false)], 2, 28));
     assert_eq!(engine.revision(), revision(2, 24));
@@ -251,9 +257,10 @@
     assert_eq!(call, StoreCall::List { after: None });
 }
 
-/// Servers of two moments in one list: the store was restored between two pages.
+/// Guards against a list with servers of two eras, because the store was restored between
+/// two pages.
 #[test]
-fn pages_of_two_eras_are_not_put_together() {
+fn pages_of_two_eras_are_not_combined() {
     let mut engine = belief_engine(1);
     let first = page(vec![entry(1, 1, 5, false)], 1, 26, Some("servers/1"));
     engine.handle_store(at(0), first);
@@ -263,40 +270,41 @@
     assert_eq!(call, StoreCall::List { after: None });
 }
 
-/// A leaving server taken for ready again: an answer of before came after the restore.
+/// Guards against a draining server that counts as active again, because an answer from
+/// before the restore arrives after it.
 #[test]
-fn what_the_store_said_before_its_restore_changes_nothing_after_it() {
-    let mut teller = started(1, Vec::new());
+fn answers_from_before_a_restore_change_nothing_after_it() {
+    let mut peer = started(1, Vec::new());
     restored(
-        &mut teller,
+        &mut peer,
         50,
         vec![entry(1, 2, 5, true), entry(2, 2, 6, false)],
     );
     let mut engine = started(2, Vec::new());
-    let word = ask(&mut teller, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(word));
-    let heard_at = engine.heard_at();
+    let answer = query_peer(&mut peer, &mut engine, 60);
+    engine.handle_peer(at(61), host_address(1), Some(answer));
+    let heard_at = engine.as_of();
     engine.handle_store(at(900), watched(vec![entry(1, 1, 27, false)], 1, 27));
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(
-        (engine.revision(), engine.heard_at()),
+        (engine.revision(), engine.as_of()),
         (revision(2, 24), heard_at)
     );
 }
 
-/// New flows on a server that has gone: it came and went in what the store lost, and the
-/// host that is asked has never known it.
+/// Guards against new flows on a server that is gone. It was added and removed in changes
+/// that the store lost, and the queried host has never known it.
 #[test]
-fn a_server_that_only_the_asker_knew_is_not_kept_after_a_restore() {
-    let mut teller = started(1, Vec::new());
+fn a_server_that_only_the_querying_host_knew_is_not_kept_after_a_restore() {
+    let mut peer = started(1, Vec::new());
     restored(
-        &mut teller,
+        &mut peer,
         50,
         vec![entry(1, 2, 5, false), entry(2, 2, 6, false)],
     );
     let mut engine = started(2, vec![entry(3, 1, 26, false)]);
-    let word = ask(&mut teller, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(word));
+    let answer = query_peer(&mut peer, &mut engine, 60);
+    engine.handle_peer(at(61), host_address(1), Some(answer));
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
     assert!(matches!(
         phase(&engine, 3),
@@ -304,9 +312,9 @@
     ));
 }
 
-/// New flows on a leaving server: the copy is older than its word that it leaves.
+/// Guards against new flows on a draining server, if the backup is older than its draining.
 #[test]
-fn an_old_copy_takes_back_no_word_of_a_server_that_it_leaves() {
+fn an_old_backup_does_not_undo_the_draining_of_a_server() {
     let mut engine = started(1, vec![entry(1, 1, 26, true)]);
     restored(
         &mut engine,
@@ -316,8 +324,8 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(phase(&engine, 2), Some(ServerPhase::Active));
     let mut follower = started(2, Vec::new());
-    let word = ask(&mut engine, &mut follower, 110);
-    follower.handle_peer(at(111), host_address(1), Some(word));
+    let answer = query_peer(&mut engine, &mut follower, 110);
+    follower.handle_peer(at(111), host_address(1), Some(answer));
     assert_eq!(phase(&follower, 1), Some(ServerPhase::Draining));
     let again = page(
         vec![entry(1, 2, 5, false), entry(2, 2, 6, false)],
@@ -330,9 +338,10 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
 }
 
-/// A server without flows for good: the process that left is not the one that is listed.
+/// Guards against a server that never gets flows again: the process that was draining is
+/// not the one that is listed.
 #[test]
-fn a_server_that_started_again_takes_flows_after_a_restore() {
+fn a_restarted_server_accepts_flows_after_a_restore() {
     let started_entry = |era, written, draining, start| {
         let StoreChange::Server(mut one) = entry(1, era, written, draining) else {
             panic!("an entry is a server's");
@@ -343,18 +352,19 @@
     let mut engine = started(1, vec![started_entry(1, 26, true, 7_000)]);
     restored(&mut engine, 100, vec![started_entry(2, 24, false, 9_000)]);
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
-    // What it writes itself in this era is its last word.
+    // The entry that the server writes in this era replaces the earlier one.
     let mut engine = started(1, vec![started_entry(1, 26, true, 7_000)]);
     restored(&mut engine, 100, vec![started_entry(2, 5, false, 7_000)]);
     engine.next_store_call(at(110));
-    let word = watched(vec![started_entry(2, 25, false, 7_000)], 2, 25);
-    engine.handle_store(at(200), word);
+    let watched_change = watched(vec![started_entry(2, 25, false, 7_000)], 2, 25);
+    engine.handle_store(at(200), watched_change);
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
 }
 
-/// Open flows ended on servers that live: the copy lacks those that came after it.
+/// Guards against ending flows on running servers that the backup lacks, because they were
+/// added after it was made.
 #[test]
-fn what_a_copy_lacks_says_nothing_until_it_is_written_again() {
+fn entries_missing_in_a_backup_are_unknown_until_written_again() {
     let mut engine = started(1, Vec::new());
     restored(&mut engine, 100, vec![entry(2, 2, 6, false)]);
     assert!(matches!(
@@ -364,15 +374,16 @@
     assert!(!engine.view().is_complete(at(2_000)));
 }
 
-/// New flows in an evacuated domain: the copy is older than the order of the operators.
+/// Guards against new flows in an evacuated domain, if the backup is older than the
+/// evacuation.
 #[test]
-fn an_evacuation_that_a_copy_lacks_counts_until_it_could_be_written_again() {
-    let mut engine = started(1, vec![begun("far", 1, 26)]);
+fn an_evacuation_missing_in_a_backup_counts_until_it_could_be_written_again() {
+    let mut engine = started(1, vec![evacuation_begun("far", 1, 26)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
     assert!(is_evacuated(&engine, "far"));
     let mut follower = started(2, Vec::new());
-    let word = ask(&mut engine, &mut follower, 110);
-    follower.handle_peer(at(111), host_address(1), Some(word));
+    let answer = query_peer(&mut engine, &mut follower, 110);
+    follower.handle_peer(at(111), host_address(1), Some(answer));
     assert!(is_evacuated(&follower, "far"));
     for host in [&mut engine, &mut follower] {
         host.tick(at(2_600));
@@ -382,10 +393,11 @@
     }
 }
 
-/// New flows in an evacuated domain: a second listing soon after the restore lacks it, too.
+/// Guards against new flows in an evacuated domain, if a second listing soon after the
+/// restore lacks the evacuation, too.
 #[test]
 fn a_second_listing_ends_no_evacuation_that_could_still_be_written_again() {
-    let mut engine = started(1, vec![begun("far", 1, 26)]);
+    let mut engine = started(1, vec![evacuation_begun("far", 1, 26)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
     engine.handle_store(at(900), StoreOutcome::HistoryGone);
     let again = page(vec![entry(1, 2, 5, false)], 2, 25, None);
@@ -395,13 +407,17 @@
     assert!(!is_evacuated(&engine, "far"));
 }
 
-/// New flows in an evacuated domain: what was written again must not end with the grace.
+/// Guards against new flows in an evacuated domain: an evacuation that was written again
+/// must not end with the grace period.
 #[test]
-fn an_evacuation_that_is_written_again_lasts() {
-    let mut engine = started(1, vec![begun("far", 1, 26)]);
+fn an_evacuation_that_is_written_again_stays_active() {
+    let mut engine = started(1, vec![evacuation_begun("far", 1, 26)]);
     restored(&mut engine, 100, vec![entry(1, 2, 5, false)]);
     engine.next_store_call(at(110));
-    engine.handle_store(at(1_500), watched(vec![begun("far", 2, 25)], 2, 25));
+    engine.handle_store(
+        at(1_500),
+        watched(vec![evacuation_begun("far", 2, 25)], 2, 25),
+    );
     engine.tick(at(9_000));
     assert!(is_evacuated(&engine, "far"));
 }
@@ -421,6 +437,6 @@
     no_number = { "2." },
     words = { "one.two" },
 )]
-fn texts_that_are_no_revision_are_refused(text: &str) {
+fn invalid_revisions_are_refused(text: &str) {
     assert!(text.parse::<StoreRevision>().is_err());
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
@@ -1,5 +1,5 @@
-//! Hosts and a store in steps of simulated time: hosts fail, are cut off, stand still,
-//! start again, or are turned away by the store.
+//! Hosts and a store in steps of simulated time: hosts fail, are cut off, start again, or
+//! are refused by the store.
 
 use std::net;
 
@@ -7,7 +7,7 @@
 use cardamomwinch_coordination::forwarding::beliefs::store_call::{
     StoreCall, StoreChange, StoreEra, StoreOutcome, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::beliefs::waiting_questions::WaitingQuestions;
+use cardamomwinch_coordination::forwarding::beliefs::waiting_queries::WaitingQueries;
 use cardamomwinch_coordination::forwarding::beliefs::{BeliefEngine, BeliefSettings};
 use cardamomwinch_coordination::forwarding::directory::ServerPhase;
 use cardamomwinch_coordination::forwarding::regions::DomainRegions;
@@ -18,23 +18,23 @@
 pub const STEP: u64 = 10;
 /// How long the store lets a watch wait, in milliseconds.
 pub const WATCH: u64 = 2_000;
-/// How long a host that knows nothing waits for a connection, in milliseconds.
+/// How long a host without data waits for a connection, in milliseconds.
 const START_CONNECT: u64 = 15;
-/// How often a host passes reports on at most, in milliseconds.
+/// The least time between two messages of a host with reports, in milliseconds.
 const REPORT_PAUSE: u64 = 100;
-/// When the hosts have found each other.
+/// The time at which all hosts have found their sources, in milliseconds.
 pub const SETTLED: u64 = 15_000;
 
-/// What became of a host.
+/// The condition of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     Running,
-    /// Gone: connections to it break.
+    /// It does not run: connections to it break.
     Dead,
-    /// Neither reached nor able to reach anybody; nothing breaks.
+    /// It reaches nothing and cannot be reached, but no connection breaks.
     Cut,
     /// The store refuses it; peers reach it.
-    TurnedAway,
+    Refused,
 }
 
 pub struct PendingCall {
@@ -43,23 +43,23 @@
     pub until: u64,
 }
 
-pub struct PendingQuestion {
+pub struct PendingQuery {
     pub host: usize,
     pub limit: u64,
 }
 
 pub struct SimulatedHost {
     pub engine: BeliefEngine,
-    pub waiting: WaitingQuestions<usize>,
+    pub waiting: WaitingQueries<usize>,
     pub condition: Condition,
     pub call: Option<PendingCall>,
-    pub question: Option<PendingQuestion>,
-    pub ask_at: u64,
-    /// When it may tell reports again.
-    pub tell_at: u64,
-    /// When its process is to start, where it has not yet.
+    pub query: Option<PendingQuery>,
+    pub query_at: u64,
+    /// When it may send reports again.
+    pub report_at: u64,
+    /// When its process starts, if it has not started yet.
     pub starts_at: Option<u64>,
-    /// Until then its link is full with parts of the list.
+    /// Until when its link is busy with parts of the list.
     pub sends_until: u64,
 }
 
@@ -68,39 +68,39 @@
     pub hosts: Vec<SimulatedHost>,
     pub now: u64,
     pub revision: u64,
-    /// How often the store came back from a copy.
+    /// The era of the store.
     pub era: u64,
-    /// Revision and state of the servers: draining or not.
+    /// The changes: revision, number of the server, and whether it drains.
     pub log: Vec<(u64, u64, bool)>,
     pub calls: usize,
-    /// Calls that list everything.
+    /// Calls that begin a listing.
     pub listings: usize,
-    pub questions: Vec<usize>,
-    /// How often each host was told reports, and how many it told.
+    pub queries: Vec<usize>,
+    /// How many messages with reports each host received, and how many reports it sent.
     pub tellings: Vec<usize>,
-    pub reports_told: Vec<usize>,
-    /// How often each host told another one everything.
-    pub told_all: Vec<usize>,
+    pub reports_sent: Vec<usize>,
+    /// How many full lists each host sent.
+    pub full_lists_sent: Vec<usize>,
     pub domains: usize,
     pub weight: DirectoryWeight,
-    /// The store no longer tells changes up to this revision.
+    /// The store no longer has the changes up to this revision.
     pub history_begins: u64,
-    /// Until then watches hear nothing, in milliseconds.
+    /// Until when watches return nothing, in milliseconds.
     pub watches_silent_until: u64,
-    /// Parts of the list that are on their way.
-    sent: Vec<SentWord>,
+    /// Parts of the list that have not arrived yet.
+    sent: Vec<SentAnswer>,
 }
 
-/// What it takes to hand on all servers, in milliseconds.
+/// What it takes to send all servers, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct DirectoryWeight {
-    /// Pages of the store's list.
+    /// Number of pages of the store's listing.
     pub pages: u64,
-    /// What a page takes on the link of its reader.
+    /// How long a page takes on the link of its reader.
     pub page_time: u64,
-    /// Parts in which hosts tell the list. Each is one server here.
+    /// Number of parts in which hosts send the list. Each part holds one server here.
     pub parts: u64,
-    /// What a part takes on the link of its sender.
+    /// How long a part takes on the link of its sender.
     pub part_time: u64,
 }
 
@@ -112,8 +112,8 @@
         part_time: 0,
     };
 
-    /// So many servers, where a page holds 500 of them at 500 bytes each, a part as many as
-    /// hosts tell at a time at `wire_bytes` each, and links have 20 Mbit/s.
+    /// The weight of `servers`: a page holds 500 of them at 500 bytes each, a part holds
+    /// [`start_list::PART_LIMIT`] at `wire_bytes` each, and links have 20 Mbit/s.
     pub const fn of_servers(servers: u64, wire_bytes: u64) -> Self {
         const BYTES_PER_MS: u64 = 2_500;
         let part = start_list::PART_LIMIT as u64;
@@ -126,12 +126,12 @@
     }
 }
 
-/// A word on its way.
-struct SentWord {
+/// An answer that has not arrived yet.
+struct SentAnswer {
     arrives_at: u64,
-    teller: usize,
-    asker: usize,
-    word: PeerWord,
+    sender: usize,
+    receiver: usize,
+    answer: PeerWord,
 }
 
 pub fn address(index: usize) -> net::SocketAddr {
@@ -152,7 +152,7 @@
         Self::of_domains(count, 1)
     }
 
-    /// Hosts that stand in `domains` by turns, and all start now.
+    /// Creates hosts that are spread evenly over `domains`, and all start now.
     pub fn of_domains(count: usize, domains: usize) -> Self {
         Self {
             hosts: (0..count).map(|index| new_host(index, domains)).collect(),
@@ -162,10 +162,10 @@
             log: vec![(9, 1, false), (10, 2, false)],
             calls: 0,
             listings: 0,
-            questions: vec![0; count],
+            queries: vec![0; count],
             tellings: vec![0; count],
-            reports_told: vec![0; count],
-            told_all: vec![0; count],
+            reports_sent: vec![0; count],
+            full_lists_sent: vec![0; count],
             domains,
             weight: DirectoryWeight::NONE,
             history_begins: 0,
@@ -187,20 +187,17 @@
         fleet
     }
 
-    /// The process of a host starts anew and knows nothing. Questions to the one before it
-    /// break off.
+    /// Restarts the process of a host, which then has no data. Queries to the earlier
+    /// process break off.
     pub fn restart(&mut self, index: usize) {
         self.hosts[index] = new_host(index, self.domains);
-        let questions = self
-            .hosts
-            .iter_mut()
-            .filter_map(|host| host.question.as_mut());
-        for question in questions.filter(|question| question.host == index) {
-            question.limit = self.now;
+        let queries = self.hosts.iter_mut().filter_map(|host| host.query.as_mut());
+        for query in queries.filter(|query| query.host == index) {
+            query.limit = self.now;
         }
     }
 
-    /// Lists so many servers as `weight` says, from the start.
+    /// Fills the store with the servers of `weight`.
     pub fn with_weight(mut self, weight: DirectoryWeight) -> Self {
         self.weight = weight;
         for number in 3..=weight.parts {
@@ -209,27 +206,29 @@
         self
     }
 
-    /// Forgets what was counted.
-    pub fn count_anew(&mut self) {
+    /// Resets all counters.
+    pub fn reset_counters(&mut self) {
         self.calls = 0;
         self.listings = 0;
-        self.questions.fill(0);
-        self.told_all.fill(0);
+        self.queries.fill(0);
+        self.full_lists_sent.fill(0);
     }
 
-    /// The hosts in reach that cannot forward anything yet.
-    pub fn unready(&self) -> usize {
+    /// Number of reachable hosts that cannot forward anything yet.
+    pub fn unready_count(&self) -> usize {
         let in_reach =
             |host: &&SimulatedHost| !matches!(host.condition, Condition::Dead | Condition::Cut);
         let hosts = self.hosts.iter().filter(in_reach);
         hosts.filter(|host| !host.engine.view().is_usable()).count()
     }
 
-    /// How long it takes until all hosts in reach can forward, in milliseconds.
+    /// How long it takes until all reachable hosts can forward, in milliseconds.
     pub fn time_to_serve(&mut self) -> u64 {
         let start = self.now;
         let starts = |host: &SimulatedHost| host.starts_at.is_some();
-        while (self.unready() > 0 || self.hosts.iter().any(starts)) && self.now < start + 20_000 {
+        while (self.unready_count() > 0 || self.hosts.iter().any(starts))
+            && self.now < start + 20_000
+        {
             self.run_until(self.now + STEP);
         }
         self.now - start
@@ -238,7 +237,7 @@
     pub fn settled(count: usize) -> Self {
         let mut fleet = Self::new(count);
         fleet.run_until(SETTLED);
-        fleet.count_anew();
+        fleet.reset_counters();
         fleet
     }
 
@@ -247,8 +246,8 @@
         self.log.push((self.revision, number, draining));
     }
 
-    /// The store comes back from a copy that lacks the last `lost` changes, and cuts
-    /// what waits.
+    /// Restores the store from a backup without the last `lost` changes, and breaks all
+    /// watches.
     pub fn restore(&mut self, lost: u64) {
         self.era += 1;
         self.revision -= lost.min(self.revision - 10);
@@ -273,9 +272,9 @@
                 }
                 if self.hosts[index].condition != Condition::Dead {
                     self.read_store(index);
-                    self.ask(index);
+                    self.query(index);
                     self.answer(index);
-                    self.tell(index);
+                    self.send_reports(index);
                 }
             }
         }
@@ -288,7 +287,7 @@
         let timeout = self.now >= call.until + 1_000;
         match self.hosts[index].condition {
             Condition::Cut => return timeout.then_some(StoreOutcome::Failed),
-            Condition::TurnedAway => return Some(StoreOutcome::Failed),
+            Condition::Refused => return Some(StoreOutcome::Failed),
             Condition::Running | Condition::Dead => {}
         }
         let in_era = |number| StoreRevision::in_era(StoreEra::new(self.era), number);
@@ -365,66 +364,69 @@
         }
     }
 
-    pub fn ask(&mut self, index: usize) {
+    pub fn query(&mut self, index: usize) {
         let now = at(self.now);
-        let pending = self.hosts[index].question.as_ref();
-        let failed = pending.is_some_and(|question| {
-            self.hosts[question.host].condition == Condition::Dead || self.now >= question.limit
+        let pending = self.hosts[index].query.as_ref();
+        let failed = pending.is_some_and(|query| {
+            self.hosts[query.host].condition == Condition::Dead || self.now >= query.limit
         });
         if failed {
-            let question = self.hosts[index].question.take().unwrap();
-            self.take_word(index, question.host, None);
+            let query = self.hosts[index].query.take().unwrap();
+            self.handle_answer(index, query.host, None);
         }
         let host = &mut self.hosts[index];
-        if host.question.is_some() || self.now < host.ask_at {
+        if host.query.is_some() || self.now < host.query_at {
             return;
         }
-        let Some((peer, question)) = host.engine.next_peer(now) else {
-            host.ask_at = self.now + host.engine.peer_pause().as_millis() as u64;
+        let Some((peer, query)) = host.engine.next_peer(now) else {
+            host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
             return;
         };
-        let asked = index_of(peer);
-        self.questions[asked] += 1;
+        let peer_index = index_of(peer);
+        self.queries[peer_index] += 1;
         let reachable = |index: usize| self.hosts[index].condition != Condition::Cut;
-        let connects = reachable(index) && reachable(asked);
-        let limit = if !connects && question.revision == StoreRevision::ZERO {
+        let connects = reachable(index) && reachable(peer_index);
+        let limit = if !connects && query.revision == StoreRevision::ZERO {
             START_CONNECT
         } else {
-            question.timeout().as_millis() as u64
+            query.timeout().as_millis() as u64
         };
         let limit = self.now + limit;
-        self.hosts[index].question = Some(PendingQuestion { host: asked, limit });
+        self.hosts[index].query = Some(PendingQuery {
+            host: peer_index,
+            limit,
+        });
         if connects {
-            self.hosts[asked].waiting.push(question, now, index);
+            self.hosts[peer_index].waiting.push(query, now, index);
         }
     }
 
-    /// Passes reports on, as often as hosts do.
-    pub fn tell(&mut self, index: usize) {
+    /// Sends reports, as often as hosts do.
+    pub fn send_reports(&mut self, index: usize) {
         let host = &mut self.hosts[index];
-        if self.now < host.tell_at {
+        if self.now < host.report_at {
             return;
         }
         let Some((peer, reports)) = host.engine.next_reports(at(self.now)) else {
             return;
         };
-        host.tell_at = self.now + REPORT_PAUSE;
-        self.reports_told[index] += reports.len();
-        let told = index_of(peer);
+        host.report_at = self.now + REPORT_PAUSE;
+        self.reports_sent[index] += reports.len();
+        let receiver = index_of(peer);
         let in_reach = |index: usize| {
             !matches!(
                 self.hosts[index].condition,
                 Condition::Dead | Condition::Cut
             )
         };
-        if in_reach(index) && in_reach(told) {
-            self.tellings[told] += 1;
+        if in_reach(index) && in_reach(receiver) {
+            self.tellings[receiver] += 1;
             let now = at(self.now);
             let reports = reports.into_iter().map(|report| report.into_report(now));
-            self.hosts[told].engine.take_reports(now, reports);
+            self.hosts[receiver].engine.take_reports(now, reports);
         } else {
-            self.hosts[index].tell_at = self.now + 400;
-            self.hosts[index].engine.forget_told_reports();
+            self.hosts[index].report_at = self.now + 400;
+            self.hosts[index].engine.forget_sent_reports();
         }
     }
 
@@ -432,33 +434,33 @@
         let now = at(self.now);
         let host = &mut self.hosts[index];
         let due = host.waiting.take_due(&mut host.engine, now);
-        let words: Vec<_> = due
+        let answers: Vec<_> = due
             .into_iter()
             .map(|due| {
-                let mut word = host.engine.answer_peer(now, &due.question);
-                word.waited = due.waited;
-                (due.answer, word)
+                let mut answer = host.engine.answer_peer(now, &due.query);
+                answer.waited = due.waited;
+                (due.answer, answer)
             })
             .collect();
-        for (asker, word) in words {
-            if word.list.is_some() {
-                self.send_part(index, asker, word);
+        for (receiver, answer) in answers {
+            if answer.list.is_some() {
+                self.send_part(index, receiver, answer);
                 continue;
             }
-            self.deliver(index, asker, word);
+            self.deliver(index, receiver, answer);
         }
     }
 
-    /// A part of the list leaves after those that are on its teller's link.
-    fn send_part(&mut self, teller: usize, asker: usize, word: PeerWord) {
-        self.told_all[teller] += usize::from(word.all_servers);
-        let host = &mut self.hosts[teller];
+    /// Sends a part of the list after the earlier parts on the link of `sender`.
+    fn send_part(&mut self, sender: usize, receiver: usize, answer: PeerWord) {
+        self.full_lists_sent[sender] += usize::from(answer.all_servers);
+        let host = &mut self.hosts[sender];
         host.sends_until = host.sends_until.max(self.now) + self.weight.part_time;
-        self.sent.push(SentWord {
+        self.sent.push(SentAnswer {
             arrives_at: host.sends_until,
-            teller,
-            asker,
-            word,
+            sender,
+            receiver,
+            answer,
         });
     }
 
@@ -466,23 +468,23 @@
         let now = self.now;
         let arrived = self.sent.extract_if(.., |sent| sent.arrives_at <= now);
         for sent in arrived.collect::<Vec<_>>() {
-            self.deliver(sent.teller, sent.asker, sent.word);
+            self.deliver(sent.sender, sent.receiver, sent.answer);
         }
     }
 
-    fn deliver(&mut self, teller: usize, asker: usize, word: PeerWord) {
-        let waits = self.hosts[asker].question.as_ref();
-        let cut = [teller, asker].map(|one| self.hosts[one].condition == Condition::Cut);
-        if waits.is_some_and(|question| question.host == teller) && cut == [false; 2] {
-            self.hosts[asker].question = None;
-            self.take_word(asker, teller, Some(word));
+    fn deliver(&mut self, sender: usize, receiver: usize, answer: PeerWord) {
+        let waits = self.hosts[receiver].query.as_ref();
+        let cut = [sender, receiver].map(|one| self.hosts[one].condition == Condition::Cut);
+        if waits.is_some_and(|query| query.host == sender) && cut == [false; 2] {
+            self.hosts[receiver].query = None;
+            self.handle_answer(receiver, sender, Some(answer));
         }
     }
 
-    pub fn take_word(&mut self, index: usize, peer: usize, word: Option<PeerWord>) {
+    pub fn handle_answer(&mut self, index: usize, peer: usize, answer: Option<PeerWord>) {
         let host = &mut self.hosts[index];
-        host.engine.handle_peer(at(self.now), address(peer), word);
-        host.ask_at = self.now + host.engine.peer_pause().as_millis() as u64;
+        host.engine.handle_peer(at(self.now), address(peer), answer);
+        host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
     }
 
     /// The running hosts that have a call at the store.
@@ -499,8 +501,8 @@
             .collect()
     }
 
-    /// The hosts in reach that do not know that `number` drains.
-    pub fn ignorant(&self, number: u64) -> Vec<usize> {
+    /// The reachable hosts that do not know that server `number` drains.
+    pub fn unaware(&self, number: u64) -> Vec<usize> {
         let id = near_server(number).id;
         let knows = |host: &SimulatedHost| {
             let view = host.engine.view();
@@ -514,11 +516,11 @@
             .collect()
     }
 
-    /// How long it takes until all hosts in reach know a change, in milliseconds.
+    /// How long it takes until all reachable hosts know a change, in milliseconds.
     pub fn time_to_all(&mut self) -> u64 {
         let start = self.now;
         self.write(1, true);
-        while !self.ignorant(1).is_empty() && self.now < start + 20_000 {
+        while !self.unaware(1).is_empty() && self.now < start + 20_000 {
             self.run_until(self.now + STEP);
         }
         self.now - start
@@ -545,12 +547,12 @@
     };
     SimulatedHost {
         engine: BeliefEngine::new(settings, index as u64),
-        waiting: WaitingQuestions::default(),
+        waiting: WaitingQueries::default(),
         condition: Condition::Running,
         call: None,
-        question: None,
-        ask_at: 0,
-        tell_at: 0,
+        query: None,
+        query_at: 0,
+        report_at: 0,
         starts_at: None,
         sends_until: 0,
     }
