--- a/crates/cardamomwinch_coordination/src/forwarding/cold_starts.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/cold_starts.rs
@@ -1,10 +1,11 @@
-//! How many new flows a host gives to servers that have just started.
+//! Limits how many new flows a host sends to servers that have just started ("cold" servers).
 //!
-//! Operators bound what a cold server gets from all hosts together, and no host sees
-//! what the others send. So a few hosts of its failure domain, which a hash chooses,
-//! each have a part of the rate, and all others leave the server alone. Hosts that know
-//! different hosts choose others, and the parts add up to more; what the chosen ones
-//! leave of the rate, and what the rate may be exceeded by, is for that.
+//! Operators limit the rate of new flows that a cold server receives from all hosts
+//! together, but no host sees what the others send. So a hash chooses a few hosts of the
+//! server's failure domain. Each of them may use a part of the rate; all other hosts send
+//! the server nothing. Hosts whose lists of hosts differ may choose differently, so that
+//! more hosts than intended take part. For this reason the parts add up to less than the
+//! whole rate.
 
 use std::sync;
 use std::time;
@@ -14,38 +15,39 @@
 
 use crate::routing::rendezvous;
 
-/// So many hosts of its domain give new flows to a cold server.
+/// The number of hosts of its domain that send new flows to a cold server.
 const CHOSEN_HOSTS: usize = 3;
-/// What each of them gives, in per cent of the rate. Twice as many hosts may take
-/// themselves for chosen before a server gets half as much again as its rate.
+/// The part of the rate that each of them may use, in per cent. If twice as many hosts
+/// take part, the server receives one and a half times its rate.
 const CHOSEN_PERCENT: u64 = 25;
-/// A rate of one new flow a second.
+/// An [`OpeningRate`] of one new flow per second.
 const ONE_A_SECOND: u64 = 1_000;
 
-/// How servers of a service behave after their start.
+/// How long servers of a service are cold after their start, and how many new flows they
+/// may receive until then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ColdStart {
     /// The service.
     pub service: ServiceId,
-    /// How long they are cold.
+    /// How long a server is cold.
     pub lasting: time::Duration,
-    /// The new flows that one bears meanwhile; zero where that is not bounded.
+    /// The rate of new flows that a cold server may receive; zero if it is not limited.
     pub openings: OpeningRate,
 }
 
-/// The part that one host has in what cold servers of its failure domain get.
+/// Decides for which cold servers of its failure domain a host may use a part of the rate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ColdShare {
-    /// A number of the host that differs from those of others.
+    /// The number of this host, which no other host has.
     pub host_number: u64,
-    /// The numbers of the hosts among which some are chosen for each server; this host
-    /// may be one of them.
+    /// The numbers of the hosts among which some are chosen for each server. This host
+    /// need not be among them.
     pub host_numbers: sync::Arc<[u64]>,
 }
 
 impl ColdShare {
-    /// Whether this host is one of those that give new flows to `server` while it is cold.
+    /// Whether this host is one of those that send new flows to `server` while it is cold.
     fn is_chosen(&self, server: BackendId) -> bool {
         let score = |number: u64| rendezvous::score(number, server.get());
         let own = score(self.host_number);
@@ -55,24 +57,23 @@
     }
 }
 
-/// The time between two new flows that a chosen host gives to one server.
+/// The least time between two new flows that a chosen host sends to one server.
 fn interval(openings: OpeningRate) -> time::Duration {
     let part = (openings.get() * CHOSEN_PERCENT).max(1);
     time::Duration::from_micros(ONE_A_SECOND * 1_000_000 * 100 / part)
 }
 
-/// When this host last gave a new flow to each server that is cold.
+/// When this host last sent a new flow to each cold server.
 #[derive(Debug, Default)]
 pub struct ColdLimiter {
     openings: SortedVector<BackendId, Timestamp>,
 }
 
 impl ColdLimiter {
-    /// Whether `server`, which is cold, may get a new flow from the host with this
-    /// `share`.
+    /// Whether the host with this `share` may send a new flow to `server`, which is cold.
     ///
-    /// Guards against a rush on servers that are empty and look idle. It shows as
-    /// hundreds of hosts that each give one flow to the same server in the same second.
+    /// Guards against overload of a cold server: it has no flows and looks idle, so
+    /// hundreds of hosts would each send it a flow in the same second.
     pub fn allows(
         &self,
         server: BackendId,
@@ -85,7 +86,7 @@
         has_waited && share.is_chosen(server)
     }
 
-    /// This host gives a new flow to `server`, which is cold.
+    /// Records that this host sends a new flow to `server`, which is cold.
     pub fn note(&mut self, server: BackendId, now: Timestamp) {
         self.openings.insert(server, now);
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/deliveries.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/deliveries.rs
@@ -1,90 +1,93 @@
-//! When packets that this host sent got through.
+//! Records at which times packets that this host sent were delivered.
 //!
-//! Guards against a host whose own link is full, of a large configuration that others
-//! ask it for: what it sends is lost for a tenth of a second, to all servers alike.
-//! It shows as flows that are reset though their servers serve: callers repeat
-//! themselves, and where a host sees one or two flows of each server, two losses in
-//! a row would be taken for a server that has gone. A loss counts against a server
-//! only where something sent at about the same moment to anybody arrived.
+//! Guards against resets of flows whose servers are alive. While the link of a host is
+//! full, for instance because other hosts load a large configuration from it, the host
+//! loses what it sends to all servers for a tenth of a second, and callers repeat
+//! themselves. If the host sees only one or two flows of each server, two losses in a row
+//! would look like a dead server. So a loss counts against a server only if a packet that
+//! was sent to any server at about the same time was delivered.
 
 use std::time;
 
 use cardamomwinch_state::prelude::{BackendId, SortedVector, Timestamp};
 
-/// The resolution of the record.
-const MOMENT: time::Duration = time::Duration::from_millis(20);
-/// So many moments are remembered, four seconds: callers send data again after 1.6
-/// seconds at the latest, and that is when a loss is noticed.
-const MOMENTS: usize = 200;
-/// Something must have arrived so many moments before the loss at most, and so many after
-/// it, a tenth of a second each. The least busy hosts forward 25 packets a second that are
-/// answered at once, so that five losses in six can be judged; fuller links lose
-/// everything for longer than that.
-const REACH: u64 = 5;
+/// The period of time that one bucket stands for.
+const BUCKET: time::Duration = time::Duration::from_millis(20);
+/// The buckets cover four seconds. Callers send data again after 1.6 seconds at the latest,
+/// and a loss is detected at that time.
+const BUCKET_COUNT: usize = 200;
+/// A delivery must lie at most this many buckets before the loss, and another one at most
+/// this many after it: a tenth of a second each. The least busy hosts forward 25 packets a
+/// second that are answered at once, which is enough to judge five losses in six. Full
+/// links lose everything for longer than that.
+const MAX_BUCKET_DISTANCE: u64 = 5;
 
-/// So many servers that answered only after a repetition show that this host loses or
-/// delays what it sends: a full link lets a part through, so that losses next to
-/// deliveries say nothing either. A server that has gone never answers.
-const LATE_SERVERS: usize = 2;
-/// For so long each of them counts: as long as a host with a narrow link is busy passing
-/// a large configuration on, which drops packets now and then all the while. A flow that
-/// is reset although its server serves breaks a promise; one that is told of a server's
-/// end later costs its caller that time.
-const LATE_MEMORY: time::Duration = time::Duration::from_secs(4);
+/// If at least this many servers answered only after a repetition, this host loses or
+/// delays what it sends. A full link lets some packets through, so deliveries at about the
+/// same time as a loss are then no evidence. A dead server never answers.
+const MIN_LATE_SERVERS: usize = 2;
+/// How long each of them counts: the time in which a host with a narrow link sends a large
+/// configuration to others, and drops packets now and then. It is long rather than short,
+/// because a reset of a flow whose server is alive breaks a promise to the caller, while a
+/// late reset only costs its caller time.
+const LATE_RETENTION: time::Duration = time::Duration::from_secs(4);
 
-/// The latest moments at which something got through.
+/// The times at which packets that were delivered had been sent.
 #[derive(Debug)]
 pub struct DeliveryRecord {
-    moments: [u64; MOMENTS],
-    /// The servers that answered a repetition, and when they did last.
-    late: SortedVector<BackendId, Timestamp>,
+    /// A ring of buckets. Each holds the number of the last period with a delivery.
+    buckets: [u64; BUCKET_COUNT],
+    /// The servers that answered only after a repetition, and when they last did.
+    late_servers: SortedVector<BackendId, Timestamp>,
 }
 
 impl Default for DeliveryRecord {
     fn default() -> Self {
         Self {
-            moments: [0; MOMENTS],
-            late: SortedVector::default(),
+            buckets: [0; BUCKET_COUNT],
+            late_servers: SortedVector::default(),
         }
     }
 }
 
-fn moment_of(sent_at: Timestamp) -> u64 {
-    sent_at.since(Timestamp::ZERO).as_millis() as u64 / MOMENT.as_millis() as u64
+/// The number of the period of length [`BUCKET`] that `sent_at` lies in.
+fn bucket_of(sent_at: Timestamp) -> u64 {
+    sent_at.since(Timestamp::ZERO).as_millis() as u64 / BUCKET.as_millis() as u64
 }
 
 impl DeliveryRecord {
-    /// What was sent at `sent_at` arrived: it was answered before its caller would
-    /// have sent it again.
+    /// Records that a packet sent at `sent_at` was delivered: it was answered before its
+    /// caller would have sent it again.
     pub fn note(&mut self, sent_at: Timestamp) {
-        let moment = moment_of(sent_at);
-        let held = &mut self.moments[moment as usize % MOMENTS];
-        *held = moment.max(*held);
+        let bucket = bucket_of(sent_at);
+        let held = &mut self.buckets[bucket as usize % BUCKET_COUNT];
+        *held = bucket.max(*held);
     }
 
-    /// `server` answered what had to be sent to it again.
+    /// Records that `server` answered only after a repetition.
     pub fn note_late(&mut self, server: BackendId, now: Timestamp) {
-        self.late.insert(server, now);
+        self.late_servers.insert(server, now);
     }
 
-    /// Whether several servers needed repetitions a moment ago though they live, so that
-    /// repetitions say nothing about any server.
-    pub fn is_in_doubt(&self, now: Timestamp) -> bool {
-        let recent = |at: &&Timestamp| now.since(**at) <= LATE_MEMORY;
-        self.late.values().filter(recent).count() >= LATE_SERVERS
+    /// Whether this host itself seems to lose what it sends: several servers that are alive
+    /// recently needed repetitions. Repetitions are then no evidence against any server.
+    pub fn is_link_lossy(&self, now: Timestamp) -> bool {
+        let recent = |at: &&Timestamp| now.since(**at) <= LATE_RETENTION;
+        self.late_servers.values().filter(recent).count() >= MIN_LATE_SERVERS
     }
 
-    /// Forgets servers that answered late long ago.
+    /// Removes servers whose last late answer is too old to count.
     pub fn sweep(&mut self, now: Timestamp) {
-        self.late.retain(|_, at| now.since(*at) <= LATE_MEMORY);
+        self.late_servers
+            .retain(|_, at| now.since(*at) <= LATE_RETENTION);
     }
 
-    /// Whether things that were sent shortly before and shortly after `sent_at`, or at
-    /// the same moment, arrived.
-    pub fn was_open_at(&self, sent_at: Timestamp) -> bool {
-        let moment = moment_of(sent_at);
-        let arrived = |moment: u64| self.moments[moment as usize % MOMENTS] == moment;
-        let before = (moment.saturating_sub(REACH)..=moment).any(arrived);
-        before && (moment..=moment + REACH).any(arrived)
+    /// Whether packets sent shortly before and shortly after `sent_at`, or in the same
+    /// bucket, were delivered.
+    pub fn was_delivering_at(&self, sent_at: Timestamp) -> bool {
+        let bucket = bucket_of(sent_at);
+        let arrived = |bucket: u64| self.buckets[bucket as usize % BUCKET_COUNT] == bucket;
+        let before = (bucket.saturating_sub(MAX_BUCKET_DISTANCE)..=bucket).any(arrived);
+        before && (bucket..=bucket + MAX_BUCKET_DISTANCE).any(arrived)
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/directory.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/directory.rs
@@ -1,4 +1,4 @@
-//! The backend servers that are known, also those that have left.
+//! The known backend servers, including those that left recently.
 
 use std::net;
 use std::time;
@@ -12,29 +12,29 @@
 use crate::forwarding::packet::FlowToken;
 use crate::forwarding::routes::RouteEntry;
 
-/// How long a server whose entry vanished without a word may still get new
-/// flows, where nobody else can. While the store is down entries expire though
-/// their servers live; those are back within two seconds of its return.
+/// How long a server whose entry vanished without a drain may still receive new flows, if
+/// no other server can take them. During an outage of the store, entries expire although
+/// their servers are alive; they are back within two seconds after the outage.
 pub const VANISHED_GRACE: time::Duration = time::Duration::from_millis(2_500);
 
-/// What a server said of itself, or what its silence says.
+/// The state of a server by its entry in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerPhase {
     /// It takes new flows.
     Active,
-    /// It is about to leave and takes no new flows.
+    /// It is about to stop and takes no new flows.
     Draining,
-    /// Its entry cannot be understood any more. It takes no new flows; those that it
-    /// holds go on until the entry is gone.
+    /// Its entry can no longer be parsed. It takes no new flows; open flows continue until
+    /// the entry is removed.
     Unreadable,
-    /// Its entry vanished without a word before.
+    /// Its entry vanished although the server was not draining.
     Vanished {
-        /// When this host learned so.
+        /// When this host learned of it.
         since: Timestamp,
     },
-    /// It has left. It stays known for the flows that it may still hold.
+    /// It has left the store for good. It stays known for flows that may still be open.
     Left {
-        /// When this host learned so.
+        /// When this host learned of it.
         since: Timestamp,
     },
 }
@@ -42,24 +42,24 @@
 /// What is known of one backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerRecord {
-    /// Its identifier. A server that starts again has another one or the same.
+    /// Its identifier. It may change or stay the same when the server restarts.
     pub id: BackendId,
-    /// When its process started, where it says so: tells incarnations with one
-    /// identifier apart.
+    /// When its process started, if its entry says so. It distinguishes incarnations that
+    /// have the same identifier.
     pub started: Option<ServerStart>,
-    /// Where it takes packets.
+    /// The address that it receives packets at.
     pub address: net::SocketAddr,
-    /// The service that it serves.
+    /// The service that it belongs to.
     pub service: ServiceId,
-    /// The failure domain that it stands in.
+    /// The failure domain that it is in.
     pub domain: DomainId,
-    /// Requests that it runs at the same time.
+    /// The number of requests that it runs at the same time.
     pub slots: SlotCount,
-    /// What it said of itself last.
+    /// Its state by its last entry in the store, or since that entry is missing.
     pub phase: ServerPhase,
-    /// Until when it is slow because it has just started.
+    /// The time from which it is no longer cold.
     pub warm_at: Timestamp,
-    /// The revision of the store that changed it last.
+    /// The revision of the store that last changed it.
     pub changed: StoreRevision,
 }
 
@@ -72,12 +72,12 @@
         )
     }
 
-    /// Whether the store took the server off its list without a word before.
+    /// Whether its entry vanished from the store although the server was not draining.
     pub const fn has_vanished(&self) -> bool {
         matches!(self.phase, ServerPhase::Vanished { .. })
     }
 
-    /// Whether `now` is so late that no flow can be left on the server.
+    /// Whether the server left so long ago that no flow on it can still be open.
     fn is_forgotten(&self, now: Timestamp, flow_lifetime: time::Duration) -> bool {
         match self.phase {
             ServerPhase::Active | ServerPhase::Draining | ServerPhase::Unreadable => false,
@@ -88,18 +88,18 @@
     }
 }
 
-/// A server in the order of services, and in a service in that of failure domains.
+/// The sort key of a server: by service, and within a service by failure domain.
 type ServicePlace = (ServiceId, DomainId, BackendId);
 
-/// All known servers, found by token or by service.
+/// All known servers, indexed by token and by service.
 #[derive(Debug, Clone, Default)]
 pub struct ServerDirectory {
     servers: SortedVector<BackendId, ServerRecord>,
     tokens: Vec<(FlowToken, BackendId)>,
     services: Vec<ServicePlace>,
     evacuations: EvacuationTable,
-    /// The last revision that changed a server, or ended an evacuation, which is no
-    /// longer known.
+    /// The highest revision that changed a server, or ended an evacuation, that was removed
+    /// from this directory since.
     forgotten: StoreRevision,
 }
 
@@ -114,12 +114,12 @@
         self.servers.is_empty()
     }
 
-    /// How many servers are listed in the store.
+    /// The number of servers that have an entry in the store.
     pub fn listed_count(&self) -> usize {
         self.iter().filter(|server| server.is_listed()).count()
     }
 
-    /// The server `id`.
+    /// The server with the identifier `id`.
     pub fn get(&self, id: BackendId) -> Option<&ServerRecord> {
         self.servers.get(&id)
     }
@@ -129,10 +129,8 @@
         self.servers.values()
     }
 
-    /// The server that `token` names in a flow of `route`. Where two known
-    /// servers share the token, it is one that `route` leads to. A packet that
-    /// goes to the other one of the two reaches nobody's flow: that server does
-    /// not hold it.
+    /// The server of `token` in a flow of `route`. If two known servers share the token,
+    /// the one that `route` leads to is preferred; the other one does not hold the flow.
     pub fn find(&self, token: FlowToken, route: Option<&RouteEntry>) -> Option<&ServerRecord> {
         let start = self.tokens.partition_point(|(held, _)| *held < token);
         let same = self.tokens[start..]
@@ -152,13 +150,13 @@
         self.records(self.places(service, None))
     }
 
-    /// How many servers of `service` there are, in `domain` where one is given.
+    /// The number of servers of `service`, in `domain` if one is given.
     pub fn count(&self, service: ServiceId, domain: Option<DomainId>) -> usize {
         self.places(service, domain).len()
     }
 
-    /// At most `limit` servers of `service`, in `domain` where one is given: those
-    /// that follow a place that `subject` chooses.
+    /// At most `limit` servers of `service`, in `domain` if one is given: consecutive ones
+    /// in the order of the directory, from a start that `subject` selects.
     pub fn sample(
         &self,
         service: ServiceId,
@@ -192,19 +190,19 @@
         places.iter().filter_map(|(_, _, id)| self.servers.get(id))
     }
 
-    /// The failure domains whose servers are to get no new flows, or were until lately.
+    /// The evacuations of failure domains, including those that ended recently.
     pub const fn evacuations(&self) -> &EvacuationTable {
         &self.evacuations
     }
 
-    /// Takes over that an evacuation began or ended, unless something later is known.
-    /// Returns whether that changed who may get new flows.
+    /// Records that an evacuation began or ended, unless a later record is known. Returns
+    /// whether this changed which servers may receive new flows.
     pub fn note_evacuation(&mut self, record: EvacuationRecord) -> bool {
         self.evacuations.note(record)
     }
 
-    /// Takes over all evacuations that last at `revision`. Returns those that began or
-    /// ended by it.
+    /// Replaces the evacuations by `listed`, all that are active at `revision`. Returns
+    /// those that began or ended by this.
     pub fn replace_evacuations(
         &mut self,
         listed: &[EvacuationRecord],
@@ -214,19 +212,18 @@
         self.evacuations.replace(listed, revision, now)
     }
 
-    /// Ends evacuations that a restored store lacks and nobody has written again.
-    /// Returns them.
+    /// Ends evacuations that are missing in a restored store and were not written again in
+    /// time. Returns them.
     pub fn end_missing_evacuations(&mut self, now: Timestamp) -> Vec<EvacuationRecord> {
         self.evacuations.end_missing(now)
     }
 
-    /// Until when `server` works slowly because it has just started; servers of its
-    /// service do so for `cold_start`.
+    /// The time until which `server` is cold; servers of its service are cold for
+    /// `cold_start` after their start.
     ///
-    /// Guards against a domain that comes back from an evacuation with all its servers
-    /// started anew, before their entries say so. It shows as a rush on servers without
-    /// flows that cannot bear it. An entry written after the end of the evacuation is
-    /// believed again.
+    /// Guards against overload of servers that were all restarted during an evacuation of
+    /// their domain, before their entries show the restart. So all servers of the domain
+    /// count as cold after its evacuation, until their entries are written again.
     pub fn cold_until(&self, server: &ServerRecord, cold_start: time::Duration) -> Timestamp {
         match self.evacuations.ended(server.domain) {
             Some((at, revision)) if server.changed <= revision => {
@@ -236,15 +233,14 @@
         }
     }
 
-    /// Takes over what the store says of one server, unless something later is
-    /// known.
+    /// Records what the store contains about one server, unless a later record is known.
     pub fn note(&mut self, record: ServerRecord) {
         self.note_all([record]);
     }
 
-    /// Takes over what the store says of some servers, unless something later is known
-    /// of them. The indexes are made once: made for each server, what a peer tells of
-    /// hundreds would keep a host of a large fleet busy for seconds.
+    /// Records what the store contains about several servers, except those of which a later
+    /// record is known. The indexes are rebuilt once and not for each server, because an
+    /// update of hundreds of servers would take a host of a large fleet seconds.
     pub fn note_all(&mut self, records: impl IntoIterator<Item = ServerRecord>) {
         let mut moved = false;
         for record in records {
@@ -261,18 +257,18 @@
         }
     }
 
-    /// Whether something later than `record` is known of its server.
+    /// Whether a later record than `record` is known of its server.
     pub fn knows_later(&self, record: &ServerRecord) -> bool {
         let known = self.servers.get(&record.id);
         known.is_some_and(|known| known.changed > record.changed)
     }
 
-    /// `record`, with what its server said of itself before the store came back from a
-    /// copy.
+    /// `record`, but still draining if the same process was draining before the store was
+    /// restored from a backup.
     ///
-    /// Guards against a server that announced its end and is shown as ready by the copy,
-    /// until it writes its entry again. It shows as new flows on a server that leaves. No
-    /// process takes its word back; another one has another start.
+    /// Guards against new flows on a server that is about to stop: the backup shows it as
+    /// ready until it writes its entry again. A process that drains never becomes active
+    /// again; a new process has a different start.
     fn keep_drain(&self, mut record: ServerRecord) -> ServerRecord {
         let is_drained = |known: &&ServerRecord| {
             known.phase == ServerPhase::Draining && known.started == record.started
@@ -287,8 +283,8 @@
         record
     }
 
-    /// Since `revision` the entry of `id` cannot be understood, unless something later
-    /// is known. A server that was not known before stays unknown.
+    /// Records that the entry of `id` cannot be parsed since `revision`, unless a later
+    /// record is known. A server that was not known before stays unknown.
     pub fn note_unreadable(&mut self, id: BackendId, revision: StoreRevision) {
         let known = self.servers.get_mut(&id);
         if let Some(server) = known.filter(|one| one.changed < revision) {
@@ -297,8 +293,8 @@
         }
     }
 
-    /// Since `revision` the store no longer lists `id`, unless something later is
-    /// known.
+    /// Records that the store has no entry of `id` since `revision`, unless a later record
+    /// is known.
     pub fn note_removed(&mut self, id: BackendId, revision: StoreRevision, now: Timestamp) {
         let listed = |one: &&mut ServerRecord| one.is_listed() && one.changed <= revision;
         if let Some(server) = self.servers.get_mut(&id).filter(listed) {
@@ -313,12 +309,12 @@
         }
     }
 
-    /// Takes over a whole listing, read at `revision`: servers that are neither in
-    /// `records` nor `unreadable` are no longer listed.
+    /// Applies a complete listing, read at `revision`: servers that are neither in
+    /// `records` nor `unreadable` no longer have an entry.
     ///
-    /// What is known from a later revision stays. Guards against a peer that tells of
-    /// a change while the pages are read: without this a server that has just come
-    /// would seem to vanish, and one that leaves would get new flows again.
+    /// Records of a later revision are kept. Guards against a peer that sends a change
+    /// while the pages of the listing are read: otherwise a new server would seem to
+    /// vanish, and a draining one would receive new flows again.
     pub fn replace(
         &mut self,
         records: Vec<ServerRecord>,
@@ -347,8 +343,8 @@
         self.index();
     }
 
-    /// The servers that changed after `revision`; `None` where some of them are no
-    /// longer known.
+    /// The servers that changed after `revision`; `None` if some of them were removed from
+    /// the directory.
     pub fn changed_after(
         &self,
         revision: StoreRevision,
@@ -357,8 +353,8 @@
         known.then(|| self.iter().filter(move |server| server.changed > revision))
     }
 
-    /// Takes over what a peer knows at `revision`, which is later than what is
-    /// known here: the servers that changed, or `all` servers.
+    /// Applies the servers that a peer knows at `revision`, which is later than what is
+    /// known here. `records` are those that changed, or all servers if `all` is set.
     pub fn merge(
         &mut self,
         records: Vec<ServerRecord>,
@@ -376,8 +372,8 @@
         self.note_all(left);
     }
 
-    /// Ends the grace of servers that vanished, and forgets those that left so
-    /// long ago that no flow can be on them. Returns whether anything changed.
+    /// Ends the grace period of servers that vanished, and removes those that left so long
+    /// ago that no flow on them can still be open. Returns whether anything changed.
     pub fn age(&mut self, now: Timestamp, flow_lifetime: time::Duration) -> bool {
         let mut changed = false;
         for (_, server) in self.servers.iter_mut() {
--- a/crates/cardamomwinch_coordination/src/forwarding/engine.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine.rs
@@ -1,8 +1,8 @@
-//! Decides about each packet.
+//! Decides what to do with each packet: send it to a server, hold it or reset its flow.
 
-mod judging;
+mod maintenance;
+mod open_flows;
 mod openings;
-mod upkeep;
 
 use std::net;
 use std::time;
@@ -14,6 +14,7 @@
 use crate::forwarding::directory::ServerRecord;
 use crate::forwarding::flow_lifetimes::FlowLifetimes;
 use crate::forwarding::flow_watch::FlowWatch;
+use crate::forwarding::overdue_timeout::OverdueTimeout;
 use crate::forwarding::own_reports::OwnReports;
 use crate::forwarding::packet::{FlowPacket, FlowToken, PacketKind};
 use crate::forwarding::progress::ProgressTable;
@@ -24,54 +25,56 @@
 use crate::forwarding::server_reports::{ReporterId, ServerReport};
 use crate::forwarding::server_starts::ServerStarts;
 use crate::forwarding::unknown_flows::UnknownFlows;
-use crate::forwarding::usual_wait::UsualWait;
 use crate::forwarding::view::ForwardingView;
 
-/// How often [`ForwardingEngine::tick`] is to be called.
+/// The interval at which [`ForwardingEngine::tick`] must be called.
 pub const TICK_PERIOD: time::Duration = time::Duration::from_millis(100);
-/// The word of the store must be so much younger than the first packet with an
-/// unknown token before it counts as saying that there is no such server.
-const UNKNOWN_PATIENCE: time::Duration = time::Duration::from_millis(150);
+/// A flow with an unknown token is reset only if the view was confirmed this much later
+/// than the first packet of the flow came. Only then does it show that no such server exists.
+const UNKNOWN_TOKEN_DELAY: time::Duration = time::Duration::from_millis(150);
 
-/// Takes what the engine decides.
+/// Carries out the decisions of the engine about the current packet, and about flows that
+/// it ends between packets.
 pub trait ForwardingSink {
-    /// Sends the packet at hand to `server`, with `token` written into it.
+    /// Sends the current packet to `server`, with `token` written into it.
     fn send(&mut self, server: &ServerRecord, token: FlowToken);
-    /// Tells the caller of the packet at hand that its flow is over.
+    /// Sends a reset to the caller of the current packet.
     fn reset(&mut self);
-    /// Tells the caller of `flow` that it is over; the caller has acknowledged
-    /// what its server sent up to the position `acknowledged`.
+    /// Sends a reset to the caller of `flow`. `acknowledged` is the position up to which
+    /// the caller has acknowledged the stream of its server.
     fn reset_flow(&mut self, flow: &FlowKey, acknowledged: u32);
-    /// Keeps the packet at hand, to be decided about again with the next view.
+    /// Keeps the current packet; it is handled again with the next view.
     fn hold(&mut self);
-    /// A server confirmed an opening after `time`, as the caller's half shows it.
+    /// Measures the time from an opening to the caller's first packet after it, which
+    /// shows that a server confirmed the opening.
     fn measure_opening(&mut self, time: time::Duration);
-    /// An answer of more than one packet began `time` after its request.
+    /// Measures the time from a request to the caller's acknowledgement of its answer.
     fn measure_response(&mut self, time: time::Duration);
-    /// Tells what was decided and why.
+    /// Records a decision and its reason.
     fn record(&mut self, record: &ForwardingRecord<'_>);
 }
 
-/// The decisions about packets of one host.
+/// Forwards the packets of one host, and keeps the state about flows and servers that this
+/// needs.
 #[derive(Debug)]
 pub struct ForwardingEngine {
     watch: FlowWatch,
     progress: ProgressTable,
-    recent: RecentOpenings,
-    cold: ColdLimiter,
+    recent_openings: RecentOpenings,
+    cold_limiter: ColdLimiter,
     deliveries: DeliveryRecord,
-    lifetimes: FlowLifetimes,
-    unknown: UnknownFlows,
+    flow_lifetimes: FlowLifetimes,
+    unknown_flows: UnknownFlows,
     unwatched: u64,
-    starts: ServerStarts,
+    server_starts: ServerStarts,
     reach: ServerReach,
-    responses: UsualWait,
-    reports: OwnReports,
+    overdue_timeout: OverdueTimeout,
+    own_reports: OwnReports,
     ticks: u32,
-    ran_at: Option<Timestamp>,
+    last_run_at: Option<Timestamp>,
 }
 
-/// The packet at hand and what was looked up for it.
+/// The current packet and what was looked up for it.
 struct PacketContext<'a> {
     now: Timestamp,
     view: &'a ForwardingView,
@@ -81,7 +84,7 @@
 }
 
 impl PacketContext<'_> {
-    /// The caller and the address that it opens flows to.
+    /// The IP address of the caller, and the service address that it opens flows to.
     fn caller(&self) -> (net::IpAddr, net::SocketAddr) {
         (self.packet.flow.caller.ip(), self.packet.flow.service)
     }
@@ -115,54 +118,54 @@
 }
 
 impl ForwardingEngine {
-    /// Creates an engine that watches at most `flows` flows, and reports to other hosts
-    /// as `reporter`.
+    /// Creates an engine that watches at most `flows` flows. `seed` is the seed of the flow
+    /// hash and the same on all hosts; `reporter` identifies this host in its reports.
     pub fn new(flows: usize, seed: u64, reporter: ReporterId) -> Self {
         Self {
             watch: FlowWatch::new(flows, seed),
             progress: ProgressTable::default(),
-            recent: RecentOpenings::default(),
-            cold: ColdLimiter::default(),
+            recent_openings: RecentOpenings::default(),
+            cold_limiter: ColdLimiter::default(),
             deliveries: DeliveryRecord::default(),
-            lifetimes: FlowLifetimes::default(),
-            unknown: UnknownFlows::default(),
+            flow_lifetimes: FlowLifetimes::default(),
+            unknown_flows: UnknownFlows::default(),
             unwatched: 0,
-            starts: ServerStarts::default(),
+            server_starts: ServerStarts::default(),
             reach: ServerReach::default(),
-            responses: UsualWait::default(),
-            reports: OwnReports::new(reporter),
+            overdue_timeout: OverdueTimeout::default(),
+            own_reports: OwnReports::new(reporter),
             ticks: 0,
-            ran_at: None,
+            last_run_at: None,
         }
     }
 
-    /// The flows watched at present.
+    /// The flows that are watched.
     pub const fn watch(&self) -> &FlowWatch {
         &self.watch
     }
 
-    /// How servers do, as far as this host sees.
+    /// What this host has observed of each server.
     pub const fn progress(&self) -> &ProgressTable {
         &self.progress
     }
 
-    /// How many flows found no room to be watched.
+    /// The number of flows that are not watched because the table was full.
     pub const fn unwatched(&self) -> u64 {
         self.unwatched
     }
 
-    /// Whether any server answers this host, as far as it can tell. Otherwise callers are
-    /// better served by hosts elsewhere.
+    /// Whether any server answers this host, as far as it can tell. If none does, callers
+    /// are better served by hosts elsewhere.
     pub const fn reaches_servers(&self) -> bool {
         !self.reach.is_lost()
     }
 
-    /// Takes out what other hosts are to be told of servers.
+    /// Removes and returns the reports about servers that are to be sent to other hosts.
     pub fn take_reports(&mut self) -> Vec<ServerReport> {
-        self.reports.take()
+        self.own_reports.take()
     }
 
-    /// Decides about `packet`.
+    /// Decides about `packet` and passes the decision to `sink`.
     pub fn handle<S: ForwardingSink>(
         &mut self,
         now: Timestamp,
@@ -170,7 +173,7 @@
         packet: &FlowPacket<'_>,
         sink: &mut S,
     ) {
-        self.note_time(now);
+        self.detect_pause(now);
         let context = PacketContext {
             now,
             view,
@@ -189,20 +192,20 @@
     fn forward<S: ForwardingSink>(&mut self, context: &PacketContext<'_>, sink: &mut S) {
         let flow = &context.packet.flow;
         if context.route.is_none() && context.view.routes.dropped(&flow.service).is_some() {
-            self.end(context);
+            self.stop_watching(context);
             sink.reset();
             let outcome = ForwardingOutcome::RouteDroppedReset;
             return context.record(outcome, None, 0, 0, sink);
         }
         let token = context.packet.token;
         let Some(server) = context.view.directory.find(token, context.route) else {
-            return self.meet_unknown_token(context, sink);
+            return self.handle_unknown_token(context, sink);
         };
         let silence = self.observe(context, server, sink);
         let copies = silence.copies;
-        let lost_thrice = self.note_losses(context, server, silence);
-        if self.is_over(context, server, silence, lost_thrice) {
-            self.end(context);
+        let triple_loss = self.note_triple_loss(context, server, silence);
+        if self.needs_reset(context, server, silence, triple_loss) {
+            self.stop_watching(context);
             sink.reset();
             let outcome = ForwardingOutcome::SilentServerReset;
             let flows = self.progress.flows(server.id);
@@ -217,21 +220,26 @@
         let flows = self.progress.flows(server.id);
         context.record(outcome, Some(server), copies, flows, sink);
         if matches!(context.packet.kind, PacketKind::Closing | PacketKind::Reset) {
-            self.end(context);
+            self.stop_watching(context);
         }
     }
 
-    /// No known server has the token of the packet. Its server may have been added
-    /// a moment ago, so that another host knew it first; then the caller's next
-    /// packet finds it. It may also have left while this host was not running;
-    /// its caller would wait for ever, and is told once the store has said
-    /// since that there is no such server.
-    fn meet_unknown_token<S: ForwardingSink>(&mut self, context: &PacketContext<'_>, sink: &mut S) {
+    /// Handles a packet whose token belongs to no known server.
+    ///
+    /// The server may be so new that only another host knew it; then the caller's next
+    /// packet finds it. Or the server left while this host was not running. Its caller
+    /// would wait forever, so the flow is reset as soon as a later view still lacks the
+    /// server.
+    fn handle_unknown_token<S: ForwardingSink>(
+        &mut self,
+        context: &PacketContext<'_>,
+        sink: &mut S,
+    ) {
         let (now, view) = (context.now, context.view);
-        let since = self.unknown.note(context.packet.flow, now);
-        let learned_since = view.heard_at >= since.after(UNKNOWN_PATIENCE);
-        if learned_since && view.is_usable() && view.is_complete(now) {
-            self.unknown.remove(&context.packet.flow);
+        let since = self.unknown_flows.note(context.packet.flow, now);
+        let is_later_view = view.heard_at >= since.after(UNKNOWN_TOKEN_DELAY);
+        if is_later_view && view.is_usable() && view.is_complete(now) {
+            self.unknown_flows.remove(&context.packet.flow);
             sink.reset();
             context.record(ForwardingOutcome::UnknownTokenReset, None, 0, 0, sink);
         } else {
@@ -240,13 +248,14 @@
         }
     }
 
-    fn end(&mut self, context: &PacketContext<'_>) {
+    fn stop_watching(&mut self, context: &PacketContext<'_>) {
         let watched = self.watch.remove(context.hash, &context.packet.flow);
         if context.packet.kind == PacketKind::Closing
             && let Some(opened_at) = watched.and_then(|watched| watched.opened_at)
         {
             let service = context.packet.flow.service;
-            self.lifetimes.note(service, context.now.since(opened_at));
+            self.flow_lifetimes
+                .note(service, context.now.since(opened_at));
         }
         if let Some(watched) = watched.filter(|watched| watched.counted) {
             self.progress.remove_flow(watched.server);
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/upkeep.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/maintenance.rs
@@ -1,5 +1,5 @@
-//! What the engine does as time passes: it ends flows whose servers have gone, and
-//! forgets what is old.
+//! Periodic work of the engine: ends flows whose servers are dead, reports silent servers
+//! to other hosts, and removes old entries.
 
 use std::time;
 
@@ -12,46 +12,48 @@
 use crate::forwarding::server_reports::{ReportSubject, ServerSilence};
 use crate::forwarding::view::ForwardingView;
 
-/// Ticks between two sweeps over all flows, which are a second apart.
+/// Ticks between two sweeps over all flows: one second.
 const SWEEP_TICKS: u32 = 10;
-/// Ticks between two looks at requests that wait for too long.
+/// Ticks between two checks for requests that have waited too long.
 const OVERDUE_TICKS: u32 = 2;
-/// A gap this long without a tick or a packet means that this process did not run:
-/// what waited meanwhile says nothing about servers. Callers send again after
-/// 200 ms, so that a shorter gap brings no packet and its copy together.
-const SLEEP_GAP: time::Duration = time::Duration::from_millis(200);
+/// A gap this long without a tick or a packet means that this process did not run.
+/// Packets that were queued during the gap show nothing about servers. Callers send again
+/// after 200 ms, so a shorter gap never delivers a packet together with its copy.
+const PAUSE_GAP: time::Duration = time::Duration::from_millis(200);
 
 impl ForwardingEngine {
-    /// Ends flows whose servers have gone, and forgets what is old. To be called
-    /// every [`super::TICK_PERIOD`].
+    /// Ends flows whose servers are dead, updates the reports for other hosts and removes
+    /// old entries. Must be called every [`super::TICK_PERIOD`].
     pub fn tick<S: ForwardingSink>(&mut self, now: Timestamp, view: &ForwardingView, sink: &mut S) {
-        self.note_time(now);
+        self.detect_pause(now);
         if self.reach.review(view, now) {
             self.progress.pardon(now);
         }
         self.report_unconfirmed(now);
         self.report_overdue(now);
-        self.object(view);
+        self.refute_reports(view);
         while self.can_judge(now)
             && let Some(server) = self.progress.take_absent(now)
         {
             let may_end = |watched: &WatchedFlow| watched.can_be_ended(now);
             self.end_flows(now, view, &[server], may_end, sink);
         }
-        self.end_reported(now, view, sink);
-        self.end_vanished(now, view, sink);
-        self.end_restarted(now, view, sink);
+        self.end_reported_flows(now, view, sink);
+        self.end_vanished_flows(now, view, sink);
+        self.end_restarted_flows(now, view, sink);
         self.ticks = (self.ticks + 1) % SWEEP_TICKS;
         if self.ticks == 0 {
             self.sweep(now, view);
         }
     }
 
-    /// Drops every suspicion where this process did not run for a while.
-    pub(super) fn note_time(&mut self, now: Timestamp) {
-        let slept = self.ran_at.is_some_and(|at| now.since(at) >= SLEEP_GAP);
-        self.ran_at = Some(now);
-        if slept {
+    /// Clears all suspicions against servers if this process did not run for a while.
+    pub(super) fn detect_pause(&mut self, now: Timestamp) {
+        let paused = self
+            .last_run_at
+            .is_some_and(|at| now.since(at) >= PAUSE_GAP);
+        self.last_run_at = Some(now);
+        if paused {
             self.reach.forget_silence();
             self.progress.pardon(now);
         }
@@ -64,98 +66,103 @@
                 progress.remove_flow(watched.server);
             });
         progress.retain(|id| view.directory.get(id).is_some());
-        self.cold.retain(|id| view.directory.get(id).is_some());
-        self.unknown.sweep(now);
-        self.recent.sweep(now);
+        self.cold_limiter
+            .retain(|id| view.directory.get(id).is_some());
+        self.unknown_flows.sweep(now);
+        self.recent_openings.sweep(now);
         self.deliveries.sweep(now);
     }
 
-    /// Tells others of servers that confirm no openings, where other servers do.
+    /// Reports servers that confirm no openings, if other servers do.
     ///
-    /// Guards against servers that crash together: each resets callers at once, so that it
-    /// seems idle and draws openings on every host, which would each have to learn of it.
-    /// It shows as callers that use up their retries within milliseconds. It only keeps new
-    /// flows away: after a change of the rotation confirmations pass other hosts.
+    /// Guards against several servers that crash together. A crashed server resets callers
+    /// at once, so it seems idle and attracts new flows on every host until that host has
+    /// found out by itself; callers use up their retries within milliseconds. These reports
+    /// only keep new flows away from a server, because after a change of the rotation its
+    /// confirmations may pass through other hosts.
     fn report_unconfirmed(&mut self, now: Timestamp) {
         let unconfirmed = self.progress.take_unconfirmed(now);
         for (server, flows, since) in unconfirmed {
-            if self.deliveries.was_open_at(since) && !self.deliveries.is_in_doubt(now) {
+            if self.deliveries.was_delivering_at(since) && !self.deliveries.is_link_lossy(now) {
                 let silence = ServerSilence { flows, since };
                 let subject = ReportSubject::Openings;
-                self.reports.note_silence(server, subject, silence, now);
+                self.own_reports.note_silence(server, subject, silence, now);
             }
         }
     }
 
-    /// Ends flows on servers that several hosts together show to have gone.
+    /// Ends flows on servers that are dead by the reports of several hosts.
     ///
-    /// Guards against a server that dies while each host sees one or two of its flows. It
-    /// shows as requests that are lost one by one on all hosts, seconds after the first.
-    /// That this host cannot judge by itself does not matter: the others can.
-    fn end_reported<S: ForwardingSink>(
+    /// Guards against a server that dies while each host sees only one or two of its flows:
+    /// requests would be lost one by one on all hosts, seconds after the first. This also
+    /// runs while this host cannot judge servers itself, because the reports of the other
+    /// hosts are still valid.
+    fn end_reported_flows<S: ForwardingSink>(
         &mut self,
         now: Timestamp,
         view: &ForwardingView,
         sink: &mut S,
     ) {
         let mut servers = view.reports.servers(ReportSubject::Delivery);
-        servers.retain(|id| self.progress.flows(*id) > 0 && self.is_reported(view, *id, now));
+        servers.retain(|id| self.progress.flows(*id) > 0 && self.is_reported_dead(view, *id, now));
         if !servers.is_empty() {
             let may_end = |watched: &WatchedFlow| watched.can_be_ended(now);
             self.end_flows(now, view, &servers, may_end, sink);
         }
     }
 
-    /// Tells others of servers at which requests wait for much longer than usual.
+    /// Reports servers at which requests wait much longer than usual.
     ///
-    /// Guards against a server that takes requests and resets its callers, or never
-    /// answers, while it says that it is well. Hosts see neither resets nor answers, only
-    /// that callers acknowledge none; each such request of a caller that may not repeat it
-    /// is lost. It only keeps new flows away: an acknowledgement may pass another host, and
-    /// a flow that is ended for it would break a session whose server serves.
+    /// Guards against a server that accepts requests and then resets its callers or never
+    /// answers, while its entry in the store says that it is healthy. Hosts see neither
+    /// resets nor answers, only that callers acknowledge no answer. Each such request that
+    /// is not idempotent is lost. These reports only keep new flows away from a server: an
+    /// acknowledgement may pass through another host, and ending the flow would then break
+    /// a working session.
     fn report_overdue(&mut self, now: Timestamp) {
         if !self.ticks.is_multiple_of(OVERDUE_TICKS) {
             return;
         }
-        let patience = self.responses.patience();
+        let timeout = self.overdue_timeout.timeout();
         let mut overdue = Vec::new();
         self.watch.visit(|watched| {
-            if let Some(asked_at) = watched.take_overdue(patience, now) {
-                overdue.push((watched.server, asked_at));
+            if let Some(sent_at) = watched.take_overdue(timeout, now) {
+                overdue.push((watched.server, sent_at));
             }
         });
-        for (server, asked_at) in overdue {
+        for (server, sent_at) in overdue {
             let subject = ReportSubject::Answers;
-            let silence = self.progress.note_overdue(server, asked_at, now);
+            let silence = self.progress.note_overdue(server, sent_at, now);
             let answered_at = self.progress.well_at(server, subject);
             let answers_others = answered_at.is_some_and(|at| silence.is_refuted_by(at));
-            if !answers_others && !self.deliveries.is_in_doubt(now) {
-                self.reports.note_silence(server, subject, silence, now);
+            if !answers_others && !self.deliveries.is_link_lossy(now) {
+                self.own_reports.note_silence(server, subject, silence, now);
             }
         }
     }
 
-    /// Says of servers that others report what this host has seen to the contrary.
-    fn object(&mut self, view: &ForwardingView) {
+    /// Reports progress of servers that other hosts report as silent, if this host has
+    /// observed some since.
+    fn refute_reports(&mut self, view: &ForwardingView) {
         for subject in ReportSubject::ALL {
             for server in view.reports.servers(subject) {
                 if let Some(well_at) = self.progress.well_at(server, subject)
                     && view.reports.is_refuted_by(server, subject, well_at)
                 {
-                    self.reports.note_well(server, subject, well_at);
+                    self.own_reports.note_well(server, subject, well_at);
                 }
             }
         }
     }
 
-    /// Ends flows that rest on servers that vanished from the store's list though
-    /// the store was there all the time.
+    /// Ends idle flows on servers whose entries vanished from the store although the store
+    /// was reachable all the time.
     ///
-    /// Guards against a server that loses power while its flows rest, where no flow
-    /// tells of it. It shows as requests that are lost one by one, for as long as
-    /// callers have such flows. A server that was only cut off from the store serves
-    /// on, and its callers, who wait for nothing, merely open another flow.
-    fn end_vanished<S: ForwardingSink>(
+    /// Guards against a server that loses power while all its flows are idle, so that no
+    /// packet shows it: the next request on each of them would be lost. If the server was
+    /// only cut off from the store, its callers lose nothing, because they wait for no
+    /// answer and can open another flow.
+    fn end_vanished_flows<S: ForwardingSink>(
         &mut self,
         now: Timestamp,
         view: &ForwardingView,
@@ -168,29 +175,29 @@
         let vanished = vanished.map(|server| server.id);
         let vanished: Vec<_> = vanished.filter(|id| self.progress.flows(*id) > 0).collect();
         if !vanished.is_empty() {
-            let may_end = |watched: &WatchedFlow| watched.is_resting(now);
+            let may_end = |watched: &WatchedFlow| watched.is_idle(now);
             self.end_flows(now, view, &vanished, may_end, sink);
         }
     }
 
-    /// Lets servers that started again under their identifiers begin anew, and ends
-    /// flows that rest on what ran before.
+    /// Drops the state of servers that restarted under the same identifier, and ends idle
+    /// flows that were opened to the earlier process.
     ///
-    /// A caller that rests would be reset by the server with its next request, which
-    /// is lost where it may run only once; told now, it opens another flow for it. A
-    /// caller that waits for an answer is left to the server: its next repetition is
-    /// answered with a reset at once, and it may be a caller of the new process.
-    fn end_restarted<S: ForwardingSink>(
+    /// The restarted server would reset an idle flow at its next request, and that request
+    /// is lost if it is not idempotent. After a reset now, the caller opens another flow
+    /// for it. Flows that wait for an answer are not ended: they may belong to the new
+    /// process, and if not, it answers their next repetition with a reset.
+    fn end_restarted_flows<S: ForwardingSink>(
         &mut self,
         now: Timestamp,
         view: &ForwardingView,
         sink: &mut S,
     ) {
-        let restarted = self.starts.take_restarted(&view.directory);
+        let restarted = self.server_starts.take_restarted(&view.directory);
         if restarted.is_empty() {
             return;
         }
-        let may_end = |watched: &WatchedFlow| watched.is_resting(now);
+        let may_end = |watched: &WatchedFlow| watched.is_idle(now);
         self.end_flows(now, view, &restarted, may_end, sink);
         self.watch.stop_counting(&restarted);
         for server in restarted {
@@ -198,10 +205,9 @@
         }
     }
 
-    /// Ends the flows on `servers`, which are in rising order and have gone, that
-    /// `may_end`. A caller that rests on such a flow would send its next request
-    /// into the void; one that may run only once would then be lost, whereas a
-    /// caller that knows opens another flow.
+    /// Ends those flows on dead `servers`, which are in ascending order, for which `may_end`
+    /// holds. Otherwise the next request on such a flow would get no answer, and would be
+    /// lost if it is not idempotent. After a reset the caller opens another flow for it.
     fn end_flows<S: ForwardingSink>(
         &mut self,
         now: Timestamp,
@@ -210,7 +216,7 @@
         may_end: impl Fn(&WatchedFlow) -> bool,
         sink: &mut S,
     ) {
-        for (flow, watched) in self.watch.take_endable(servers, may_end) {
+        for (flow, watched) in self.watch.take_matching(servers, may_end) {
             let server = watched.server;
             if watched.counted {
                 self.progress.remove_flow(server);
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/judging.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/open_flows.rs
@@ -1,5 +1,5 @@
-//! What the engine makes of the packets of open flows: how their servers do, and whether
-//! anybody will still answer.
+//! Handling of packets of open flows: what they show about their servers, and whether the
+//! flow has to be reset because its server will not answer.
 
 use std::time;
 
@@ -12,17 +12,18 @@
 use crate::forwarding::server_reports::ReportSubject;
 use crate::forwarding::view::ForwardingView;
 
-/// How often a caller must have sent the same data again to a server that is silent
-/// or off the list before it is told.
-const HOPELESS_COPIES: u32 = 1;
-/// And how often where nothing but its own flow tells so. Callers send again after
-/// 200 ms and 600 ms; with the second copy two losses in a row are known.
-const LONE_COPIES: u32 = 2;
-/// Copies that come sooner were doubled on their way.
-const LONE_SILENCE: time::Duration = time::Duration::from_millis(500);
+/// The number of repetitions of the same data after which a flow is reset if other
+/// evidence shows that its server is dead.
+const RESET_COPIES: u32 = 1;
+/// The number of repetitions that is needed if only the flow itself shows it. Callers
+/// send again after 200 ms and 600 ms; the second copy shows two losses in a row.
+const SINGLE_FLOW_COPIES: u32 = 2;
+/// Copies that come sooner than this were duplicated by the network.
+const SINGLE_FLOW_SILENCE: time::Duration = time::Duration::from_millis(500);
 
 impl ForwardingEngine {
-    /// Notes what the packet says about the flow and its server.
+    /// Updates the state of the flow and of its server from the packet. Returns how often
+    /// its data were sent without an acknowledgement.
     pub(super) fn observe<S: ForwardingSink>(
         &mut self,
         context: &PacketContext<'_>,
@@ -44,7 +45,7 @@
             let time = now.since(watched.seen_at);
             self.reach.note_opened(now);
             sink.measure_opening(time);
-            if time < flow_watch::LEAST_PATIENCE {
+            if time < flow_watch::MIN_RESEND_INTERVAL {
                 self.deliveries.note(watched.seen_at);
             }
         }
@@ -65,13 +66,13 @@
             if was_repeated {
                 self.deliveries.note_late(server.id, now);
             }
-            self.recent.confirm(context.caller());
+            self.recent_openings.confirm(context.caller());
             if watched.has_answer() {
                 self.progress.note_answer(server.id, now);
             }
             if let Some(response) = watched.take_response_time(closing, now) {
                 sink.measure_response(response);
-                self.responses.note(response);
+                self.overdue_timeout.note_response(response);
                 self.progress.note_response(server.id, response, now);
             }
         }
@@ -80,7 +81,7 @@
         }
         let silence = watched.note_data(packet.sequence, now, &self.deliveries);
         if silence.copies == 0 {
-            watched.note_asked(now);
+            watched.note_request(now);
         }
         if silence.copies > 0 {
             self.reach.note_repetition(server.id, silence.since);
@@ -93,21 +94,22 @@
         silence
     }
 
-    /// Tells others that flows on `server` met silence, where that says something about
-    /// the server rather than about this host.
+    /// Reports to other hosts that flows on `server` get no acknowledgement, unless this
+    /// host itself seems to lose packets.
     pub(super) fn report_silence(&mut self, server: BackendId, now: Timestamp) {
-        if self.deliveries.is_in_doubt(now) {
+        if self.deliveries.is_link_lossy(now) {
             return;
         }
         if let Some(silence) = self.progress.silence(server) {
             let subject = ReportSubject::Delivery;
-            self.reports.note_silence(server, subject, silence, now);
+            self.own_reports.note_silence(server, subject, silence, now);
         }
     }
 
-    /// Whether several hosts together show that `server` has gone, while others answer this
-    /// host: a caller who is told must find one that serves it.
-    pub(super) fn is_reported(
+    /// Whether the reports of several hosts show that `server` is dead, while other servers
+    /// answer this host. Without those, a caller whose flow is reset would find no server
+    /// for its next one.
+    pub(super) fn is_reported_dead(
         &self,
         view: &ForwardingView,
         server: BackendId,
@@ -121,54 +123,56 @@
         view.reports.is_silent(server, subject, well_at, now)
     }
 
-    /// Whether nobody will answer the flow any more, and its caller is to be told.
+    /// Whether the server of the flow is dead, so that the flow must be reset.
     ///
-    /// Guards against callers that wait until their deadlines for a server that has
-    /// gone. One repetition tells an idempotent caller, who asks again elsewhere, where
-    /// the store has lost the server or several flows meet silence, here or on several
-    /// hosts; three losses in a
-    /// row do where nobody saw the server make progress meanwhile: hosts of large fleets
-    /// see one or two flows of each server. A caller that may not repeat itself gains
-    /// nothing by a reset while an answer may come; it is told where the store has given
-    /// the server up for good.
-    pub(super) fn is_over(
+    /// Guards against callers that wait until their deadlines for a dead server.
+    ///
+    /// On an idempotent route the caller sends its request again on another flow. There
+    /// one repetition is enough if the server is no longer in the store, or if several
+    /// flows get no acknowledgement, on this host or on several. Three losses in a row on
+    /// one flow are enough as well if the server made no progress in the meantime, because
+    /// hosts of large fleets see only one or two flows of each server.
+    ///
+    /// On other routes a reset is of no use while an answer may still come. There the flow
+    /// is reset only if the server has left the store for good.
+    pub(super) fn needs_reset(
         &self,
         context: &PacketContext<'_>,
         server: &ServerRecord,
         silence: FlowSilence,
-        lost_thrice: bool,
+        triple_loss: bool,
     ) -> bool {
-        let reported = self.is_reported(context.view, server.id, context.now);
+        let reported = self.is_reported_dead(context.view, server.id, context.now);
         if reported && context.is_idempotent() {
-            return silence.copies >= HOPELESS_COPIES;
+            return silence.copies >= RESET_COPIES;
         }
         let left = matches!(server.phase, ServerPhase::Left { .. });
         let vanished = server.has_vanished() && context.view.is_complete(context.now);
-        let over = if context.is_idempotent() {
+        let is_dead = if context.is_idempotent() {
             let silent = || silence.losses > 0 && self.progress.is_silent(server.id, context.now);
-            silence.copies >= HOPELESS_COPIES && (left || vanished || lost_thrice || silent())
+            silence.copies >= RESET_COPIES && (left || vanished || triple_loss || silent())
         } else {
-            left && silence.copies >= LONE_COPIES
+            left && silence.copies >= SINGLE_FLOW_COPIES
         };
-        over && self.can_judge(context.now)
+        is_dead && self.can_judge(context.now)
     }
 
-    /// Whether what this host sees of servers says something about them rather than
-    /// about itself.
+    /// Whether silence that this host observes is caused by servers, and not by this host
+    /// or its link.
     pub(super) fn can_judge(&self, now: Timestamp) -> bool {
-        self.progress.is_trustworthy(now) && !self.deliveries.is_in_doubt(now)
+        self.progress.is_trustworthy(now) && !self.deliveries.is_link_lossy(now)
     }
 
-    /// Notes where the data of a flow were lost three times in a row, and whether that
-    /// says that the server has gone.
-    pub(super) fn note_losses(
+    /// Records that the data of a flow were lost three times in a row. Returns whether that
+    /// shows that the server is dead.
+    pub(super) fn note_triple_loss(
         &mut self,
         context: &PacketContext<'_>,
         server: &ServerRecord,
         silence: FlowSilence,
     ) -> bool {
-        silence.losses >= LONE_COPIES
-            && context.now.since(silence.since) >= LONE_SILENCE
+        silence.losses >= SINGLE_FLOW_COPIES
+            && context.now.since(silence.since) >= SINGLE_FLOW_SILENCE
             && self.progress.note_lost_thrice(server.id, silence.since)
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
@@ -1,5 +1,5 @@
-//! What the engine does with openings: it places them, and moves copies that a server
-//! left without an answer.
+//! Handling of openings: chooses a server for each new flow, and another one if the
+//! caller repeats an opening because the first server did not answer.
 
 use cardamomwinch_state::prelude::{BackendId, ServiceId};
 
@@ -12,8 +12,8 @@
 use crate::forwarding::record::ForwardingOutcome;
 use crate::forwarding::routes;
 
-/// Copies of an opening after which the caller gives up.
-const LAST_COPY: u32 = 2;
+/// The number of the last copy of an opening that a caller sends.
+const LAST_OPENING_COPY: u32 = 2;
 
 impl ForwardingEngine {
     pub(super) fn open<S: ForwardingSink>(
@@ -35,8 +35,8 @@
     }
 
     fn refuse_route<S: ForwardingSink>(context: &PacketContext<'_>, copy: u32, sink: &mut S) {
-        // A host that lags behind must not refuse a route that was just added;
-        // the caller's next copy may meet another host, or this one later.
+        // A host with an outdated view must not refuse a route that was just added. The
+        // caller's next copy may reach another host, or this one with a newer view.
         if context.view.is_usable() && context.view.is_complete(context.now) {
             sink.reset();
             context.record(ForwardingOutcome::NoRouteReset, None, copy, 0, sink);
@@ -59,9 +59,9 @@
             sink.reset();
             return context.record(ForwardingOutcome::ForbiddenReset, None, copy, 0, sink);
         }
-        // A server may come between two copies. After the last one the caller
-        // would only wait in vain.
-        if copy >= LAST_COPY {
+        // A server may be added between two copies. After the last copy the caller
+        // would only wait until its deadline.
+        if copy >= LAST_OPENING_COPY {
             sink.reset();
             context.record(ForwardingOutcome::NoServerReset, None, copy, 0, sink);
         } else {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Which servers of `service` operators let the flow at hand go to.
+    /// Which servers of `service` may take the current flow by the settings of operators.
     fn permission<'a>(
         &'a self,
         context: &PacketContext<'a>,
@@ -78,17 +78,23 @@
     ) -> FlowPermission<'a> {
         let regions = context.route.map(|route| route.regions.as_slice());
         let allowed = regions.unwrap_or_default();
-        FlowPermission::new(context.view, service, allowed, &self.cold, context.now)
+        FlowPermission::new(
+            context.view,
+            service,
+            allowed,
+            &self.cold_limiter,
+            context.now,
+        )
     }
 
-    /// A new flow goes to `server`.
+    /// Counts a new flow against the limit of `server`, if it is cold.
     fn note_cold(&mut self, context: &PacketContext<'_>, server: &ServerRecord) {
         if self.permission(context, server.service).is_bounded(server) {
-            self.cold.note(server.id, context.now);
+            self.cold_limiter.note(server.id, context.now);
         }
     }
 
-    fn question<'a>(
+    fn placement_input<'a>(
         &'a self,
         context: &PacketContext<'a>,
         service: ServiceId,
@@ -103,7 +109,7 @@
             service,
             subject: routes::server_subject(context.hash),
             latency_goal: goal.unwrap_or_default(),
-            is_short: self.lifetimes.are_short(&context.packet.flow.service),
+            is_short: self.flow_lifetimes.are_short(&context.packet.flow.service),
             now: context.now,
         }
     }
@@ -115,17 +121,17 @@
         copy: u32,
         sink: &mut S,
     ) {
-        let question = self.question(context, service);
+        let input = self.placement_input(context, service);
         let caller = context.caller();
-        let avoid = |id: BackendId| self.recent.contains(caller, id, context.now);
-        let Some(server) = question.choose(avoid).cloned() else {
+        let avoid = |id: BackendId| self.recent_openings.contains(caller, id, context.now);
+        let Some(server) = input.choose(avoid).cloned() else {
             return self.refuse_server(context, Some(service), copy, sink);
         };
         let watched = WatchedFlow::opening(server.id, copy, context.is_idempotent(), context.now);
         self.start_watching(context, watched);
         self.note_cold(context, &server);
         self.progress.note_opening(server.id, context.now);
-        self.recent.note(caller, server.id, context.now);
+        self.recent_openings.note(caller, server.id, context.now);
         sink.send(&server, FlowToken::of_server(server.id));
         let flows = self.progress.flows(server.id);
         let outcome = ForwardingOutcome::OpeningPlaced;
@@ -141,15 +147,15 @@
         sink: &mut S,
     ) {
         let earlier = watched.server;
-        // Copies that waited together, in this process or before it, come in one
-        // burst and say nothing about the server.
-        let waited = context.now.since(watched.seen_at) >= flow_watch::LEAST_PATIENCE;
+        // Copies that were queued together, in this process or before it, arrive in one
+        // burst and do not show that the server is silent.
+        let is_late = context.now.since(watched.seen_at) >= flow_watch::MIN_RESEND_INTERVAL;
         let is_copy = match watched.stage {
-            FlowStage::Opening { copy: last, .. } => copy > last && waited,
+            FlowStage::Opening { copy: last, .. } => copy > last && is_late,
             FlowStage::Open => false,
         };
         if is_copy {
-            let proven = self.deliveries.was_open_at(watched.seen_at);
+            let proven = self.deliveries.was_delivering_at(watched.seen_at);
             let sent_at = watched.seen_at;
             self.reach.note_unopened(earlier, sent_at);
             self.progress
@@ -158,7 +164,7 @@
                 self.report_silence(earlier, context.now);
             }
         }
-        let question = self.question(context, service);
+        let input = self.placement_input(context, service);
         let avoid = |id: BackendId| is_copy && (id == earlier || watched.was_tried(id));
         let permission = self.permission(context, service);
         let still_active = |server: &&ServerRecord| {
@@ -166,7 +172,7 @@
         };
         let known = context.view.directory.get(earlier).filter(still_active);
         let chosen = if is_copy || known.is_none() {
-            question.choose(avoid)
+            input.choose(avoid)
         } else {
             known
         };
@@ -195,7 +201,8 @@
         context.record(outcome, Some(&server), copy, flows, sink);
     }
 
-    /// Watches a flow. A full table loses the count of it and nothing else.
+    /// Starts to watch a flow. If the table is full, the flow is forwarded all the same but
+    /// doesn't count as load of its server.
     pub(super) fn start_watching(&mut self, context: &PacketContext<'_>, watched: WatchedFlow) {
         let flow = context.packet.flow;
         match self.watch.insert(context.hash, flow, watched) {
--- a/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
@@ -1,4 +1,5 @@
-//! Failure domains whose servers operators have taken out of service for new flows.
+//! Evacuations: failure domains whose servers may receive no new flows by an operator's
+//! command.
 
 use std::time;
 
@@ -6,43 +7,44 @@
 
 use crate::forwarding::beliefs::store_call::StoreRevision;
 
-/// For so long an evacuation that ended is remembered, to be told to hosts that still
-/// hold it for lasting: more than any host that serves may lag behind.
+/// How long an evacuation that ended is kept, so that its end reaches hosts that still
+/// consider it active. No host that serves has data that is older than this.
 const ENDED_MEMORY: time::Duration = time::Duration::from_secs(60);
-/// For so long an evacuation that a store lacks which came back from a copy still counts:
-/// operators write it again within some two seconds.
+/// How long an evacuation stays active that is missing from a store after its restore from
+/// a backup. Operators write it again within about two seconds.
 const MISSING_GRACE: time::Duration = time::Duration::from_secs(3);
 
-/// Whether the servers of a domain may get new flows.
+/// Whether the servers of a domain may receive new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvacuationPhase {
     /// They may not.
     Lasting,
-    /// They may not, though the store, which came back from a copy, does not say so.
+    /// They may not, although the evacuation is missing from the store, which was restored
+    /// from a backup.
     Missing {
-        /// When this host learned so.
+        /// When this host learned of it.
         since: Timestamp,
     },
-    /// They may again. All of them may have started anew meanwhile.
+    /// They may again. All of them may have been restarted in the meantime.
     Ended {
-        /// When this host learned so.
+        /// When this host learned of it.
         at: Timestamp,
     },
 }
 
-/// What is known of one evacuation.
+/// One evacuation and its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EvacuationRecord {
     /// The evacuated domain.
     pub domain: DomainId,
-    /// Whether it lasts.
+    /// Whether it is active.
     pub phase: EvacuationPhase,
-    /// The revision of the store that began or ended it.
+    /// The revision of the store at which it began or ended.
     pub changed: StoreRevision,
 }
 
 impl EvacuationRecord {
-    /// Whether it lasts.
+    /// Whether it is active, so that servers of the domain receive no new flows.
     pub const fn is_lasting(&self) -> bool {
         matches!(
             self.phase,
@@ -50,38 +52,38 @@
         )
     }
 
-    /// What becomes of it, which counts, by a listing at `revision` that lacks it.
+    /// The next phase of this active evacuation after a listing at `revision` without it.
     fn phase_unlisted(&self, revision: StoreRevision, now: Timestamp) -> EvacuationPhase {
         match self.phase {
             _ if self.changed.era() < revision.era() => EvacuationPhase::Missing { since: now },
-            // It is ended once it could have been written again.
+            // Ends only after there was time to write it again.
             EvacuationPhase::Missing { since } => EvacuationPhase::Missing { since },
             _ => EvacuationPhase::Ended { at: now },
         }
     }
 }
 
-/// The evacuations that last or ended lately. The later revision of the store wins, in
-/// whatever order hosts learn.
+/// The evacuations that are active or ended recently. The record with the later revision of
+/// the store wins, whatever order records come in.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationTable {
     domains: SortedVector<DomainId, EvacuationRecord>,
 }
 
 impl EvacuationTable {
-    /// The evacuations, also those that ended lately.
+    /// All evacuations, including those that ended recently.
     pub fn iter(&self) -> impl Iterator<Item = &EvacuationRecord> {
         self.domains.values()
     }
 
-    /// Whether the servers of `domain` are to get no new flows.
+    /// Whether the servers of `domain` may receive no new flows.
     pub fn is_evacuated(&self, domain: DomainId) -> bool {
         let record = self.domains.get(&domain);
         record.is_some_and(EvacuationRecord::is_lasting)
     }
 
-    /// The evacuation of `domain`, where it ended lately: when this host learned so, and
-    /// by which revision.
+    /// When this host learned that the evacuation of `domain` ended, and the revision at
+    /// which it did; `None` if it is active or did not end recently.
     pub fn ended(&self, domain: DomainId) -> Option<(Timestamp, StoreRevision)> {
         let record = self.domains.get(&domain)?;
         match record.phase {
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Takes over `record` unless something later is known. Returns whether that changed
-    /// who may get new flows.
+    /// Stores `record` unless a later one is known. Returns whether this changed which
+    /// servers may receive new flows.
     pub fn note(&mut self, record: EvacuationRecord) -> bool {
         let known = self.domains.get(&record.domain);
         if known.is_some_and(|known| known.changed >= record.changed) {
@@ -102,9 +104,9 @@
         was_lasting != record.is_lasting()
     }
 
-    /// Takes over a whole listing, read at `revision`: what is not `listed` has ended, but
-    /// for what the store may only have lost when it came back from a copy. Returns the
-    /// evacuations that began or ended by it.
+    /// Applies a complete listing, read at `revision`. Evacuations that are not `listed`
+    /// have ended, except those that the store may have lost in a restore from a backup.
+    /// Returns the evacuations that began or ended by this.
     pub fn replace(
         &mut self,
         listed: &[EvacuationRecord],
@@ -124,13 +126,14 @@
         records.into_iter().filter(|one| self.note(*one)).collect()
     }
 
-    /// Whether the store may have lost any of those that count.
+    /// Whether the store may have lost an active evacuation in a restore.
     pub fn has_missing(&self) -> bool {
         let mut records = self.iter();
         records.any(|one| matches!(one.phase, EvacuationPhase::Missing { .. }))
     }
 
-    /// Ends evacuations that nobody has written again in time. Returns them.
+    /// Ends evacuations that were missing after a restore and not written again in time.
+    /// Returns them.
     pub fn end_missing(&mut self, now: Timestamp) -> Vec<EvacuationRecord> {
         let mut ended = Vec::new();
         for (_, record) in self.domains.iter_mut() {
@@ -144,13 +147,13 @@
         ended
     }
 
-    /// Whether there is anything to forget or to remember.
+    /// Whether no evacuation is known, not even one that ended.
     pub fn is_empty(&self) -> bool {
         self.domains.is_empty()
     }
 
-    /// Forgets evacuations that ended long ago. Returns the last revision that ended one
-    /// of them.
+    /// Removes evacuations that ended too long ago. Returns the highest revision at which
+    /// one of the removed evacuations ended.
     pub fn age(&mut self, now: Timestamp) -> Option<StoreRevision> {
         let mut forgotten = None;
         self.domains.retain(|_, record| {
--- a/crates/cardamomwinch_coordination/src/forwarding/explanation.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/explanation.rs
@@ -1,4 +1,4 @@
-//! Tells operators what a host would do with a packet of a flow, and by what.
+//! Shows operators what a host would do with a packet of a flow, and why.
 
 use cardamomwinch_state::prelude::{BackendId, FlowHasher, FlowKey, ServiceId, Timestamp};
 
@@ -10,24 +10,25 @@
 use crate::forwarding::routes::RouteEntry;
 use crate::forwarding::view::ForwardingView;
 
-/// What would be done with a packet.
+/// What a host would do with a packet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FlowExplanation {
-    /// What would be decided.
+    /// The decision.
     pub outcome: ForwardingOutcome,
     /// The route that leads from the address, if one does.
     pub route: Option<String>,
-    /// The service of the flow, if there is one.
+    /// The service of the flow, if it can be determined.
     pub service: Option<ServiceId>,
-    /// The server of the flow, where its token names a known one.
+    /// The server of the flow, if the token belongs to a known one.
     pub server: Option<BackendId>,
-    /// The servers that may take an opening, cold ones as far as their bound allows: those
-    /// of the own domain, or all where it has none. Which of them takes it depends on the flows of that moment.
+    /// The servers that may take an opening: those of the own domain, or all if it has none.
+    /// Cold ones are included, though their rate limit may exclude them. Which server is
+    /// chosen depends on the current number of flows on each.
     pub candidates: Vec<BackendId>,
 }
 
-/// What `view` makes of `flow`: of an opening, or of data with `token`. The hosts
-/// of a fleet must use the same `hasher`.
+/// Explains the decision by `view` about a packet of `flow`: about data if there is a
+/// `token`, otherwise about an opening. `hasher` must be the same on all hosts of a fleet.
 pub fn explain(
     view: &ForwardingView,
     flow: &FlowKey,
--- a/crates/cardamomwinch_coordination/src/forwarding/flow_lifetimes.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/flow_lifetimes.rs
@@ -1,21 +1,21 @@
-//! How long the flows of each route live.
+//! Measures how long the flows of each route last.
 //!
-//! A flow that leaves its failure domain is stranded where the domain is cut off. That
-//! costs little where callers open a flow for each request, and much where sessions last
-//! for minutes. Nothing configures which is which; how callers close their flows shows it.
+//! A flow to a server in another failure domain breaks if a domain is cut off. That costs
+//! little if callers open a flow for each request, and much if sessions last for minutes.
+//! No setting says which routes are of which kind, so it is measured when callers close
+//! their flows.
 
 use std::net;
 use std::time;
 
 use cardamomwinch_state::prelude::SortedVector;
 
-/// Routes remembered at most: more than a host of today has traffic for. Flows of others
-/// count as long.
+/// The maximum number of routes that are measured. Flows of others count as long.
 const ROUTE_LIMIT: usize = 1_024;
-/// A lifetime counts as one of so many in the moving mean.
+/// A new lifetime enters the moving mean with the weight `1 / LIFETIME_WEIGHT`.
 const LIFETIME_WEIGHT: u32 = 8;
-/// Flows that live no longer than this are short: a request and its answer, not the
-/// several seconds that sessions last.
+/// Flows that last no longer than this are short: a request and its answer. Sessions last
+/// several seconds.
 const SHORT: time::Duration = time::Duration::from_secs(1);
 
 /// The mean lifetime of flows by the address that they were opened to.
@@ -25,7 +25,8 @@
 }
 
 impl FlowLifetimes {
-    /// A flow to `service` was closed by its caller after `lifetime`.
+    /// Records that a flow to the address `service` was closed by its caller after
+    /// `lifetime`.
     pub fn note(&mut self, service: net::SocketAddr, lifetime: time::Duration) {
         if self.means.len() >= ROUTE_LIMIT && !self.means.contains_key(&service) {
             return;
@@ -34,7 +35,8 @@
         *mean = (*mean * (LIFETIME_WEIGHT - 1) + lifetime) / LIFETIME_WEIGHT;
     }
 
-    /// Whether flows to `service` are short. Until some were closed they are not.
+    /// Whether flows to the address `service` are short. They count as long until one was
+    /// closed.
     pub fn are_short(&self, service: &net::SocketAddr) -> bool {
         self.means.get(service).is_some_and(|mean| *mean <= SHORT)
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/flow_watch.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/flow_watch.rs
@@ -1,5 +1,8 @@
-//! The flows that this host has lately seen. Forgetting one breaks nothing,
-//! because its packets name their server; what is lost is how long it waits.
+//! Tracks the flows that this host forwarded packets of recently: their servers, how much
+//! the callers acknowledged and how often they repeated themselves.
+//!
+//! Losing an entry breaks no flow, because each packet carries the token of its server.
+//! Only the history of its repetitions is lost.
 
 use std::time;
 
@@ -9,93 +12,93 @@
 
 use crate::forwarding::deliveries::DeliveryRecord;
 
-/// Flows that were not seen for so long may have ended, or their packets meet
-/// other hosts; they no longer count as load. Callers of long flows pause for less.
-const COUNTING_TIME: time::Duration = time::Duration::from_secs(5);
-/// How long an idle flow is remembered where no configuration says how long flows
-/// may rest.
-const DEFAULT_MEMORY: time::Duration = time::Duration::from_secs(15);
-/// Servers that an opening remembers as tried: callers send two copies.
+/// Flows without a packet for this long no longer count as load: they may have ended, or
+/// their packets reach other hosts. Callers of long flows pause for a shorter time.
+const MAX_COUNTED_IDLE: time::Duration = time::Duration::from_secs(5);
+/// How long an idle flow is tracked if the configuration has no idle timeout.
+const DEFAULT_IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(15);
+/// The number of tried servers that are kept for an opening: callers send two copies.
 const TRIED_LIMIT: usize = 2;
 
-/// Callers wait longer than this before they send anything again.
-pub const LEAST_PATIENCE: time::Duration = time::Duration::from_millis(150);
-/// A caller that neither repeats itself nor goes on for so long has its answer, or
-/// waits for a server that took the request: a few times what requests take.
-const RESTING_TIME: time::Duration = time::Duration::from_secs(1);
+/// Callers always wait longer than this before they send anything again.
+pub const MIN_RESEND_INTERVAL: time::Duration = time::Duration::from_millis(150);
+/// A caller that sends nothing for this long has its answer, or waits for a server that
+/// received the request. It is a few times the usual duration of a request.
+const MIN_IDLE_TIME: time::Duration = time::Duration::from_secs(1);
 /// The most data that one packet carries, in bytes.
-const ONE_PACKET: u32 = 1_200;
+const MAX_PACKET_BYTES: u32 = 1_200;
 
-/// What the repetitions of a caller tell.
+/// How often, and since when, the data of a flow were sent without an acknowledgement.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct FlowSilence {
-    /// How often the same data were sent again without any progress.
+    /// How often the same data were sent again without progress.
     pub copies: u32,
-    /// When they were sent first.
+    /// When they were first sent.
     pub since: Timestamp,
-    /// How many copies were lost while what this host sent to others arrived.
+    /// How many of the copies were lost at a time when this host delivered other packets.
     pub losses: u32,
 }
 
-/// How far a flow has got.
+/// The stage of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowStage {
-    /// Its opening went to a server; the caller has not answered the server yet.
+    /// Its opening was sent to a server, but no packet of the caller has shown yet that the
+    /// server confirmed it.
     Opening {
-        /// The number of the copy that was sent last.
+        /// The number of the last copy.
         copy: u32,
         /// Servers that did not answer.
         tried: [Option<BackendId>; TRIED_LIMIT],
     },
-    /// The caller has heard its server.
+    /// A server confirmed the opening.
     Open,
 }
 
-/// What is remembered of a flow.
+/// The state of a watched flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchedFlow {
-    /// The server that its packets went to last.
+    /// The server that its last packet was sent to.
     pub server: BackendId,
-    /// How far it has got.
+    /// Its stage.
     pub stage: FlowStage,
-    /// When its opening came, where this host has seen it.
+    /// When its opening was received, if this host received it.
     pub opened_at: Option<Timestamp>,
-    /// When its last packet came.
+    /// When its last packet was received.
     pub seen_at: Timestamp,
-    /// The highest acknowledgement of its caller.
+    /// The highest position that its caller has acknowledged.
     pub acknowledged: u32,
-    /// The furthest position of data that were sent, and when it first was.
-    sequence: Option<(u32, Timestamp)>,
-    /// The position that is sent again and again.
-    repeated: Option<u32>,
-    /// How often these data were sent again without any progress.
+    /// The highest position of data that were sent, and when they were first sent.
+    last_data: Option<(u32, Timestamp)>,
+    /// The position of the data that the caller repeats.
+    repeated_sequence: Option<u32>,
+    /// How often these data were sent again without progress.
     pub copies: u32,
-    /// How many of these were lost while what this host sent to others arrived.
+    /// How many of the copies were lost at a time when this host delivered other packets.
     losses: u32,
-    /// When the latest round of the same data was sent.
+    /// When the last round of the same data was sent.
     round_at: Timestamp,
-    /// Whether it was counted as met with silence since it last made progress.
-    silence_noted: bool,
+    /// Whether it was counted as a silent flow of its server since it last made progress.
+    silence_counted: bool,
     /// Whether it counts as load of its server.
     pub counted: bool,
     /// Whether its requests may run twice.
     pub idempotent: bool,
-    /// The request that is waited for.
+    /// The request that the caller waits for.
     pending: Option<PendingRequest>,
 }
 
-/// A request whose answer has not begun.
+/// A request whose answer the caller has not acknowledged yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PendingRequest {
-    asked_at: Timestamp,
-    /// What the caller had of the server's stream when it asked.
+    sent_at: Timestamp,
+    /// The position that the caller had acknowledged when it sent the request.
     acknowledged: u32,
-    /// Whether it was counted as waiting for too long.
+    /// Whether it was counted as overdue.
     overdue: bool,
 }
 
 impl WatchedFlow {
-    /// A flow whose opening goes to `server`.
+    /// Creates a flow whose opening is sent to `server`.
     pub const fn opening(server: BackendId, copy: u32, idempotent: bool, now: Timestamp) -> Self {
         Self {
             server,
@@ -106,19 +109,19 @@
             opened_at: Some(now),
             seen_at: now,
             acknowledged: 0,
-            sequence: None,
-            repeated: None,
+            last_data: None,
+            repeated_sequence: None,
             copies: 0,
             losses: 0,
             round_at: now,
-            silence_noted: false,
+            silence_counted: false,
             counted: true,
             idempotent,
             pending: None,
         }
     }
 
-    /// A flow on `server` whose opening this host has not seen.
+    /// Creates an open flow on `server` whose opening this host did not receive.
     pub const fn open(server: BackendId, idempotent: bool, now: Timestamp) -> Self {
         Self {
             server,
@@ -126,19 +129,19 @@
             opened_at: None,
             seen_at: now,
             acknowledged: 0,
-            sequence: None,
-            repeated: None,
+            last_data: None,
+            repeated_sequence: None,
             copies: 0,
             losses: 0,
             round_at: now,
-            silence_noted: false,
+            silence_counted: false,
             counted: true,
             idempotent,
             pending: None,
         }
     }
 
-    /// The opening goes to `server` next, because the one before was silent.
+    /// Moves the opening to `server`, because the previous server did not answer.
     pub fn move_opening(&mut self, server: BackendId, next_copy: u32) {
         if let FlowStage::Opening { copy, tried } = &mut self.stage {
             *copy = next_copy;
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Notes an acknowledgement; returns whether it is new.
+    /// Records an acknowledgement. Returns whether it shows progress of the server.
     pub fn note_acknowledged(&mut self, acknowledged: u32) -> bool {
         let opened = matches!(self.stage, FlowStage::Opening { .. });
         // Positions wrap around; half of the range lies ahead.
@@ -168,44 +171,45 @@
         let first = self.acknowledged == 0 && !opened;
         self.stage = FlowStage::Open;
         self.acknowledged = acknowledged;
-        self.note_advance();
+        self.reset_repetitions();
         !first
     }
 
-    const fn note_advance(&mut self) {
+    const fn reset_repetitions(&mut self) {
         self.copies = 0;
         self.losses = 0;
-        self.repeated = None;
-        self.silence_noted = false;
+        self.repeated_sequence = None;
+        self.silence_counted = false;
     }
 
-    /// Notes that the caller asks for something at `now`, where it was not waiting.
-    pub fn note_asked(&mut self, now: Timestamp) {
+    /// Records that the caller sends a request at `now`, unless one is pending.
+    pub fn note_request(&mut self, now: Timestamp) {
         let acknowledged = self.acknowledged;
         self.pending.get_or_insert(PendingRequest {
-            asked_at: now,
+            sent_at: now,
             acknowledged,
             overdue: false,
         });
     }
 
-    /// Whether the caller has the beginning of the answer that it waited for.
+    /// Whether the caller has acknowledged a part of the answer to its pending request.
     pub fn has_answer(&self) -> bool {
         let pending = self.pending;
         pending.is_some_and(|pending| self.acknowledged != pending.acknowledged)
     }
 
-    /// When the caller asked, the first time that it has waited for longer than `patience`.
-    pub fn take_overdue(&mut self, patience: time::Duration, now: Timestamp) -> Option<Timestamp> {
+    /// When the pending request was sent, if it has waited for `timeout` or longer; only once
+    /// for each request.
+    pub fn take_overdue(&mut self, timeout: time::Duration, now: Timestamp) -> Option<Timestamp> {
         let pending = self.pending.as_mut()?;
-        let is_overdue = !pending.overdue && now.since(pending.asked_at) >= patience;
+        let is_overdue = !pending.overdue && now.since(pending.sent_at) >= timeout;
         pending.overdue |= is_overdue;
-        is_overdue.then_some(pending.asked_at)
+        is_overdue.then_some(pending.sent_at)
     }
 
-    /// The time from the request to its answer, once the caller has acknowledged
-    /// more than one packet of that, or closes the flow with it. Other answers of one
-    /// packet are acknowledged with the next request only, and tell nothing.
+    /// The time from the request to its answer, once the caller has acknowledged more than
+    /// one packet of the answer, or closes the flow. Other answers of one packet cannot be
+    /// measured, because callers acknowledge them only with the next request.
     pub fn take_response_time(&mut self, closing: bool, now: Timestamp) -> Option<time::Duration> {
         let pending = self.pending?;
         let advance = self.acknowledged.wrapping_sub(pending.acknowledged);
@@ -213,31 +217,30 @@
             return None;
         }
         self.pending = None;
-        (closing || advance > ONE_PACKET).then(|| now.since(pending.asked_at))
+        (closing || advance > MAX_PACKET_BYTES).then(|| now.since(pending.sent_at))
     }
 
-    /// Whether its caller waits for nothing that may run only once, so that a
-    /// reset costs it nothing.
+    /// Whether a reset loses no request that may run only once.
     pub fn can_be_ended(&self, now: Timestamp) -> bool {
-        self.idempotent || self.is_resting(now)
+        self.idempotent || self.is_idle(now)
     }
 
-    /// Whether its caller seems to wait for nothing. Answers of one packet are
-    /// acknowledged with the next request only, so that time has to tell.
-    pub fn is_resting(&self, now: Timestamp) -> bool {
-        let answered = self.copies == 0 && now.since(self.seen_at) >= RESTING_TIME;
+    /// Whether its caller seems to wait for no answer. Answers of one packet are acknowledged
+    /// only with the next request, so a flow also counts as idle after some time without a
+    /// packet.
+    pub fn is_idle(&self, now: Timestamp) -> bool {
+        let answered = self.copies == 0 && now.since(self.seen_at) >= MIN_IDLE_TIME;
         self.pending.is_none() || answered
     }
 
-    /// Notes data; returns how often the same were sent before without progress,
-    /// and since when.
-    /// A request may take several packets, which are all sent again: one round of
-    /// them counts once.
+    /// Records data. Returns how often the same data were sent before without progress, and
+    /// since when.
     ///
-    /// Packets of one round may overtake each other. Those that come sooner than
-    /// any caller repeats itself are no repetition.
+    /// A request may take several packets, which are all sent again; each round of them
+    /// counts once. Packets of one round may overtake each other, so packets that come
+    /// sooner than any caller sends again are no repetition.
     ///
-    /// `deliveries` tells whether a copy without an answer was lost behind this host.
+    /// `deliveries` shows whether a copy without an answer was lost after it left this host.
     pub fn note_data(
         &mut self,
         sequence: u32,
@@ -245,24 +248,24 @@
         deliveries: &DeliveryRecord,
     ) -> FlowSilence {
         let earlier = self
-            .sequence
+            .last_data
             .filter(|(last, _)| sequence.wrapping_sub(*last) as i32 <= 0);
         let Some((_, sent_at)) = earlier else {
-            // Callers send on only while their server acknowledges.
-            self.sequence = Some((sequence, now));
+            // Callers send new data only while their server acknowledges.
+            self.last_data = Some((sequence, now));
             self.round_at = now;
-            self.note_advance();
+            self.reset_repetitions();
             return FlowSilence {
                 copies: 0,
                 losses: 0,
                 since: now,
             };
         };
-        let is_late = now.since(sent_at) >= LEAST_PATIENCE;
-        if is_late && *self.repeated.get_or_insert(sequence) == sequence {
+        let is_late = now.since(sent_at) >= MIN_RESEND_INTERVAL;
+        if is_late && *self.repeated_sequence.get_or_insert(sequence) == sequence {
             self.copies = self.copies.saturating_add(1);
             let lost_at = std::mem::replace(&mut self.round_at, now);
-            self.losses += u32::from(deliveries.was_open_at(lost_at));
+            self.losses += u32::from(deliveries.was_delivering_at(lost_at));
         }
         FlowSilence {
             copies: self.copies,
@@ -271,20 +274,20 @@
         }
     }
 
-    /// When its latest data were sent, where nothing had to be sent again.
+    /// When its latest data were sent; `None` if they were sent more than once.
     pub fn sent_once_at(&self) -> Option<Timestamp> {
-        let (_, sent_at) = self.sequence?;
+        let (_, sent_at) = self.last_data?;
         (self.copies == 0).then_some(sent_at)
     }
 
-    /// Whether this repetition is the first since the flow last made progress.
-    /// However often a caller repeats itself, it is one flow without an answer.
+    /// Returns true once after each progress of the flow, so that a flow counts only once as
+    /// silent, however often its caller repeats itself.
     pub const fn begin_silence(&mut self) -> bool {
-        !std::mem::replace(&mut self.silence_noted, true)
+        !std::mem::replace(&mut self.silence_counted, true)
     }
 }
 
-/// The flows, bounded in number.
+/// The watched flows, limited in number.
 #[derive(Debug)]
 pub struct FlowWatch {
     table: FlowTable<WatchedFlow>,
@@ -292,8 +295,8 @@
 }
 
 impl FlowWatch {
-    /// Watches at most `limit` flows. The seed of the hash is the same on all
-    /// hosts, so that they choose services alike.
+    /// Creates a table of at most `limit` flows. `seed` must be the same on all hosts, so
+    /// that they choose the same service for a flow.
     pub fn new(limit: usize, seed: u64) -> Self {
         Self {
             table: FlowTable::new(limit),
@@ -316,17 +319,18 @@
         self.table.is_empty()
     }
 
-    /// What is known of `flow`.
+    /// The state of `flow`.
     pub fn get(&self, hash: FlowHash, flow: &FlowKey) -> Option<&WatchedFlow> {
         self.table.get(hash, flow)
     }
 
-    /// What is known of `flow`, to be changed.
+    /// The state of `flow`, to be changed.
     pub fn get_mut(&mut self, hash: FlowHash, flow: &FlowKey) -> Option<&mut WatchedFlow> {
         self.table.get_mut(hash, flow)
     }
 
-    /// Watches `flow`; returns whether there was room, and what it replaced.
+    /// Starts to watch `flow`. Returns the state that it replaced, or an error if the table
+    /// is full.
     pub fn insert(
         &mut self,
         hash: FlowHash,
@@ -341,7 +345,7 @@
         self.table.remove(hash, flow)
     }
 
-    /// Gives every flow to `visit`.
+    /// Calls `visit` for every flow.
     pub fn visit(&mut self, mut visit: impl FnMut(&mut WatchedFlow)) {
         self.table.retain(|_, watched| {
             visit(watched);
@@ -349,31 +353,31 @@
         });
     }
 
-    /// Stops counting flows that were not seen lately, and forgets those that have
-    /// been idle for `idle_timeout`; `uncount` is given each that counted.
+    /// Stops counting flows without recent packets as load, and removes those that have been
+    /// idle for longer than `idle_timeout`. Calls `uncount` for each flow that stops counting.
     pub fn sweep(
         &mut self,
         now: Timestamp,
         idle_timeout: time::Duration,
         mut uncount: impl FnMut(&WatchedFlow),
     ) {
-        let memory = if idle_timeout.is_zero() {
-            DEFAULT_MEMORY
+        let timeout = if idle_timeout.is_zero() {
+            DEFAULT_IDLE_TIMEOUT
         } else {
             idle_timeout
         };
         self.table.retain(|_, watched| {
             let idle = now.since(watched.seen_at);
-            if watched.counted && idle > COUNTING_TIME {
+            if watched.counted && idle > MAX_COUNTED_IDLE {
                 watched.counted = false;
                 uncount(watched);
             }
-            idle <= memory
+            idle <= timeout
         });
     }
 
-    /// Flows on `servers`, which are in rising order, no longer count as load until
-    /// they are seen again.
+    /// Stops counting flows on `servers`, which are in ascending order, as load until their
+    /// next packet.
     pub fn stop_counting(&mut self, servers: &[BackendId]) {
         self.table.retain(|_, watched| {
             watched.counted &= servers.binary_search(&watched.server).is_err();
@@ -381,8 +385,9 @@
         });
     }
 
-    /// Takes out the flows on `servers`, which are in rising order, that `may_end`.
-    pub fn take_endable(
+    /// Removes and returns the flows on `servers`, which are in ascending order, for which
+    /// `may_end` holds.
+    pub fn take_matching(
         &mut self,
         servers: &[BackendId],
         may_end: impl Fn(&WatchedFlow) -> bool,
--- a/crates/cardamomwinch_coordination/src/forwarding/held_packets.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/held_packets.rs
@@ -1,18 +1,18 @@
-//! Packets that wait until more is known.
+//! Packets that are held until the next view.
 //!
-//! Guards against the moments in which a host does not know what it needs: right
-//! after its start, and while a new server is known to other hosts only. A
-//! packet that is dropped then costs its caller the time until it sends again,
-//! which grows to more than a second; what is missing comes within milliseconds.
+//! Guards against delays while a host lacks the routes or servers that it needs: right
+//! after its start, and while only other hosts know a new server. They arrive within
+//! milliseconds. If the packet were dropped, its caller would wait until it sends again,
+//! which takes up to more than a second.
 
 use std::collections;
 use std::time;
 
 use cardamomwinch_state::prelude::Timestamp;
 
-/// Packets kept at most; the oldest go first.
+/// The maximum number of packets. The oldest are dropped first.
 const HELD_LIMIT: usize = 512;
-/// How long a packet is kept. Its caller has sent it again by then.
+/// How long a packet is held. Its caller has sent it again by then.
 const HELD_TIME: time::Duration = time::Duration::from_millis(600);
 
 #[derive(Debug)]
@@ -21,14 +21,14 @@
     bytes: Box<[u8]>,
 }
 
-/// The packets that wait, in the order in which they came.
+/// The held packets, in the order of arrival.
 #[derive(Debug, Default)]
 pub struct HeldPackets {
     packets: collections::VecDeque<HeldPacket>,
 }
 
 impl HeldPackets {
-    /// Keeps `bytes`, which came at `since`.
+    /// Holds the packet `bytes`, which arrived at `since`.
     pub fn keep(&mut self, since: Timestamp, bytes: &[u8]) {
         if self.packets.len() >= HELD_LIMIT {
             self.packets.pop_front();
@@ -37,8 +37,8 @@
         self.packets.push_back(HeldPacket { since, bytes });
     }
 
-    /// Takes out every packet that is still worth something at `now`, with the
-    /// time at which it came.
+    /// Removes all packets. Returns those that have not expired at `now`, with their times of
+    /// arrival.
     pub fn take(&mut self, now: Timestamp) -> Vec<(Timestamp, Box<[u8]>)> {
         let packets = self.packets.drain(..);
         packets
@@ -47,12 +47,12 @@
             .collect()
     }
 
-    /// How many packets wait.
+    /// The number of held packets.
     pub fn len(&self) -> usize {
         self.packets.len()
     }
 
-    /// Whether no packet waits.
+    /// Whether no packet is held.
     pub fn is_empty(&self) -> bool {
         self.packets.is_empty()
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/mod.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/mod.rs
@@ -1,21 +1,22 @@
-//! Forwarding of flows whose contents only their two ends read: hosts pass the
-//! packets of callers on, and backend servers answer callers directly.
+//! Forwarding of flows whose contents only their two ends read: hosts forward the
+//! packets of callers to backend servers, and the servers answer callers directly.
 //!
-//! Hosts share nothing. What makes any packet reach the server of its flow on
-//! any host is the [`packet::FlowToken`] that a host writes into the packets to
-//! the server and that both ends hand back. The rest is decided alone:
+//! Hosts share no state about flows. A packet reaches the server of its flow through any
+//! host because of its [`packet::FlowToken`]: a host writes the token into the packets to
+//! the server, the server passes it to the caller, and the caller sends it in each later
+//! packet. Everything else each host decides on its own:
 //!
-//! - [`beliefs`] decides what is in force: which routes and which servers, how
-//!   old that word is, and whom to ask next.
+//! - [`beliefs`] keeps the routes and servers that are in force up to date: when they were
+//!   last confirmed, and which source to query next.
 //! - [`view`] is the immutable result, which forwarding reads.
-//! - [`permission`] says which servers may take it: neither those of an evacuated
-//!   failure domain, nor those outside the regions of its route, nor cold ones that
-//!   have had their part.
+//! - [`permission`] decides which servers may take a new flow: none of an evacuated
+//!   failure domain, none outside the regions of the route, and none that is cold and has
+//!   received its share of new flows.
 //! - [`placement`] chooses the server of a new flow.
-//! - [`progress`] judges servers by what callers send again, and [`server_reports`] by
-//!   what the hosts of a domain have seen together.
+//! - [`progress`] tracks which servers are silent by what callers send again, and
+//!   [`server_reports`] by what all hosts of a domain have observed.
 //! - [`engine`] decides about each packet.
-//! - [`explanation`] tells operators what would be decided.
+//! - [`explanation`] shows operators what would be decided.
 
 pub mod beliefs;
 pub mod cold_starts;
@@ -27,6 +28,8 @@
 pub mod flow_lifetimes;
 pub mod flow_watch;
 pub mod held_packets;
+pub mod median_response;
+pub mod overdue_timeout;
 pub mod own_reports;
 pub mod packet;
 pub mod permission;
@@ -39,7 +42,7 @@
 pub mod server_reach;
 pub mod server_reports;
 pub mod server_starts;
-pub mod slowness;
+
 pub mod unknown_flows;
-pub mod usual_wait;
+
 pub mod view;
--- a/crates/cardamomwinch_coordination/src/forwarding/usual_wait.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/overdue_timeout.rs
@@ -5,20 +5,20 @@
 /// A response counts as one of so many in the moving mean.
 const RESPONSE_WEIGHT: u32 = 16;
 /// A request that waits this many times as long as is usual waits for too long.
-const USUAL_TIMES: u32 = 8;
+const TIMEOUT_MEANS: u32 = 8;
 /// But for no less than this: a queue before a few slots, and an acknowledgement that is
 /// held back, take some tenths of a second.
-const LEAST_PATIENCE: time::Duration = time::Duration::from_millis(600);
+const MIN_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// The moving mean of what callers wait.
 #[derive(Debug, Default)]
-pub struct UsualWait {
+pub struct OverdueTimeout {
     mean: time::Duration,
 }
 
-impl UsualWait {
+impl OverdueTimeout {
     /// A caller waited for `response`.
-    pub fn note(&mut self, response: time::Duration) {
+    pub fn note_response(&mut self, response: time::Duration) {
         self.mean = if self.mean.is_zero() {
             response
         } else {
@@ -27,7 +27,7 @@
     }
 
     /// How long a request may wait before it counts against its server.
-    pub fn patience(&self) -> time::Duration {
-        (self.mean * USUAL_TIMES).max(LEAST_PATIENCE)
+    pub fn timeout(&self) -> time::Duration {
+        (self.mean * TIMEOUT_MEANS).max(MIN_TIMEOUT)
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/placement.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/placement.rs
@@ -6,10 +6,10 @@
 use cardamomwinch_state::prelude::{BackendId, DomainId, ServiceId, Timestamp};
 
 use crate::forwarding::directory::{ServerDirectory, ServerPhase, ServerRecord};
+use crate::forwarding::median_response::UsualResponse;
 use crate::forwarding::permission::FlowPermission;
 use crate::forwarding::progress::ProgressTable;
 use crate::forwarding::server_reports::{ReportSubject, ReportTable};
-use crate::forwarding::slowness::UsualResponse;
 use crate::routing::rendezvous;
 
 /// The share by which a server that has just started counts as more loaded, in
