--- a/crates/cardamomwinch_coordination/src/forwarding/cold_starts.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/cold_starts.rs
@@ -21,7 +21,7 @@
 /// take part, the server receives one and a half times its rate.
 const CHOSEN_PERCENT: u64 = 25;
 /// An [`OpeningRate`] of one new flow per second.
-const ONE_A_SECOND: u64 = 1_000;
+const ONE_PER_SECOND: u64 = 1_000;
 
 /// How long servers of a service are cold after their start, and how many new flows they
 /// may receive until then.
@@ -31,6 +31,7 @@
     /// The service.
     pub service: ServiceId,
     /// How long a server is cold.
+    #[serde(rename = "lasting")]
     pub lasting: time::Duration,
     /// The rate of new flows that a cold server may receive; zero if it is not limited.
     pub openings: OpeningRate,
@@ -58,9 +59,9 @@
 }
 
 /// The least time between two new flows that a chosen host sends to one server.
-fn interval(openings: OpeningRate) -> time::Duration {
+fn min_interval(openings: OpeningRate) -> time::Duration {
     let part = (openings.get() * CHOSEN_PERCENT).max(1);
-    time::Duration::from_micros(ONE_A_SECOND * 1_000_000 * 100 / part)
+    time::Duration::from_micros(ONE_PER_SECOND * 1_000_000 * 100 / part)
 }
 
 /// When this host last sent a new flow to each cold server.
@@ -82,7 +83,7 @@
         now: Timestamp,
     ) -> bool {
         let last = self.openings.get(&server);
-        let has_waited = last.is_none_or(|last| now.since(*last) >= interval(openings));
+        let has_waited = last.is_none_or(|last| now.since(*last) >= min_interval(openings));
         has_waited && share.is_chosen(server)
     }
 
@@ -91,7 +92,7 @@
         self.openings.insert(server, now);
     }
 
-    /// Forgets the servers for which `keep` does not hold.
+    /// Removes the servers for which `keep` does not hold.
     pub fn retain(&mut self, mut keep: impl FnMut(BackendId) -> bool) {
         self.openings.retain(|id, _| keep(*id));
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/deliveries.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/deliveries.rs
@@ -18,7 +18,7 @@
 const BUCKET_COUNT: usize = 200;
 /// A delivery must lie at most this many buckets before the loss, and another one at most
 /// this many after it: a tenth of a second each. The least busy hosts forward 25 packets a
-/// second that are answered at once, which is enough to judge five losses in six. Full
+/// second that are answered at once, which is enough to assess five losses in six. Full
 /// links lose everything for longer than that.
 const MAX_BUCKET_DISTANCE: u64 = 5;
 
--- a/crates/cardamomwinch_coordination/src/forwarding/directory.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/directory.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether the server left so long ago that no flow on it can still be open.
-    fn is_forgotten(&self, now: Timestamp, flow_lifetime: time::Duration) -> bool {
+    fn is_expired(&self, now: Timestamp, flow_lifetime: time::Duration) -> bool {
         match self.phase {
             ServerPhase::Active | ServerPhase::Draining | ServerPhase::Unreadable => false,
             ServerPhase::Vanished { since } | ServerPhase::Left { since } => {
@@ -100,7 +100,7 @@
     evacuations: EvacuationTable,
     /// The highest revision that changed a server, or ended an evacuation, that was removed
     /// from this directory since.
-    forgotten: StoreRevision,
+    removed_revision: StoreRevision,
 }
 
 impl ServerDirectory {
@@ -247,7 +247,7 @@
             if self.knows_later(&record) {
                 continue;
             }
-            let record = self.keep_drain(record);
+            let record = self.keep_draining(record);
             let place = (record.service, record.domain);
             let known = self.servers.insert(record.id, record);
             moved |= known.is_none_or(|known| (known.service, known.domain) != place);
@@ -269,7 +269,7 @@
     /// Guards against new flows on a server that is about to stop: the backup shows it as
     /// ready until it writes its entry again. A process that drains never becomes active
     /// again; a new process has a different start.
-    fn keep_drain(&self, mut record: ServerRecord) -> ServerRecord {
+    fn keep_draining(&self, mut record: ServerRecord) -> ServerRecord {
         let is_drained = |known: &&ServerRecord| {
             known.phase == ServerPhase::Draining && known.started == record.started
         };
@@ -336,7 +336,7 @@
         }
         for record in listed.values() {
             if !self.knows_later(record) {
-                let record = self.keep_drain(record.clone());
+                let record = self.keep_draining(record.clone());
                 self.servers.insert(record.id, record);
             }
         }
@@ -349,7 +349,7 @@
         &self,
         revision: StoreRevision,
     ) -> Option<impl Iterator<Item = &ServerRecord>> {
-        let known = revision >= self.forgotten;
+        let known = revision >= self.removed_revision;
         known.then(|| self.iter().filter(move |server| server.changed > revision))
     }
 
@@ -385,20 +385,20 @@
             }
         }
         let before = self.servers.len();
-        let forgotten = &mut self.forgotten;
+        let removed_revision = &mut self.removed_revision;
         self.servers.retain(|_, server| {
-            let forget = server.is_forgotten(now, flow_lifetime);
-            if forget {
-                *forgotten = server.changed.max(*forgotten);
+            let expired = server.is_expired(now, flow_lifetime);
+            if expired {
+                *removed_revision = server.changed.max(*removed_revision);
             }
-            !forget
+            !expired
         });
         if self.servers.len() != before {
             self.index();
             changed = true;
         }
-        if let Some(revision) = self.evacuations.age(now) {
-            self.forgotten = self.forgotten.max(revision);
+        if let Some(revision) = self.evacuations.expire(now) {
+            self.removed_revision = self.removed_revision.max(revision);
             changed = true;
         }
         changed
--- a/crates/cardamomwinch_coordination/src/forwarding/engine.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine.rs
@@ -67,7 +67,7 @@
     unknown_flows: UnknownFlows,
     unwatched: u64,
     server_starts: ServerStarts,
-    reach: ServerReach,
+    server_reach: ServerReach,
     overdue_timeout: OverdueTimeout,
     own_reports: OwnReports,
     ticks: u32,
@@ -131,7 +131,7 @@
             unknown_flows: UnknownFlows::default(),
             unwatched: 0,
             server_starts: ServerStarts::default(),
-            reach: ServerReach::default(),
+            server_reach: ServerReach::default(),
             overdue_timeout: OverdueTimeout::default(),
             own_reports: OwnReports::new(reporter),
             ticks: 0,
@@ -157,7 +157,7 @@
     /// Whether any server answers this host, as far as it can tell. If none does, callers
     /// are better served by hosts elsewhere.
     pub const fn reaches_servers(&self) -> bool {
-        !self.reach.is_lost()
+        !self.server_reach.is_lost()
     }
 
     /// Removes and returns the reports about servers that are to be sent to other hosts.
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/maintenance.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/maintenance.rs
@@ -26,14 +26,14 @@
     /// old entries. Must be called every [`super::TICK_PERIOD`].
     pub fn tick<S: ForwardingSink>(&mut self, now: Timestamp, view: &ForwardingView, sink: &mut S) {
         self.detect_pause(now);
-        if self.reach.review(view, now) {
-            self.progress.pardon(now);
+        if self.server_reach.update(view, now) {
+            self.progress.clear_suspicions(now);
         }
         self.report_unconfirmed(now);
         self.report_overdue(now);
         self.refute_reports(view);
-        while self.can_judge(now)
-            && let Some(server) = self.progress.take_absent(now)
+        while self.can_assess_servers(now)
+            && let Some(server) = self.progress.take_dead_server(now)
         {
             let may_end = |watched: &WatchedFlow| watched.can_be_ended(now);
             self.end_flows(now, view, &[server], may_end, sink);
@@ -54,8 +54,8 @@
             .is_some_and(|at| now.since(at) >= PAUSE_GAP);
         self.last_run_at = Some(now);
         if paused {
-            self.reach.forget_silence();
-            self.progress.pardon(now);
+            self.server_reach.clear();
+            self.progress.clear_suspicions(now);
         }
     }
 
@@ -95,7 +95,7 @@
     ///
     /// Guards against a server that dies while each host sees only one or two of its flows:
     /// requests would be lost one by one on all hosts, seconds after the first. This also
-    /// runs while this host cannot judge servers itself, because the reports of the other
+    /// runs while this host cannot assess servers itself, because the reports of the other
     /// hosts are still valid.
     fn end_reported_flows<S: ForwardingSink>(
         &mut self,
@@ -133,7 +133,7 @@
         for (server, sent_at) in overdue {
             let subject = ReportSubject::Answers;
             let silence = self.progress.note_overdue(server, sent_at, now);
-            let answered_at = self.progress.well_at(server, subject);
+            let answered_at = self.progress.healthy_at(server, subject);
             let answers_others = answered_at.is_some_and(|at| silence.is_refuted_by(at));
             if !answers_others && !self.deliveries.is_link_lossy(now) {
                 self.own_reports.note_silence(server, subject, silence, now);
@@ -146,10 +146,10 @@
     fn refute_reports(&mut self, view: &ForwardingView) {
         for subject in ReportSubject::ALL {
             for server in view.reports.servers(subject) {
-                if let Some(well_at) = self.progress.well_at(server, subject)
-                    && view.reports.is_refuted_by(server, subject, well_at)
+                if let Some(healthy_at) = self.progress.healthy_at(server, subject)
+                    && view.reports.needs_refutation(server, subject, healthy_at)
                 {
-                    self.own_reports.note_well(server, subject, well_at);
+                    self.own_reports.note_healthy(server, subject, healthy_at);
                 }
             }
         }
@@ -201,7 +201,7 @@
         self.end_flows(now, view, &restarted, may_end, sink);
         self.watch.stop_counting(&restarted);
         for server in restarted {
-            self.progress.forget(server);
+            self.progress.remove(server);
         }
     }
 
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/open_flows.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/open_flows.rs
@@ -43,7 +43,7 @@
         };
         if matches!(watched.stage, FlowStage::Opening { .. }) {
             let time = now.since(watched.seen_at);
-            self.reach.note_opened(now);
+            self.server_reach.note_opened(now);
             sink.measure_opening(time);
             if time < flow_watch::MIN_RESEND_INTERVAL {
                 self.deliveries.note(watched.seen_at);
@@ -59,7 +59,7 @@
         }
         if watched.note_acknowledged(packet.acknowledged) {
             self.progress.note_progress(server.id, now);
-            self.reach.note_progress(now);
+            self.server_reach.note_progress(now);
             if let Some(sent_at) = sent_once_at {
                 self.deliveries.note(sent_at);
             }
@@ -84,7 +84,7 @@
             watched.note_request(now);
         }
         if silence.copies > 0 {
-            self.reach.note_repetition(server.id, silence.since);
+            self.server_reach.note_repetition(server.id, silence.since);
         }
         if silence.losses > 0 && watched.begin_silence() {
             self.progress
@@ -115,12 +115,12 @@
         server: BackendId,
         now: Timestamp,
     ) -> bool {
-        if view.reports.is_empty() || !self.reach.is_proven(now) {
+        if view.reports.is_empty() || !self.server_reach.is_confirmed(now) {
             return false;
         }
         let subject = ReportSubject::Delivery;
-        let well_at = self.progress.well_at(server, subject);
-        view.reports.is_silent(server, subject, well_at, now)
+        let healthy_at = self.progress.healthy_at(server, subject);
+        view.reports.is_silent(server, subject, healthy_at, now)
     }
 
     /// Whether the server of the flow is dead, so that the flow must be reset.
@@ -154,13 +154,13 @@
         } else {
             left && silence.copies >= SINGLE_FLOW_COPIES
         };
-        is_dead && self.can_judge(context.now)
+        is_dead && self.can_assess_servers(context.now)
     }
 
     /// Whether silence that this host observes is caused by servers, and not by this host
     /// or its link.
-    pub(super) fn can_judge(&self, now: Timestamp) -> bool {
-        self.progress.is_trustworthy(now) && !self.deliveries.is_link_lossy(now)
+    pub(super) fn can_assess_servers(&self, now: Timestamp) -> bool {
+        self.progress.is_silence_reliable(now) && !self.deliveries.is_link_lossy(now)
     }
 
     /// Records that the data of a flow were lost three times in a row. Returns whether that
@@ -173,6 +173,6 @@
     ) -> bool {
         silence.losses >= SINGLE_FLOW_COPIES
             && context.now.since(silence.since) >= SINGLE_FLOW_SILENCE
-            && self.progress.note_lost_thrice(server.id, silence.since)
+            && self.progress.note_triple_loss(server.id, silence.since)
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
@@ -8,7 +8,7 @@
 use crate::forwarding::flow_watch::{self, FlowStage, WatchedFlow};
 use crate::forwarding::packet::FlowToken;
 use crate::forwarding::permission::FlowPermission;
-use crate::forwarding::placement::PlacementQuestion;
+use crate::forwarding::placement::PlacementInput;
 use crate::forwarding::record::ForwardingOutcome;
 use crate::forwarding::routes;
 
@@ -89,7 +89,10 @@
 
     /// Counts a new flow against the limit of `server`, if it is cold.
     fn note_cold(&mut self, context: &PacketContext<'_>, server: &ServerRecord) {
-        if self.permission(context, server.service).is_bounded(server) {
+        if self
+            .permission(context, server.service)
+            .is_rate_limited(server)
+        {
             self.cold_limiter.note(server.id, context.now);
         }
     }
@@ -98,9 +101,9 @@
         &'a self,
         context: &PacketContext<'a>,
         service: ServiceId,
-    ) -> PlacementQuestion<'a> {
+    ) -> PlacementInput<'a> {
         let goal = context.route.map(|route| route.latency_goal);
-        PlacementQuestion {
+        PlacementInput {
             directory: &context.view.directory,
             progress: &self.progress,
             reports: &context.view.reports,
@@ -157,7 +160,7 @@
         if is_copy {
             let proven = self.deliveries.was_delivering_at(watched.seen_at);
             let sent_at = watched.seen_at;
-            self.reach.note_unopened(earlier, sent_at);
+            self.server_reach.note_unanswered_opening(earlier, sent_at);
             self.progress
                 .note_unanswered(earlier, sent_at, proven, context.now);
             if proven {
--- a/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
@@ -9,7 +9,7 @@
 
 /// How long an evacuation that ended is kept, so that its end reaches hosts that still
 /// consider it active. No host that serves has data that is older than this.
-const ENDED_MEMORY: time::Duration = time::Duration::from_secs(60);
+const ENDED_RETENTION: time::Duration = time::Duration::from_secs(60);
 /// How long an evacuation stays active that is missing from a store after its restore from
 /// a backup. Operators write it again within about two seconds.
 const MISSING_GRACE: time::Duration = time::Duration::from_secs(3);
@@ -53,7 +53,7 @@
     }
 
     /// The next phase of this active evacuation after a listing at `revision` without it.
-    fn phase_unlisted(&self, revision: StoreRevision, now: Timestamp) -> EvacuationPhase {
+    fn phase_when_unlisted(&self, revision: StoreRevision, now: Timestamp) -> EvacuationPhase {
         match self.phase {
             _ if self.changed.era() < revision.era() => EvacuationPhase::Missing { since: now },
             // Ends only after there was time to write it again.
@@ -119,7 +119,7 @@
             .filter(|one| one.is_lasting() && one.changed < revision && !is_listed(one.domain));
         let missing = missing.map(|one| EvacuationRecord {
             domain: one.domain,
-            phase: one.phase_unlisted(revision, now),
+            phase: one.phase_when_unlisted(revision, now),
             changed: revision,
         });
         let records: Vec<_> = missing.chain(listed.iter().copied()).collect();
@@ -154,12 +154,12 @@
 
     /// Removes evacuations that ended too long ago. Returns the highest revision at which
     /// one of the removed evacuations ended.
-    pub fn age(&mut self, now: Timestamp) -> Option<StoreRevision> {
+    pub fn expire(&mut self, now: Timestamp) -> Option<StoreRevision> {
         let mut forgotten = None;
         self.domains.retain(|_, record| {
             let keep = match record.phase {
                 EvacuationPhase::Lasting | EvacuationPhase::Missing { .. } => true,
-                EvacuationPhase::Ended { at } => now.since(at) <= ENDED_MEMORY,
+                EvacuationPhase::Ended { at } => now.since(at) <= ENDED_RETENTION,
             };
             if !keep {
                 forgotten = forgotten.max(Some(record.changed));
--- a/crates/cardamomwinch_coordination/src/forwarding/explanation.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/explanation.rs
@@ -90,12 +90,16 @@
     };
     let servers = view.directory.of_service(service);
     let active: Vec<&ServerRecord> = servers.filter(takes_flows).collect();
-    let is_near = |server: &&&ServerRecord| view.domain == Some(server.domain);
-    let near: Vec<_> = active.iter().filter(is_near).map(|one| one.id).collect();
-    explanation.candidates = if near.is_empty() {
+    let is_own_domain = |server: &&&ServerRecord| view.domain == Some(server.domain);
+    let own_domain: Vec<_> = active
+        .iter()
+        .filter(is_own_domain)
+        .map(|one| one.id)
+        .collect();
+    explanation.candidates = if own_domain.is_empty() {
         active.iter().map(|one| one.id).collect()
     } else {
-        near
+        own_domain
     };
     let forbidden = view.is_complete(now) && permission.forbids_all(service);
     explanation.outcome = if forbidden {
--- a/crates/cardamomwinch_coordination/src/forwarding/flow_watch.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/flow_watch.rs
@@ -76,7 +76,7 @@
     /// How many of the copies were lost at a time when this host delivered other packets.
     losses: u32,
     /// When the last round of the same data was sent.
-    round_at: Timestamp,
+    last_round_at: Timestamp,
     /// Whether it was counted as a silent flow of its server since it last made progress.
     silence_counted: bool,
     /// Whether it counts as load of its server.
@@ -113,7 +113,7 @@
             repeated_sequence: None,
             copies: 0,
             losses: 0,
-            round_at: now,
+            last_round_at: now,
             silence_counted: false,
             counted: true,
             idempotent,
@@ -133,7 +133,7 @@
             repeated_sequence: None,
             copies: 0,
             losses: 0,
-            round_at: now,
+            last_round_at: now,
             silence_counted: false,
             counted: true,
             idempotent,
@@ -253,7 +253,7 @@
         let Some((_, sent_at)) = earlier else {
             // Callers send new data only while their server acknowledges.
             self.last_data = Some((sequence, now));
-            self.round_at = now;
+            self.last_round_at = now;
             self.reset_repetitions();
             return FlowSilence {
                 copies: 0,
@@ -264,7 +264,7 @@
         let is_late = now.since(sent_at) >= MIN_RESEND_INTERVAL;
         if is_late && *self.repeated_sequence.get_or_insert(sequence) == sequence {
             self.copies = self.copies.saturating_add(1);
-            let lost_at = std::mem::replace(&mut self.round_at, now);
+            let lost_at = std::mem::replace(&mut self.last_round_at, now);
             self.losses += u32::from(deliveries.was_delivering_at(lost_at));
         }
         FlowSilence {
--- a/crates/cardamomwinch_coordination/src/forwarding/held_packets.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/held_packets.rs
@@ -29,7 +29,7 @@
 
 impl HeldPackets {
     /// Holds the packet `bytes`, which arrived at `since`.
-    pub fn keep(&mut self, since: Timestamp, bytes: &[u8]) {
+    pub fn hold(&mut self, since: Timestamp, bytes: &[u8]) {
         if self.packets.len() >= HELD_LIMIT {
             self.packets.pop_front();
         }
--- a/crates/cardamomwinch_coordination/src/forwarding/median_response.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/median_response.rs
@@ -1,35 +1,35 @@
-//! How much slower a server is than others of its service.
+//! Raises the load of a server that is slower than the others of its service.
 //!
-//! Guards against a server that works slowly, or whose host does, while it tells that
-//! it is well. It has no more flows than others and so got as many new ones; it shows
-//! as answers that are late on one server only. Judged by what callers wait, it gets
-//! fewer flows in proportion. The flows that it holds go on to measure it, and without
-//! measurements for two seconds it counts as any other.
+//! Guards against late answers of one server that is slow, or runs on a slow machine, while
+//! its entry says that it is healthy. By its number of flows alone it would receive as many
+//! new ones as any other. Its load is therefore raised in proportion to the time that
+//! callers wait. The flows that it still holds measure it; after two seconds without a
+//! measurement it counts like any other.
 
 use std::time;
 
-/// A server as slow as the others, in per cent.
-const EVEN: u64 = 100;
-/// A server that takes this many per cent of the usual time is slow; below it,
-/// differences come from the requests that it happened to get.
-const LEAST: u64 = 150;
-/// However slow a server is, it counts as no slower than this.
-const LARGEST: u64 = 800;
-/// Response times of so many servers make a median worth comparing with.
-const LEAST_MEASURED: usize = 3;
+/// The slowness of a server with the median response time, in per cent.
+const EVEN_PERCENT: u64 = 100;
+/// From this many per cent of the median response time on, a server counts as slow. Smaller
+/// differences come from differences between its requests.
+const MIN_SLOW_PERCENT: u64 = 150;
+/// The maximum slowness that a server counts with, in per cent.
+const MAX_SLOW_PERCENT: u64 = 800;
+/// The number of measured servers that is needed for a useful median.
+const MIN_MEASURED: usize = 3;
 
-/// The usual response time of a service.
+/// The median response time of the servers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UsualResponse {
+pub struct MedianResponse {
     median: time::Duration,
 }
 
-impl UsualResponse {
-    /// The median of `responses`, one of each server that was measured lately; `None`
-    /// where there are too few.
+impl MedianResponse {
+    /// The median of `responses`, which has one response time for each server that was
+    /// recently measured; `None` if there are too few.
     pub fn of(responses: impl Iterator<Item = time::Duration>) -> Option<Self> {
         let mut responses: Vec<_> = responses.collect();
-        if responses.len() < LEAST_MEASURED {
+        if responses.len() < MIN_MEASURED {
             return None;
         }
         let middle = responses.len() / 2;
@@ -37,13 +37,14 @@
         Some(Self { median: *median })
     }
 
-    /// What `load` weighs on a server that answers after `response`.
+    /// `load`, raised in proportion if the server answers after a `response` that is much
+    /// longer than the median.
     pub fn weigh(&self, load: u64, response: time::Duration) -> u64 {
-        let usual = self.median.as_micros().max(1) as u64;
-        let slowness = response.as_micros() as u64 * EVEN / usual;
-        if slowness < LEAST {
+        let median = self.median.as_micros().max(1) as u64;
+        let slowness = response.as_micros() as u64 * EVEN_PERCENT / median;
+        if slowness < MIN_SLOW_PERCENT {
             return load;
         }
-        load * slowness.min(LARGEST) / EVEN
+        load * slowness.min(MAX_SLOW_PERCENT) / EVEN_PERCENT
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/overdue_timeout.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/overdue_timeout.rs
@@ -1,23 +1,24 @@
-//! How long callers usually wait for answers, whatever their servers.
+//! The timeout after which a request counts as overdue, from the mean time that callers wait
+//! for answers of all servers.
 
 use std::time;
 
-/// A response counts as one of so many in the moving mean.
+/// A new response time enters the moving mean with the weight `1 / RESPONSE_WEIGHT`.
 const RESPONSE_WEIGHT: u32 = 16;
-/// A request that waits this many times as long as is usual waits for too long.
+/// A request is overdue after this many times the mean response time.
 const TIMEOUT_MEANS: u32 = 8;
-/// But for no less than this: a queue before a few slots, and an acknowledgement that is
-/// held back, take some tenths of a second.
+/// The minimum timeout. A queue for a few slots and a delayed acknowledgement take some
+/// tenths of a second.
 const MIN_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// The moving mean of what callers wait.
+/// The moving mean of response times, and the timeout that follows from it.
 #[derive(Debug, Default)]
 pub struct OverdueTimeout {
     mean: time::Duration,
 }
 
 impl OverdueTimeout {
-    /// A caller waited for `response`.
+    /// Records that a caller waited for `response`.
     pub fn note_response(&mut self, response: time::Duration) {
         self.mean = if self.mean.is_zero() {
             response
--- a/crates/cardamomwinch_coordination/src/forwarding/own_reports.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/own_reports.rs
@@ -1,10 +1,10 @@
-//! What this host has to tell others about servers.
+//! Reports of this host about servers that are still to be sent to other hosts.
 
 use cardamomwinch_state::prelude::{BackendId, SortedVector, Timestamp};
 
 use crate::forwarding::server_reports::{ReportSubject, ReporterId, ServerReport, ServerSilence};
 
-/// The statements of this host that it has not told yet; the latest about each server and
+/// The reports of this host that it has not sent yet: the latest one about each server and
 /// subject.
 #[derive(Debug)]
 pub struct OwnReports {
@@ -14,7 +14,7 @@
 }
 
 impl OwnReports {
-    /// Nothing to tell yet. `reporter` must differ from that of every other process.
+    /// Creates an empty list. `reporter` must differ from that of every other process.
     pub const fn new(reporter: ReporterId) -> Self {
         Self {
             reporter,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Flows on `server` wait in vain at `now`.
+    /// Adds a report that flows on `server` are still without an answer at `now`.
     pub fn note_silence(
         &mut self,
         server: BackendId,
@@ -34,8 +34,8 @@
         self.note(server, subject, Some(silence), now);
     }
 
-    /// `server` was seen to do well at `at`.
-    pub fn note_well(&mut self, server: BackendId, subject: ReportSubject, at: Timestamp) {
+    /// Adds a report that `server` was healthy at `at`.
+    pub fn note_healthy(&mut self, server: BackendId, subject: ReportSubject, at: Timestamp) {
         self.note(server, subject, None, at);
     }
 
@@ -58,7 +58,7 @@
         self.pending.insert((server, subject), report);
     }
 
-    /// Takes out what is to be told.
+    /// Removes and returns the reports that are to be sent.
     pub fn take(&mut self) -> Vec<ServerReport> {
         let reports = self.pending.values().copied().collect();
         self.pending.clear();
--- a/crates/cardamomwinch_coordination/src/forwarding/packet.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/packet.rs
@@ -1,4 +1,4 @@
-//! What forwarding needs to know of a packet.
+//! The parts of a packet that forwarding uses.
 
 use std::fmt;
 use std::num;
@@ -7,8 +7,8 @@
 use cardamomwinch_state::prelude::{BackendId, FlowKey};
 use serde::{Deserialize, Serialize};
 
-/// Names the server of a flow in every packet after the opening: the low half
-/// of the identifier of its incarnation. Callers hand it back unchanged.
+/// Identifies the server of a flow in every packet after the opening: the low half of the
+/// server's [`BackendId`]. Callers send it back unchanged.
 ///
 /// Two known servers may share a token; see
 /// [`crate::forwarding::directory::ServerDirectory::find`].
@@ -17,10 +17,10 @@
 pub struct FlowToken(u32);
 
 impl FlowToken {
-    /// What a caller sends that was given no token yet.
+    /// The token in packets of callers that have not received one yet.
     pub const NONE: Self = Self(0);
 
-    /// Wraps a number that was produced by [`Self::get`] elsewhere.
+    /// Creates a token from a number that [`Self::get`] returned, possibly on another host.
     pub const fn new(number: u32) -> Self {
         Self(number)
     }
@@ -50,17 +50,17 @@
     }
 }
 
-/// What a packet does to its flow.
+/// The effect of a packet on its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketKind {
-    /// Opens the flow. Callers that hear nothing send copies, which count up.
+    /// Opens the flow. Callers that receive no answer send numbered copies.
     Opening {
-        /// How many copies went before.
+        /// The number of openings of the flow that were sent before this one.
         copy: u32,
     },
     /// Carries data or an acknowledgement.
     Data,
-    /// Says that the caller sends nothing more.
+    /// Announces that the caller sends no more data.
     Closing,
     /// Ends the flow at once.
     Reset,
@@ -71,17 +71,17 @@
 pub struct FlowPacket<'a> {
     /// The flow.
     pub flow: FlowKey,
-    /// What the packet does.
+    /// The effect of the packet.
     pub kind: PacketKind,
-    /// The token that the caller was given.
+    /// The token that the caller sent.
     pub token: FlowToken,
     /// The position of the data in the caller's stream.
     pub sequence: u32,
-    /// The position up to which the caller has what the server sent.
+    /// The position up to which the caller has acknowledged the server's stream.
     pub acknowledged: u32,
     /// The length of the data in bytes.
     pub length: u16,
-    /// The request that begins in this packet, where its identifier can be
-    /// read. Only logs use it.
+    /// The identifier of the request that begins in this packet, if it can be read. It is
+    /// used only in logs.
     pub request: Option<&'a str>,
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/permission.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/permission.rs
@@ -1,4 +1,4 @@
-//! Which servers may take a new flow, by the will of operators.
+//! Which servers may take a new flow by the settings and commands of operators.
 
 use cardamomwinch_state::prelude::{DomainId, RegionId, ServiceId, Timestamp};
 
@@ -6,34 +6,34 @@
 use crate::forwarding::directory::{ServerPhase, ServerRecord};
 use crate::forwarding::view::ForwardingView;
 
-/// What limits the choice of a server for one flow.
+/// Which servers one flow may be sent to.
 ///
-/// Three rules that must hold whatever the load is: nothing new goes to an evacuated
-/// failure domain, nothing leaves the regions that a route is bound to, and a server
-/// that has just started gets no more than it bears.
+/// Three rules hold regardless of load: no new flow is sent to an evacuated failure domain,
+/// no flow leaves the regions that its route allows, and a cold server receives new flows at
+/// a limited rate.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowPermission<'a> {
     view: &'a ForwardingView,
-    allowed: &'a [RegionId],
-    start: Option<&'a ColdStart>,
+    allowed_regions: &'a [RegionId],
+    cold_start: Option<&'a ColdStart>,
     limiter: &'a ColdLimiter,
     now: Timestamp,
 }
 
 impl<'a> FlowPermission<'a> {
-    /// What holds at `now` for a flow to `service` that is bound to the `allowed`
-    /// regions, or to none where there are none.
+    /// Creates the rules at `now` for a flow to `service` that may use servers in the
+    /// `allowed` regions, or in any region if `allowed` is empty.
     pub fn new(
         view: &'a ForwardingView,
         service: ServiceId,
-        allowed: &'a [RegionId],
+        allowed_regions: &'a [RegionId],
         limiter: &'a ColdLimiter,
         now: Timestamp,
     ) -> Self {
         Self {
             view,
-            allowed,
-            start: view.routes.cold_start(service),
+            allowed_regions,
+            cold_start: view.routes.cold_start(service),
             limiter,
             now,
         }
@@ -43,50 +43,53 @@
     pub fn admits_domain(&self, domain: DomainId) -> bool {
         let in_region = || {
             let region = self.view.regions.of(domain);
-            region.is_some_and(|region| self.allowed.contains(&region))
+            region.is_some_and(|region| self.allowed_regions.contains(&region))
         };
         let evacuations = self.view.directory.evacuations();
-        (self.allowed.is_empty() || in_region()) && !evacuations.is_evacuated(domain)
+        (self.allowed_regions.is_empty() || in_region()) && !evacuations.is_evacuated(domain)
     }
 
     /// Whether `server` may take the flow now.
     pub fn admits(&self, server: &ServerRecord) -> bool {
-        self.admits_domain(server.domain) && self.spares_cold(server)
+        self.admits_domain(server.domain) && self.is_within_cold_limit(server)
     }
 
-    /// Whether `server` works slowly because it has just started.
+    /// Whether `server` is still slow because it has just started.
     pub fn is_cold(&self, server: &ServerRecord) -> bool {
-        let lasting = self.start.map(|start| start.lasting).unwrap_or_default();
+        let lasting = self
+            .cold_start
+            .map(|start| start.lasting)
+            .unwrap_or_default();
         self.view.directory.cold_until(server, lasting) > self.now
     }
 
-    /// Whether `server` gets a bounded number of new flows at present.
-    pub fn is_bounded(&self, server: &ServerRecord) -> bool {
-        self.bound().is_some() && self.is_cold(server)
+    /// Whether the rate of new flows to `server` is currently limited.
+    pub fn is_rate_limited(&self, server: &ServerRecord) -> bool {
+        self.rate_limit().is_some() && self.is_cold(server)
     }
 
-    fn bound(&self) -> Option<&ColdStart> {
-        self.start.filter(|start| start.openings.get() > 0)
+    fn rate_limit(&self) -> Option<&ColdStart> {
+        self.cold_start.filter(|start| start.openings.get() > 0)
     }
 
-    /// Whether `server` is warm, or has not had what this host may give it.
-    fn spares_cold(&self, server: &ServerRecord) -> bool {
-        let Some(start) = self.bound() else {
+    /// Whether `server` has no rate limit now, or this host may send it a flow within it.
+    fn is_within_cold_limit(&self, server: &ServerRecord) -> bool {
+        let Some(start) = self.rate_limit() else {
             return true;
         };
         if !self.is_cold(server) {
             return true;
         }
-        let is_near = self.view.domain == Some(server.domain);
-        let share = self.view.cold_share.as_ref().filter(|_| is_near);
+        let is_own_domain = self.view.domain == Some(server.domain);
+        let share = self.view.cold_share.as_ref().filter(|_| is_own_domain);
         share.is_some_and(|share| {
             let limiter = self.limiter;
             limiter.allows(server.id, start.openings, share, self.now)
         })
     }
 
-    /// Whether servers of `service` take flows, but none of them may take this one: to
-    /// wait for another copy would be in vain.
+    /// Whether `service` has active servers, but none of them may take this flow, so that
+    /// waiting for another copy is of no use.
     pub fn forbids_all(&self, service: ServiceId) -> bool {
         let servers = self.view.directory.of_service(service);
         let mut active = servers.filter(|server| server.phase == ServerPhase::Active);
--- a/crates/cardamomwinch_coordination/src/forwarding/progress.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/progress.rs
@@ -1,7 +1,9 @@
-//! Judges servers by the caller's half of their flows, the only half that hosts
-//! see: an opening that is copied was not answered, data that come again were
-//! not acknowledged, and an acknowledgement that advances proves that the
-//! server lives.
+//! Tracks which servers are alive by the packets of callers; hosts do not see the packets
+//! of servers. A copy of an opening shows that the server did not answer it, repeated data
+//! show that they were not acknowledged, and an acknowledgement that advances proves that
+//! the server is alive.
+//!
+//! Silence of a server means that it has acknowledged nothing that callers had to repeat.
 
 use std::time;
 
@@ -9,99 +11,101 @@
 
 use crate::forwarding::server_reports::{ReportSubject, ServerSilence};
 
-/// How long a server that did not answer an opening gets no other one. Callers
-/// copy openings after 200 ms; a server that lives answers within a round trip.
+/// How long a server that did not answer an opening receives no further one. Callers
+/// copy openings after 200 ms; a server that is alive answers within a round trip.
 /// One lost datagram costs a server a second of new flows and nothing else.
 const FIRST_SUSPICION: time::Duration = time::Duration::from_secs(1);
-/// Each opening that goes unanswered after a suspicion doubles the next one, up
-/// to this. The store takes a silent server off its list in a few seconds.
-const LONGEST_SUSPICION: time::Duration = time::Duration::from_secs(4);
-/// A server that lives confirms an opening within two round trips, less than this
-/// also between regions. Later it counts as silent until it confirms one.
+/// Each unanswered opening after a suspicion doubles the duration of the next one, up to
+/// this. The store removes a silent server within a few seconds.
+const MAX_SUSPICION: time::Duration = time::Duration::from_secs(4);
+/// A server that is alive confirms an opening within two round trips, which take less than
+/// this also between regions. After this time it is suspected until it confirms one.
 ///
-/// Guards against a server that has gone but is still listed: a reset comes back
-/// past this host at once, its flows end, and having the fewest flows it would
-/// draw every new one. It shows as callers that use up their retries in a row.
-const CONFIRMATION_PATIENCE: time::Duration = time::Duration::from_millis(80);
-/// An opening that is not confirmed yet counts as so many flows.
+/// Guards against a dead server that is still listed. Its resets go to the callers directly,
+/// so its flows end at once; with the fewest flows it would attract every new one, and
+/// callers would use up all their retries on it.
+const CONFIRMATION_TIMEOUT: time::Duration = time::Duration::from_millis(80);
+/// The number of flows that an unconfirmed opening counts as.
 const UNCONFIRMED_LOAD: u64 = 4;
-/// After this an unconfirmed server is tried again with one opening: one lost
-/// datagram must not shut it out.
-const CONFIRMATION_MEMORY: time::Duration = time::Duration::from_millis(1_500);
-/// A response time counts as one of so many in the moving mean: a second or less
-/// of a busy server's requests.
+/// How long openings count as unconfirmed. After this, one opening is sent to the server
+/// again, because one lost datagram must not exclude it for good.
+const UNCONFIRMED_RETENTION: time::Duration = time::Duration::from_millis(1_500);
+/// A new response time enters the moving mean with the weight `1 / RESPONSE_WEIGHT`. The
+/// mean covers a second or less of the requests of a busy server.
 const RESPONSE_WEIGHT: u32 = 8;
-/// How long a mean is worth something without new measurements.
-const RESPONSE_MEMORY: time::Duration = time::Duration::from_secs(2);
-/// So many flows must have met silence before a server is taken as silent for
-/// flows that are open. Few may have lost packets by chance, or by queues on the
-/// way of this host alone.
-const SILENT_FLOWS: u32 = 3;
-/// A server whose flows made progress within this time is lively.
-const LIVELINESS: time::Duration = time::Duration::from_millis(500);
-/// And for so long nobody may have seen it make progress: more than the 200 ms
-/// after which callers send again, a stall of this host that goes unnoticed, and an
-/// answer together. A server that is merely busy acknowledges at once what it is
-/// sent.
-const SILENCE: time::Duration = time::Duration::from_millis(500);
-/// For so long after this host did not run, repetitions say nothing: callers sent
-/// them because of the host, and answers are on their way.
-const DISTRUST: time::Duration = time::Duration::from_millis(300);
-/// What is known of one server.
+/// How long a mean is valid without new measurements.
+const RESPONSE_RETENTION: time::Duration = time::Duration::from_secs(2);
+/// The number of silent flows from which a server counts as silent towards all open
+/// flows. Fewer may have lost packets by chance, or in queues close to this host.
+const MIN_SILENT_FLOWS: u32 = 3;
+/// A server makes progress as long as the last progress of its flows is no older than this.
+const RECENT_PROGRESS: time::Duration = time::Duration::from_millis(500);
+/// How long a silent server must have made no progress: longer than the 200 ms after which
+/// callers send again, a pause of this host too short to be detected, and an answer
+/// together. A server that is merely busy acknowledges data at once.
+const MIN_SILENCE: time::Duration = time::Duration::from_millis(500);
+/// How long after a process pause repetitions are ignored. Callers sent them because this
+/// host did not forward, and the answers are still on their way.
+const IGNORED_AFTER_PAUSE: time::Duration = time::Duration::from_millis(300);
+
+/// What this host has observed of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerProgress {
-    /// Flows on the server that this host has lately seen.
+    /// The number of flows on the server that this host counts.
     pub flows: u32,
-    /// When a caller last acknowledged something new from it.
+    /// When a caller last acknowledged new data of the server, or suspicions were cleared,
+    /// or this entry was created.
     progress_at: Timestamp,
-    /// When that was seen for sure; never at first.
-    lively_at: Option<Timestamp>,
-    /// When it answered a request last.
+    /// When a caller last acknowledged new data of the server; `None` if none did yet.
+    observed_progress_at: Option<Timestamp>,
+    /// When the server last answered a request.
     answered_at: Option<Timestamp>,
-    /// Requests that have waited for too long since then, and when the first was sent.
+    /// The number of requests that became overdue since `answered_at`, and when the first
+    /// of them was sent.
     overdue: Option<ServerSilence>,
-    /// Flows that met silence since then.
+    /// The number of flows that became silent since `progress_at`.
     silent_flows: u32,
-    /// When the first data were sent that nobody answered since then.
+    /// When the first data were sent that were not acknowledged since `progress_at`.
     silent_since: Timestamp,
-    /// Whether the data of one flow were lost three times in a row since then.
-    lost_thrice: bool,
+    /// Whether the data of one flow were lost three times in a row since `progress_at`.
+    triple_loss: bool,
     suspected_until: Timestamp,
+    /// The duration of the last suspicion.
     suspicion: time::Duration,
-    /// When the first opening went out that nothing has confirmed since.
+    /// When the first of the unconfirmed openings was sent.
     unconfirmed_since: Option<Timestamp>,
-    /// How many openings went out since then.
+    /// The number of unconfirmed openings.
     unconfirmed: u32,
-    /// How many of them others were told of.
-    unconfirmed_told: u32,
+    /// How many of them were reported to other hosts.
+    unconfirmed_reported: u32,
     /// Whether the flows of the silent server were ended.
-    ended: bool,
-    /// The moving mean of response times, and when the last one was taken.
+    flows_ended: bool,
+    /// The moving mean of response times, and the time of the last measurement.
     response: Option<(time::Duration, Timestamp)>,
 }
 
 impl ServerProgress {
-    const fn starting(now: Timestamp) -> Self {
+    const fn new(now: Timestamp) -> Self {
         Self {
             flows: 0,
             progress_at: now,
-            lively_at: None,
+            observed_progress_at: None,
             answered_at: None,
             overdue: None,
             silent_flows: 0,
             silent_since: Timestamp::ZERO,
-            lost_thrice: false,
+            triple_loss: false,
             suspected_until: Timestamp::ZERO,
             suspicion: time::Duration::ZERO,
             unconfirmed_since: None,
             unconfirmed: 0,
-            unconfirmed_told: 0,
-            ended: false,
+            unconfirmed_reported: 0,
+            flows_ended: false,
             response: None,
         }
     }
 
-    /// One more flow met silence with what was sent at `sent_at`.
+    /// Counts one more silent flow, whose data were sent at `sent_at`.
     fn add_silent_flow(&mut self, sent_at: Timestamp) {
         if self.silent_flows == 0 || sent_at < self.silent_since {
             self.silent_since = sent_at;
@@ -115,92 +119,92 @@
 
     fn is_unconfirmed(&self, now: Timestamp) -> bool {
         self.unconfirmed_since.is_some_and(|since| {
-            (CONFIRMATION_PATIENCE..CONFIRMATION_MEMORY).contains(&now.since(since))
+            (CONFIRMATION_TIMEOUT..UNCONFIRMED_RETENTION).contains(&now.since(since))
         })
     }
 }
 
-/// What is known of all servers.
+/// What this host has observed of all servers.
 #[derive(Debug, Default)]
 pub struct ProgressTable {
     servers: SortedVector<BackendId, ServerProgress>,
-    /// Until when repetitions say nothing.
-    distrust_until: Timestamp,
+    /// Until when repetitions are ignored.
+    repetitions_ignored_until: Timestamp,
 }
 
 impl ProgressTable {
     fn entry(&mut self, server: BackendId, now: Timestamp) -> &mut ServerProgress {
-        let make = || ServerProgress::starting(now);
+        let make = || ServerProgress::new(now);
         self.servers.get_or_insert_with(server, make)
     }
 
-    /// What counts as the load of `server`: its flows, and more for openings that
-    /// it has not confirmed. Callers whose flows are reset try again within
-    /// milliseconds, and must not meet the same server again meanwhile.
+    /// The load of `server`: its number of flows, raised for openings that it has not
+    /// confirmed. Callers whose flows are reset try again within milliseconds, and must not
+    /// reach the same server again.
     pub fn load(&self, server: BackendId) -> u64 {
         self.servers.get(&server).map_or(0, |entry| {
             u64::from(entry.flows) + UNCONFIRMED_LOAD * u64::from(entry.unconfirmed)
         })
     }
 
-    /// The flows on `server` that this host has lately seen.
+    /// The number of flows on `server` that this host counts.
     pub fn flows(&self, server: BackendId) -> u32 {
         self.servers.get(&server).map_or(0, |entry| entry.flows)
     }
 
-    /// A flow on `server` is seen from now on.
+    /// Starts to count a flow on `server`.
     pub fn add_flow(&mut self, server: BackendId, now: Timestamp) {
         let entry = self.entry(server, now);
         entry.flows = entry.flows.saturating_add(1);
     }
 
-    /// A flow on `server` is no longer seen.
+    /// Stops counting a flow on `server`.
     pub fn remove_flow(&mut self, server: BackendId) {
         if let Some(entry) = self.servers.get_mut(&server) {
             entry.flows = entry.flows.saturating_sub(1);
         }
     }
 
-    /// An opening goes to `server`.
+    /// Records that an opening is sent to `server`.
     pub fn note_opening(&mut self, server: BackendId, now: Timestamp) {
         let entry = self.entry(server, now);
         let forgotten = entry
             .unconfirmed_since
-            .is_none_or(|since| now.since(since) >= CONFIRMATION_MEMORY);
+            .is_none_or(|since| now.since(since) >= UNCONFIRMED_RETENTION);
         if forgotten {
             entry.unconfirmed_since = Some(now);
             entry.unconfirmed = 0;
-            entry.unconfirmed_told = 0;
+            entry.unconfirmed_reported = 0;
         }
         entry.unconfirmed = entry.unconfirmed.saturating_add(1);
     }
 
-    /// Takes out the servers that have left openings without a confirmation and that
-    /// others were not told of: how many openings, and when the first one went out.
+    /// Returns the servers with unconfirmed openings that were not reported yet, and marks
+    /// these as reported: the number of openings, and when the first of them was sent.
     pub fn take_unconfirmed(&mut self, now: Timestamp) -> Vec<(BackendId, u32, Timestamp)> {
         let mut found = Vec::new();
         for (id, entry) in self.servers.iter_mut() {
-            if entry.unconfirmed > entry.unconfirmed_told
+            if entry.unconfirmed > entry.unconfirmed_reported
                 && entry.is_unconfirmed(now)
                 && let Some(since) = entry.unconfirmed_since
             {
-                entry.unconfirmed_told = entry.unconfirmed;
+                entry.unconfirmed_reported = entry.unconfirmed;
                 found.push((*id, entry.unconfirmed, since));
             }
         }
         found
     }
 
-    /// A caller has acknowledged something new from `server`. Returns whether
-    /// the server was under suspicion until then.
+    /// Records that a caller acknowledged new data of `server`. Returns whether the server
+    /// was suspected until then.
     pub fn note_progress(&mut self, server: BackendId, now: Timestamp) -> bool {
         let entry = self.entry(server, now);
-        let cleared = entry.suspected_until > now || entry.silent_flows >= SILENT_FLOWS;
+        let cleared = entry.suspected_until > now || entry.silent_flows >= MIN_SILENT_FLOWS;
         entry.progress_at = now;
-        entry.lively_at = Some(now);
+        entry.observed_progress_at = Some(now);
         entry.silent_flows = 0;
-        entry.lost_thrice = false;
-        entry.ended = false;
+        entry.triple_loss = false;
+        entry.flows_ended = false;
         entry.suspected_until = Timestamp::ZERO;
         entry.suspicion = time::Duration::ZERO;
         entry.unconfirmed_since = None;
@@ -208,11 +212,11 @@
         cleared
     }
 
-    /// A request on `server` was answered after `response`.
+    /// Records that a request on `server` was answered after `response`.
     pub fn note_response(&mut self, server: BackendId, response: time::Duration, now: Timestamp) {
         let entry = self.entry(server, now);
         let mean = match entry.response {
-            Some((mean, at)) if now.since(at) <= RESPONSE_MEMORY => {
+            Some((mean, at)) if now.since(at) <= RESPONSE_RETENTION => {
                 (mean * (RESPONSE_WEIGHT - 1) + response) / RESPONSE_WEIGHT
             }
             _ => response,
@@ -220,14 +224,15 @@
         entry.response = Some((mean, now));
     }
 
-    /// The mean response time of `server`, where it was measured lately.
+    /// The mean response time of `server`, if it was measured recently.
     pub fn response(&self, server: BackendId, now: Timestamp) -> Option<time::Duration> {
         let (mean, at) = self.servers.get(&server)?.response?;
-        (now.since(at) <= RESPONSE_MEMORY).then_some(mean)
+        (now.since(at) <= RESPONSE_RETENTION).then_some(mean)
     }
 
-    /// `server` did not answer an opening of `sent_at`; `proven` tells that the opening
-    /// was not lost before it left this host. Returns whether that is new.
+    /// Records that `server` did not answer an opening sent at `sent_at`. `proven` means that
+    /// this host delivered other packets at that time. Returns whether the server becomes
+    /// suspected by this.
     pub fn note_unanswered(
         &mut self,
         server: BackendId,
@@ -235,7 +240,7 @@
         proven: bool,
         now: Timestamp,
     ) -> bool {
-        if now < self.distrust_until {
+        if now < self.repetitions_ignored_until {
             return false;
         }
         let entry = self.entry(server, now);
@@ -246,31 +251,31 @@
             return false;
         }
         let doubled = entry.suspicion.saturating_mul(2);
-        entry.suspicion = doubled.clamp(FIRST_SUSPICION, LONGEST_SUSPICION);
+        entry.suspicion = doubled.clamp(FIRST_SUSPICION, MAX_SUSPICION);
         entry.suspected_until = now.after(entry.suspicion);
         true
     }
 
-    /// A flow on `server` sends data of `sent_at` again, for the first time since it
-    /// last made progress.
+    /// Records that a flow on `server` repeats data first sent at `sent_at`, for the first
+    /// time since the flow last made progress.
     pub fn note_silent_flow(&mut self, server: BackendId, sent_at: Timestamp, now: Timestamp) {
-        if now < self.distrust_until {
+        if now < self.repetitions_ignored_until {
             return;
         }
         self.entry(server, now).add_silent_flow(sent_at);
     }
 
-    /// A flow on `server` has sent the same data three times since `since`. Returns
-    /// whether nobody saw the server make progress meanwhile.
-    pub fn note_lost_thrice(&mut self, server: BackendId, since: Timestamp) -> bool {
+    /// Records that a flow on `server` sent the same data three times since `since`. Returns
+    /// whether the server has made no progress since then.
+    pub fn note_triple_loss(&mut self, server: BackendId, since: Timestamp) -> bool {
         let Some(entry) = self.servers.get_mut(&server) else {
             return false;
         };
-        entry.lost_thrice |= entry.progress_at <= since;
-        entry.lost_thrice
+        entry.triple_loss |= entry.progress_at <= since;
+        entry.triple_loss
     }
 
-    /// What met silence at `server` since it last made progress.
+    /// The flows on `server` that became silent since it last made progress.
     pub fn silence(&self, server: BackendId) -> Option<ServerSilence> {
         let entry = self.servers.get(&server)?;
         (entry.silent_flows > 0).then_some(ServerSilence {
@@ -279,15 +284,15 @@
         })
     }
 
-    /// `server` has answered a request.
+    /// Records that `server` answered a request.
     pub fn note_answer(&mut self, server: BackendId, now: Timestamp) {
         let entry = self.entry(server, now);
         entry.answered_at = Some(now);
         entry.overdue = None;
     }
 
-    /// A request of `asked_at` has waited at `server` for too long. Returns all that did
-    /// since it last answered one.
+    /// Records that a request sent to `server` at `asked_at` is overdue. Returns all requests
+    /// that became overdue since it last answered one.
     pub fn note_overdue(
         &mut self,
         server: BackendId,
@@ -304,16 +309,16 @@
         *overdue
     }
 
-    /// When `server` was last seen to do well in what reports about `subject` tell.
-    pub fn well_at(&self, server: BackendId, subject: ReportSubject) -> Option<Timestamp> {
+    /// When this host last observed that `server` is healthy with respect to `subject`.
+    pub fn healthy_at(&self, server: BackendId, subject: ReportSubject) -> Option<Timestamp> {
         let entry = self.servers.get(&server)?;
         match subject {
-            ReportSubject::Delivery | ReportSubject::Openings => entry.lively_at,
+            ReportSubject::Delivery | ReportSubject::Openings => entry.observed_progress_at,
             ReportSubject::Answers => entry.answered_at,
         }
     }
 
-    /// Whether `server` is to get no new flows for now.
+    /// Whether `server` is currently to receive no new flows.
     pub fn is_suspected(&self, server: BackendId, now: Timestamp) -> bool {
         self.servers
             .get(&server)
@@ -321,71 +326,74 @@
             || self.is_silent(server, now)
     }
 
-    /// Whether `server` is silent towards all flows that this host sees, so that
-    /// waiting for it is in vain.
+    /// Whether `server` is silent towards all flows of this host, so that waiting for it is
+    /// of no use.
     pub fn is_silent(&self, server: BackendId, now: Timestamp) -> bool {
         self.servers
             .get(&server)
-            .is_some_and(|entry| entry.is_silent(SILENT_FLOWS, SILENCE, now))
+            .is_some_and(|entry| entry.is_silent(MIN_SILENT_FLOWS, MIN_SILENCE, now))
     }
 
-    /// Whether what this host sees of servers can be trusted: at least as many
-    /// are lively as are silent.
+    /// Whether silence of servers is reliable evidence: at least as many servers make
+    /// progress as are silent.
     ///
-    /// Guards against a fault of this host's own, such as a link that is full of
-    /// something else: all servers then look slow to answer, and callers whose
-    /// flows are fine would be told that they are over.
-    pub fn is_trustworthy(&self, now: Timestamp) -> bool {
+    /// Guards against a fault of this host itself, such as a link that is full of other
+    /// traffic: all servers then seem to be silent, and working flows would be reset.
+    pub fn is_silence_reliable(&self, now: Timestamp) -> bool {
         let busy = self.servers.values().filter(|entry| entry.flows > 0);
-        let (mut lively, mut silent) = (0, 0);
+        let (mut progressing, mut silent) = (0, 0);
         for entry in busy {
             if entry.silent_flows > 0 {
                 silent += 1;
-            } else if now.since(entry.progress_at) <= LIVELINESS {
-                lively += 1;
+            } else if now.since(entry.progress_at) <= RECENT_PROGRESS {
+                progressing += 1;
             }
         }
-        lively >= silent
+        progressing >= silent
     }
 
-    /// A server that has gone, the first time that it is found so: one that is silent, or
-    /// where one flow alone shows it. Flows that wait for nothing are ended then, too,
-    /// before their callers send something into the void.
+    /// Returns a dead server that was not returned before: one that is silent by several
+    /// flows, or by a triple loss on one flow. Its other flows, also idle ones, can then be
+    /// ended before their callers send something that gets no answer.
     ///
-    /// The sooner the better: each caller with such a flow asks about once a second, and
-    /// what it asks is late where it must be sent again.
-    pub fn take_absent(&mut self, now: Timestamp) -> Option<BackendId> {
-        let absent = |entry: &ServerProgress| {
-            let flows = if entry.lost_thrice { 1 } else { SILENT_FLOWS };
-            !entry.ended && entry.is_silent(flows, SILENCE, now)
+    /// This should happen as early as possible: each caller with such a flow sends about one
+    /// request a second, and its answer is late if it must be sent again.
+    pub fn take_dead_server(&mut self, now: Timestamp) -> Option<BackendId> {
+        let is_dead = |entry: &ServerProgress| {
+            let flows = if entry.triple_loss {
+                1
+            } else {
+                MIN_SILENT_FLOWS
+            };
+            !entry.flows_ended && entry.is_silent(flows, MIN_SILENCE, now)
         };
-        let found = self.servers.iter_mut().find(|(_, entry)| absent(entry));
+        let found = self.servers.iter_mut().find(|(_, entry)| is_dead(entry));
         let (id, entry) = found?;
-        entry.ended = true;
+        entry.flows_ended = true;
         Some(*id)
     }
 
-    /// Drops every suspicion. After this host itself slept, packets that waited
-    /// for it look as if servers had been silent.
-    pub fn pardon(&mut self, now: Timestamp) {
-        self.distrust_until = now.after(DISTRUST);
+    /// Clears all suspicions, and ignores repetitions for a short time. After a pause of this
+    /// host, packets that were queued look as if servers had been silent.
+    pub fn clear_suspicions(&mut self, now: Timestamp) {
+        self.repetitions_ignored_until = now.after(IGNORED_AFTER_PAUSE);
         for (_, entry) in self.servers.iter_mut() {
             entry.progress_at = now;
             entry.silent_flows = 0;
             entry.overdue = None;
-            entry.lost_thrice = false;
+            entry.triple_loss = false;
             entry.suspected_until = Timestamp::ZERO;
             entry.unconfirmed_since = None;
             entry.unconfirmed = 0;
         }
     }
 
-    /// Forgets all that is known of `server`.
-    pub fn forget(&mut self, server: BackendId) {
+    /// Removes all observations of `server`.
+    pub fn remove(&mut self, server: BackendId) {
         self.servers.remove(&server);
     }
 
-    /// Forgets the servers for which `keep` does not hold.
+    /// Removes the servers without flows for which `keep` does not hold.
     pub fn retain(&mut self, mut keep: impl FnMut(BackendId) -> bool) {
         self.servers
             .retain(|id, entry| entry.flows > 0 || keep(*id));
--- a/crates/cardamomwinch_coordination/src/forwarding/recent_openings.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/recent_openings.rs
@@ -1,25 +1,24 @@
-//! The servers that openings of one caller have met in vain.
+//! The servers that did not confirm recent openings of each caller.
 //!
-//! Guards against a server that has gone but is still listed and is the only one
-//! in its failure domain: a reset comes back to the caller past this host, the
-//! caller tries again at once from another port, and would meet the same server
-//! until its retries are used up. It shows as requests that fail within some
-//! milliseconds. Nothing of the flow says that it is a retry; the caller's
-//! address does.
+//! Guards against requests that fail within milliseconds because of a dead server that is
+//! still listed, and is the only one in its failure domain. Its reset goes to the caller
+//! directly and not through this host; the caller tries again at once from another port,
+//! and would reach the same server until its retries are used up. Nothing in the new flow
+//! shows that it is a retry, except the caller's IP address.
 
 use std::net;
 use std::time;
 
 use cardamomwinch_state::prelude::{BackendId, SortedVector, Timestamp};
 
-/// Callers remembered at most. Without room a retry is placed like a first try.
+/// The maximum number of callers. Retries of others are placed like first openings.
 const CALLER_LIMIT: usize = 4_096;
-/// How long a caller may take to try again.
-const MEMORY: time::Duration = time::Duration::from_millis(1_000);
-/// Servers remembered for a caller: as many as it has retries.
+/// How long after an opening another one of the caller counts as a retry.
+const RETRY_WINDOW: time::Duration = time::Duration::from_millis(1_000);
+/// The number of servers that are kept for a caller: as many as it has retries.
 const SERVER_LIMIT: usize = 3;
 
-/// A caller and the address that it opens flows to.
+/// The IP address of a caller, and the service address that it opens flows to.
 type CallerKey = (net::IpAddr, net::SocketAddr);
 
 #[derive(Debug, Clone, Copy)]
@@ -28,22 +27,21 @@
     at: Timestamp,
 }
 
-/// What callers' openings have met that no server has confirmed yet.
+/// The servers that recent openings of each caller were sent to, until one of them confirms.
 #[derive(Debug, Default)]
 pub struct RecentOpenings {
     callers: SortedVector<CallerKey, RecentEntry>,
 }
 
 impl RecentOpenings {
-    /// Whether an opening of this caller went to `server` a moment ago and was
-    /// not confirmed.
+    /// Whether an opening of this caller was recently sent to `server` and not confirmed.
     pub fn contains(&self, caller: CallerKey, server: BackendId, now: Timestamp) -> bool {
         self.callers.get(&caller).is_some_and(|entry| {
-            now.since(entry.at) <= MEMORY && entry.servers.contains(&Some(server))
+            now.since(entry.at) <= RETRY_WINDOW && entry.servers.contains(&Some(server))
         })
     }
 
-    /// An opening of this caller goes to `server`.
+    /// Records that an opening of this caller is sent to `server`.
     pub fn note(&mut self, caller: CallerKey, server: BackendId, now: Timestamp) {
         if self.callers.len() >= CALLER_LIMIT && !self.callers.contains_key(&caller) {
             return;
@@ -53,7 +51,7 @@
             at: now,
         };
         let entry = self.callers.get_or_insert_with(caller, fresh);
-        if now.since(entry.at) > MEMORY {
+        if now.since(entry.at) > RETRY_WINDOW {
             *entry = fresh();
         }
         entry.at = now;
@@ -64,14 +62,14 @@
         entry.servers[0] = Some(server);
     }
 
-    /// A server has confirmed an opening of this caller.
+    /// Records that a server confirmed an opening of this caller.
     pub fn confirm(&mut self, caller: CallerKey) {
         self.callers.remove(&caller);
     }
 
-    /// Forgets callers that have not tried again.
+    /// Removes callers that have not tried again.
     pub fn sweep(&mut self, now: Timestamp) {
         self.callers
-            .retain(|_, entry| now.since(entry.at) <= MEMORY);
+            .retain(|_, entry| now.since(entry.at) <= RETRY_WINDOW);
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/record.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/record.rs
@@ -1,4 +1,4 @@
-//! What is told of each decision, for logs and counters.
+//! The record of each decision, for logs and counters.
 
 use std::time;
 
@@ -9,41 +9,42 @@
 /// What was decided about a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ForwardingOutcome {
-    /// A new flow was given to a server.
+    /// A new flow was sent to a server.
     OpeningPlaced,
-    /// A copy of an opening went to the server that was chosen before.
+    /// A copy of an opening was sent to the server that was chosen before.
     OpeningRepeated,
     /// The server chosen before did not answer; another one was chosen.
     OpeningMoved,
-    /// No route leads from the address; the caller was told.
+    /// The address has no route; the flow was reset.
     NoRouteReset,
-    /// No route leads from the address as far as this host knows, whose word is
-    /// old; the packet waits for a newer one.
+    /// The address has no route in a view that may be incomplete; the packet is held for the
+    /// next one.
     NoRouteHeld,
-    /// No server can take the flow; the packet waits for one.
+    /// No server can take the flow; the packet is held for the next view.
     NoServerHeld,
-    /// No server can take the flow; the caller was told.
+    /// No server can take the flow; it was reset.
     NoServerReset,
-    /// Operators let no server take the flow, since all of them stand in evacuated
-    /// failure domains or outside the regions of the route; the caller was told.
+    /// No server may take the flow by the settings of operators, because all are in evacuated
+    /// failure domains or outside the regions of the route; the flow was reset.
     ForbiddenReset,
-    /// The packet went to the server of its flow.
+    /// The packet was sent to the server of its flow.
     Forwarded,
     /// Like [`Self::Forwarded`], and a request begins in the packet.
     RequestForwarded,
-    /// The packet went to the server of its flow, which had been sent the same
-    /// before and has not acknowledged it.
+    /// The packet was sent to the server of its flow, which was sent the same data before
+    /// and has not acknowledged them.
     Resent,
-    /// The route of the flow was dropped; the caller was told.
+    /// The route of the flow was dropped; the flow was reset.
     RouteDroppedReset,
-    /// No known server has the token; the packet waits until more are known.
+    /// No known server has the token; the packet is held for the next view.
     UnknownTokenHeld,
-    /// No known server has the token, still not; the caller was told.
+    /// No known server has the token, also after a later update; the flow was reset.
     UnknownTokenReset,
-    /// The server of the flow is silent; the caller was told.
+    /// The server of the flow is silent or has left the store; the flow was reset when its
+    /// caller repeated data.
     SilentServerReset,
-    /// The server of the flow has gone; the caller, who waits for nothing that
-    /// may run only once, was told before it sends anything more.
+    /// The server of the flow is dead or has restarted; the flow, which waits for no answer
+    /// or only for idempotent requests, was reset before its caller sends anything more.
     AbsentServerReset,
 }
 
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Whether the decision is one of the many that go well and get a counter
-    /// but no line: it repeats what the line of the opening or request said.
+    /// Whether the decision is so frequent that it is counted but not logged; the log has a
+    /// line for the opening or request before it.
     pub const fn is_routine(self) -> bool {
         matches!(self, Self::Forwarded)
     }
 
-    /// Whether a caller was refused, ignored or kept waiting.
+    /// Whether the caller was refused or had to wait, or the server did not answer.
     pub const fn is_failure(self) -> bool {
         !matches!(
             self,
@@ -105,29 +106,29 @@
     }
 }
 
-/// A decision with the inputs that decided it.
+/// A decision and the inputs that it was based on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardingRecord<'a> {
     /// What was decided.
     pub outcome: ForwardingOutcome,
     /// The flow.
     pub flow: FlowKey,
-    /// The request that begins in the packet, where its identifier can be read.
+    /// The identifier of the request that begins in the packet, if it can be read.
     pub request: Option<&'a str>,
     /// The name of the route of the flow, if there is one.
     pub route: Option<&'a str>,
     /// The token that the caller sent.
     pub token: FlowToken,
-    /// The server that got the packet, or was to get it.
+    /// The server that the packet was sent to, or the server of the flow that was reset.
     pub server: Option<BackendId>,
-    /// Whether the server stands in the failure domain of this host.
+    /// Whether the server is in the failure domain of this host.
     pub own_domain: Option<bool>,
-    /// Which copy of an opening, or how often data were sent again.
+    /// The number of the copy of an opening, or how often data were sent again.
     pub copies: u32,
-    /// The flows that this host sees on the server.
+    /// The number of flows on the server that this host counts.
     pub server_flows: u32,
-    /// The version of the configuration that decided.
+    /// The version of the configuration that was used.
     pub version: ConfigurationVersion,
-    /// The age of the word of the store that decided.
+    /// The age of the view that was used.
     pub view_age: time::Duration,
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/regions.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/regions.rs
@@ -1,15 +1,15 @@
-//! Which region each failure domain stands in.
+//! The region of each failure domain.
 
 use cardamomwinch_state::prelude::{DomainId, RegionId, SortedVector};
 
-/// The regions of the failure domains, as the settings of the host tell.
+/// The regions of the failure domains by the settings of the host.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct DomainRegions {
     regions: SortedVector<DomainId, RegionId>,
 }
 
 impl DomainRegions {
-    /// The region of `domain`, where the settings tell it.
+    /// The region of `domain`, if the settings contain it.
     pub fn of(&self, domain: DomainId) -> Option<RegionId> {
         self.regions.get(&domain).copied()
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/routes.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/routes.rs
@@ -1,4 +1,5 @@
-//! Which services the addresses lead to, version by version.
+//! The routes: which services the flows to each address go to. Keeps enough of earlier
+//! versions to send only differences to peers.
 
 use std::collections;
 use std::net;
@@ -13,16 +14,16 @@
 use crate::forwarding::cold_starts::ColdStart;
 use crate::routing::rendezvous;
 
-/// Addresses that led somewhere lately are remembered up to this number, so
-/// that a caller of a dropped route is told so. One storm of changes drops fewer.
+/// The maximum number of dropped addresses that are kept, so that flows of dropped routes
+/// are reset. A burst of changes drops fewer.
 const DROPPED_LIMIT: usize = 4_096;
-/// So many versions are remembered as having been in force: those of some minutes
-/// of a storm of changes. A host that is further behind is told all routes.
-const HELD_LIMIT: usize = 256;
+/// The number of earlier versions from which a difference can be made: those of some minutes
+/// of a burst of changes. A host that is further behind receives all routes.
+const PAST_VERSIONS_LIMIT: usize = 256;
 /// Makes the choice of a service independent of the choice of a server.
 const SERVICE_SALT: u64 = 0x5e1e_c7ed;
 
-/// A service that takes a share of the new flows of a route.
+/// A service that receives a share of the new flows of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RouteTarget {
@@ -32,26 +33,26 @@
     pub weight: Weight,
 }
 
-/// Where flows to one address go.
+/// The route of one address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RouteEntry {
     /// The name that operators gave the route.
     pub name: String,
-    /// The services that take its flows.
+    /// The services that receive its flows.
     pub targets: Vec<RouteTarget>,
     /// Whether its requests may run twice, so that a caller whose flow was
     /// reset sends them again.
     pub idempotent: bool,
-    /// How fast its requests should be answered; zero where that is unknown.
+    /// How fast its requests should be answered; zero if that is unknown.
     pub latency_goal: time::Duration,
-    /// The regions whose servers may take its flows; any may where there is none.
+    /// The regions whose servers may take its flows; if empty, all may.
     pub regions: Vec<RegionId>,
 }
 
 impl RouteEntry {
-    /// The service for the flow with the hash `hash`. All hosts choose alike, so
-    /// that copies of an opening that meet different hosts stay on one service.
+    /// The service for the flow with the hash `hash`. All hosts choose the same one, so that
+    /// copies of an opening that reach different hosts stay on one service.
     pub fn service_for(&self, hash: FlowHash) -> Option<ServiceId> {
         let subject = hash.mixed_with(SERVICE_SALT);
         let cost = |target: &RouteTarget| {
@@ -63,7 +64,7 @@
             .map(|target| target.service)
     }
 
-    /// Whether flows of this route may be on `service`.
+    /// Whether `service` is a target of this route.
     pub fn leads_to(&self, service: ServiceId) -> bool {
         self.targets.iter().any(|target| target.service == service)
     }
@@ -76,31 +77,31 @@
     pub version: ConfigurationVersion,
     /// The route of each address.
     pub routes: Vec<(net::SocketAddr, RouteEntry)>,
-    /// How servers of the services behave after their start.
+    /// How servers of the services are treated after their start.
     pub cold_starts: Vec<ColdStart>,
-    /// How long a flow may rest before it may be forgotten.
+    /// How long a flow may be idle before its state is removed.
     pub idle_timeout: time::Duration,
 }
 
-/// What turns an earlier version of all routes into a later one.
+/// The difference from an earlier version of all routes to a later one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteDifference {
     /// The later version.
     pub version: ConfigurationVersion,
-    /// Whether `changed` are all routes, so that any earlier version will do.
+    /// Whether `changed` contains all routes, so that the difference applies to any earlier
+    /// version.
     pub all: bool,
-    /// Routes that are new or other than before.
+    /// Routes that are new or changed.
     pub changed: Vec<(net::SocketAddr, RouteEntry)>,
     /// Addresses whose routes were dropped.
     pub dropped: Vec<net::SocketAddr>,
-    /// How servers behave after their start, for all services, where that is other than
-    /// before.
+    /// How servers are treated after their start, for all services; `None` if unchanged.
     pub cold_starts: Option<Vec<ColdStart>>,
-    /// How long a flow may rest before it may be forgotten.
+    /// How long a flow may be idle before its state is removed.
     pub idle_timeout: time::Duration,
 }
 
-/// A route, and the version that made it what it is.
+/// A route, and the version that last changed it.
 #[derive(Debug, Clone)]
 struct VersionedRoute {
     entry: RouteEntry,
@@ -113,21 +114,20 @@
     version: ConfigurationVersion,
     routes: SortedVector<net::SocketAddr, VersionedRoute>,
     dropped: SortedVector<net::SocketAddr, ConfigurationVersion>,
-    /// Versions that were in force here, in rising order. A difference can be told
-    /// from these only: what changed and changed back between two of them shows
-    /// in none.
-    held: collections::VecDeque<ConfigurationVersion>,
-    /// How servers behave after their start, in the order of services, and the version
-    /// that made it so.
+    /// Versions that were in force on this host, in ascending order. A difference can be
+    /// made only from one of these: from another version, a change that was undone before
+    /// the next version in this list would be missing from it.
+    past_versions: collections::VecDeque<ConfigurationVersion>,
+    /// How servers are treated after their start, by service, and the version that last
+    /// changed this.
     cold_starts: SortedVector<ServiceId, ColdStart>,
-    cold_since: ConfigurationVersion,
+    cold_starts_since: ConfigurationVersion,
     idle_timeout: time::Duration,
 }
 
 impl RouteTable {
-    /// Puts `document` in force where it is newer than what is in force, and
-    /// returns whether it was. Versions never fall, whoever brings them in
-    /// whatever order.
+    /// Puts `document` in force if it is newer than the version in force, and returns
+    /// whether it is. The version never decreases, whatever order documents come in.
     pub fn adopt(&mut self, document: RouteDocument) -> bool {
         if document.version <= self.version {
             return false;
@@ -149,8 +149,8 @@
         true
     }
 
-    /// Puts in force what `difference` makes of the version in force, which must
-    /// be the one that it was made for or a later one. Returns whether it is newer.
+    /// Applies `difference` to the version in force, which must be the earlier version that
+    /// it was made from or a later one. Returns whether its version is newer.
     pub fn apply(&mut self, difference: RouteDifference) -> bool {
         let version = difference.version;
         if version <= self.version {
@@ -183,7 +183,7 @@
         let starts: SortedVector<_, _> = starts.map(|start| (start.service, start)).collect();
         if starts != self.cold_starts {
             self.cold_starts = starts;
-            self.cold_since = version;
+            self.cold_starts_since = version;
         }
     }
 
@@ -213,22 +213,22 @@
         let routes = &self.routes;
         self.dropped
             .retain(|address, _| !routes.contains_key(address));
-        self.bound_dropped();
+        self.limit_dropped();
         self.version = version;
         self.idle_timeout = idle_timeout;
-        if self.held.len() >= HELD_LIMIT {
-            self.held.pop_front();
+        if self.past_versions.len() >= PAST_VERSIONS_LIMIT {
+            self.past_versions.pop_front();
         }
-        self.held.push_back(version);
+        self.past_versions.push_back(version);
     }
 
-    /// What turns version `earlier` into the one in force; `None` where it is not
-    /// earlier.
+    /// The difference from version `earlier` to the version in force; `None` if `earlier` is
+    /// not earlier.
     pub fn difference(&self, earlier: ConfigurationVersion) -> Option<RouteDifference> {
         if earlier >= self.version {
             return None;
         }
-        let all = !self.held.contains(&earlier);
+        let all = !self.past_versions.contains(&earlier);
         let routes = self.routes.iter();
         let changed = routes.filter(|(_, route)| all || route.since > earlier);
         let dropped = self.dropped.iter().filter(|(_, since)| **since > earlier);
@@ -239,13 +239,13 @@
                 .map(|(address, route)| (*address, route.entry.clone()))
                 .collect(),
             dropped: dropped.map(|(address, _)| *address).collect(),
-            cold_starts: (all || self.cold_since > earlier)
+            cold_starts: (all || self.cold_starts_since > earlier)
                 .then(|| self.cold_starts.values().copied().collect()),
             idle_timeout: self.idle_timeout,
         })
     }
 
-    fn bound_dropped(&mut self) {
+    fn limit_dropped(&mut self) {
         let excess = self.dropped.len().saturating_sub(DROPPED_LIMIT);
         if excess == 0 {
             return;
@@ -253,11 +253,11 @@
         let mut versions: Vec<_> = self.dropped.values().copied().collect();
         versions.sort_unstable();
         let oldest_kept = versions[excess];
-        self.held.retain(|version| *version >= oldest_kept);
+        self.past_versions.retain(|version| *version >= oldest_kept);
         self.dropped.retain(|_, version| *version >= oldest_kept);
     }
 
-    /// The version in force; zero before the first.
+    /// The version in force; zero before the first one.
     pub const fn version(&self) -> ConfigurationVersion {
         self.version
     }
@@ -267,17 +267,17 @@
         self.routes.get(address).map(|route| &route.entry)
     }
 
-    /// How servers of `service` behave after their start, where the configuration says.
+    /// How servers of `service` are treated after their start, if the configuration says so.
     pub fn cold_start(&self, service: ServiceId) -> Option<&ColdStart> {
         self.cold_starts.get(&service)
     }
 
-    /// The version that dropped the route of `address`, if one did.
+    /// The version that dropped the route of `address`, if one did and is still kept.
     pub fn dropped(&self, address: &net::SocketAddr) -> Option<ConfigurationVersion> {
         self.dropped.get(address).copied()
     }
 
-    /// How many routes are in force.
+    /// The number of routes in force.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
@@ -287,13 +287,14 @@
         self.routes.is_empty()
     }
 
-    /// How long a flow may rest before it may be forgotten.
+    /// How long a flow may be idle before its state is removed.
     pub const fn idle_timeout(&self) -> time::Duration {
         self.idle_timeout
     }
 }
 
-/// Spreads `hash` for a choice among servers, independent of the services.
+/// Derives the number that a choice among servers uses from `hash`, independent of the
+/// choice of a service.
 pub const fn server_subject(hash: FlowHash) -> u64 {
     flow::mix(hash.get())
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/server_reach.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_reach.rs
@@ -1,10 +1,10 @@
-//! Whether this host reaches any server at all.
+//! Detects that no server answers this host.
 //!
-//! Guards against a failure domain that is cut off while callers still reach its hosts,
-//! and none of the servers beside them may take flows: they are evacuated, or the service
-//! has none there. It shows as callers of one domain whose every try waits in vain, while
-//! hosts elsewhere could serve them. A host that no server answers leaves the fabric's
-//! rotation; where all hosts of a domain do, the fabric takes those of the nearest one.
+//! Guards against a failure domain that is cut off from servers while callers still reach
+//! its hosts, and that has no own servers for them: they are evacuated, or the service has
+//! none there. All flows of callers of that domain would time out, although hosts elsewhere
+//! could serve them. A host that no server answers leaves the fabric's rotation; if all
+//! hosts of a domain do, the fabric uses those of the nearest domain.
 
 use std::time;
 
@@ -12,28 +12,28 @@
 
 use crate::forwarding::view::ForwardingView;
 
-/// For so long no server may have made progress, while several met what this host sent
-/// with silence. Callers send again after 200 ms.
-const SILENCE: time::Duration = time::Duration::from_millis(600);
-/// So many servers must be silent: one or two may have gone by themselves.
-const SILENT_SERVERS: usize = 3;
-/// For so long the host stays out of rotation at least. The fabric needs a second to take
-/// it out, and half a second to take it back.
-const LEAST_ABSENCE: time::Duration = time::Duration::from_secs(2);
-/// After this the host tries again although it has heard nothing from outside: the store
-/// may be down.
-const LONGEST_ABSENCE: time::Duration = time::Duration::from_secs(10);
-
-/// Servers that left something without an answer since any server last answered.
+/// How long several servers must have been silent, and none have answered. Callers send
+/// again after 200 ms.
+const MIN_SILENCE: time::Duration = time::Duration::from_millis(600);
+/// The number of servers that must be silent. One or two may have died by themselves.
+const MIN_SILENT_SERVERS: usize = 3;
+/// The minimum time that the host stays out of rotation. The fabric needs a second to remove
+/// it, and half a second to add it again.
+const MIN_ABSENCE: time::Duration = time::Duration::from_secs(2);
+/// The maximum time that the host stays out of rotation while the view is not updated: the
+/// store may be down.
+const MAX_ABSENCE: time::Duration = time::Duration::from_secs(10);
+
+/// The servers that have not answered something since any server last answered.
 #[derive(Debug, Default)]
-struct SilentSpell {
+struct SilencePeriod {
     answered_at: Option<Timestamp>,
     servers: SortedVector<BackendId, ()>,
-    /// When the first of what had to be sent again was sent.
+    /// When the first of the packets was sent that callers had to repeat.
     since: Option<Timestamp>,
 }
 
-impl SilentSpell {
+impl SilencePeriod {
     fn note_answer(&mut self, now: Timestamp) {
         self.answered_at = Some(now);
         self.servers.clear();
@@ -45,23 +45,24 @@
         self.since = Some(self.since.map_or(sent_at, |at| at.min(sent_at)));
     }
 
-    /// Whether several servers left what was sent without an answer for long, and none
-    /// answered meanwhile.
+    /// Whether several servers have been silent for [`SILENCE`], and no server has answered
+    /// in that time.
     fn is_long(&self, now: Timestamp) -> bool {
-        let is_long = |since: Timestamp| now.since(since) >= SILENCE;
-        self.servers.len() >= SILENT_SERVERS
+        let is_long = |since: Timestamp| now.since(since) >= MIN_SILENCE;
+        self.servers.len() >= MIN_SILENT_SERVERS
             && self.since.is_some_and(is_long)
             && self.answered_at.is_none_or(is_long)
     }
 }
 
-/// Watches whether servers answer this host.
+/// Tracks whether any server answers this host.
 #[derive(Debug, Default)]
 pub struct ServerReach {
-    /// By openings alone: servers that get no new flows may go on to serve open ones.
-    openings: SilentSpell,
-    /// By everything.
-    packets: SilentSpell,
+    /// Silence towards openings only: servers that receive no new flows may still serve open
+    /// ones.
+    openings: SilencePeriod,
+    /// Silence towards all packets.
+    packets: SilencePeriod,
     lost_at: Option<Timestamp>,
 }
 
@@ -71,56 +72,56 @@
         self.lost_at.is_some()
     }
 
-    /// Whether some server answered this host a moment ago, and new flows find one.
-    pub fn is_proven(&self, now: Timestamp) -> bool {
+    /// Whether a server answered this host recently, and openings are answered as well.
+    pub fn is_confirmed(&self, now: Timestamp) -> bool {
         let answered_at = self.packets.answered_at;
         !self.is_lost()
             && !self.openings.is_long(now)
-            && answered_at.is_some_and(|at| now.since(at) < SILENCE)
+            && answered_at.is_some_and(|at| now.since(at) < MIN_SILENCE)
     }
 
-    /// A server has taken an opening.
+    /// Records that a server confirmed an opening.
     pub fn note_opened(&mut self, now: Timestamp) {
         self.openings.note_answer(now);
         self.packets.note_answer(now);
         self.lost_at = None;
     }
 
-    /// A server has answered what was sent on an open flow.
+    /// Records that a server acknowledged data of an open flow.
     pub fn note_progress(&mut self, now: Timestamp) {
         self.packets.note_answer(now);
     }
 
-    /// `server` left an opening of `sent_at` without an answer.
-    pub fn note_unopened(&mut self, server: BackendId, sent_at: Timestamp) {
+    /// Records that `server` did not answer an opening sent at `sent_at`.
+    pub fn note_unanswered_opening(&mut self, server: BackendId, sent_at: Timestamp) {
         self.openings.note_repetition(server, sent_at);
         self.packets.note_repetition(server, sent_at);
     }
 
-    /// Data of `sent_at` had to be sent to `server` again.
+    /// Records that data sent at `sent_at` had to be sent to `server` again.
     pub fn note_repetition(&mut self, server: BackendId, sent_at: Timestamp) {
         self.packets.note_repetition(server, sent_at);
     }
 
-    /// Drops what was seen: this host itself did not run, or servers may answer again.
-    pub fn forget_silence(&mut self) {
+    /// Clears all observations, because this process was paused or servers may answer again.
+    pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Looks whether servers answer. Returns whether they may do so again, so that what
-    /// was seen of them before says nothing any more.
-    pub fn review(&mut self, view: &ForwardingView, now: Timestamp) -> bool {
+    /// Checks whether servers answer. Returns whether the host has just returned to the
+    /// rotation, so that earlier observations of servers no longer count.
+    pub fn update(&mut self, view: &ForwardingView, now: Timestamp) -> bool {
         let Some(lost_at) = self.lost_at else {
             let is_lost = self.openings.is_long(now) || self.packets.is_long(now);
             self.lost_at = is_lost.then_some(now);
             return false;
         };
         let absence = now.since(lost_at);
-        // Whoever hears of the store again is no longer cut off.
-        let heard = view.heard_at > lost_at && absence >= LEAST_ABSENCE;
-        let returns = heard || absence >= LONGEST_ABSENCE;
+        // A host whose view is updated by the store again is no longer cut off.
+        let is_updated = view.heard_at > lost_at && absence >= MIN_ABSENCE;
+        let returns = is_updated || absence >= MAX_ABSENCE;
         if returns {
-            self.forget_silence();
+            self.clear();
         }
         returns
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/server_reports.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_reports.rs
@@ -1,46 +1,48 @@
-//! What hosts of a failure domain tell each other about backend servers.
+//! Reports about backend servers that the hosts of a failure domain exchange.
 //!
-//! A host of a large fleet sees one or two flows of each server. Alone it must lose a
-//! request on each of them to learn what its neighbours learned seconds before; what all
-//! of them see together shows within half a second that a server has gone.
+//! A host of a large fleet sees only one or two flows of each server. On its own it would
+//! lose a request on each of them to find out that the server is dead, which other hosts
+//! found out seconds before. The observations of all hosts together show it within half a
+//! second.
 //!
-//! A report never says more than what its host saw: flows that waited in vain, or that the
-//! server does well. The latest statement of each host counts. Reports cross several hosts on
-//! their way and may meet themselves; the number that their host gave them tells which is
-//! the later one.
+//! A report contains only what its host observed: flows without an answer, or that the
+//! server is healthy. The latest report of each host counts. Reports pass through several
+//! hosts and may arrive more than once and in any order; the number that the reporter gave
+//! them shows which one is later.
 
 use std::time;
 
 use cardamomwinch_state::prelude::{BackendId, SortedVector, Timestamp};
 
-/// So many flows must have met silence.
-const SILENT_FLOWS: u32 = 3;
-/// And hosts so many have seen it, since a host alone may lose what it sends.
-const SILENT_HOSTS: usize = 2;
-/// For so long nobody may have seen the server make progress: more than the 200 ms after
-/// which callers send again.
-const SILENCE: time::Duration = time::Duration::from_millis(500);
-/// The last report that a verdict needs must have been known for so long: others need the
-/// time to object.
-const OBJECTION_TIME: time::Duration = time::Duration::from_millis(100);
-/// What a server sent before it fell silent is acknowledged for so long: the way there and
-/// back, and the time for which callers hold an acknowledgement.
-const LATE_PROGRESS: time::Duration = time::Duration::from_millis(150);
-/// A report that nothing repeats is forgotten after this. Flows that rest on a dead server
-/// go on to show it; the store takes one off its list in a few seconds.
-const REPORT_MEMORY: time::Duration = time::Duration::from_secs(3);
-/// Reports of silence kept of one server: more than a verdict needs.
-const SILENT_REPORTS: usize = 4;
-/// Reports kept at most: those of a failure domain that goes dark, and of some more
-/// servers. It bounds what hosts send when very much fails at once.
-const REPORT_LIMIT: usize = 1_024;
-
-/// The process of a host that reports. One that starts again reports as another.
+/// The number of silent flows, on all reporting hosts together, that shows that a server is
+/// dead.
+const MIN_SILENT_FLOWS: u32 = 3;
+/// The number of hosts that must report it, because a single host may lose what it sends.
+const MIN_SILENT_HOSTS: usize = 2;
+/// How long the server must have been silent: longer than the 200 ms after which callers
+/// send again.
+const MIN_SILENCE: time::Duration = time::Duration::from_millis(500);
+/// How long the last report that a conclusion needs must have been known, so that other
+/// hosts have time to refute it.
+const REFUTATION_TIME: time::Duration = time::Duration::from_millis(100);
+/// How long after a server fell silent callers may still acknowledge what it sent before:
+/// the round trip, and the time for which callers delay an acknowledgement.
+const LATE_ACKNOWLEDGEMENT: time::Duration = time::Duration::from_millis(150);
+/// How long a report is kept that is not repeated. Flows on a dead server cause further
+/// reports; the store removes the server within a few seconds.
+const REPORT_RETENTION: time::Duration = time::Duration::from_secs(3);
+/// The maximum number of reports of silence about one server: more than a conclusion needs.
+const MAX_SILENT_REPORTS: usize = 4;
+/// The maximum number of reports: those about a whole failure domain that fails, and about
+/// some more servers. It limits what hosts send when very much fails at once.
+const MAX_REPORTS: usize = 1_024;
+
+/// Identifies the process of a host that reports. A restarted process has another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReporterId(u64);
 
 impl ReporterId {
-    /// Wraps a number that differs among processes.
+    /// Creates an identifier from a number that differs among processes.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -54,13 +56,14 @@
 /// What a report is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportSubject {
-    /// Whether the server takes the data that are sent to it, which callers send again
-    /// through the same host. Only this ends flows.
+    /// Whether the server acknowledges data. Callers repeat data through the same host, so
+    /// this is reliable; only reports about this subject end flows.
     Delivery,
-    /// Whether it confirms openings. The confirmation may pass another host.
+    /// Whether it confirms openings. The confirmation may pass through another host.
     Openings,
-    /// Whether it answers requests. One that takes them and answers none is lost for its
-    /// callers as well, whatever it says of itself. An answer may pass another host, too.
+    /// Whether it answers requests. A server that accepts them and answers none is of no use
+    /// to callers, even if its entry says that it is healthy. The acknowledgement of an answer
+    /// may pass through another host.
     Answers,
 }
 
@@ -69,42 +72,42 @@
     pub const ALL: [Self; 3] = [Self::Delivery, Self::Openings, Self::Answers];
 }
 
-/// What flows on a server waited for in vain.
+/// The flows that got no answer from a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerSilence {
-    /// How many flows.
+    /// The number of flows.
     pub flows: u32,
-    /// Since when: what was sent then nobody has answered.
+    /// When the first data were sent that were not answered.
     pub since: Timestamp,
 }
 
 impl ServerSilence {
-    /// Whether a server that did well at `well_at` was not silent.
-    pub fn is_refuted_by(&self, well_at: Timestamp) -> bool {
-        well_at > self.since.after(LATE_PROGRESS)
+    /// Whether this silence is refuted by a server that was healthy at `healthy_at`.
+    pub fn is_refuted_by(&self, healthy_at: Timestamp) -> bool {
+        healthy_at > self.since.after(LATE_ACKNOWLEDGEMENT)
     }
 }
 
-/// A statement of one host about one server.
+/// A report of one host about one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerReport {
     /// The server.
     pub server: BackendId,
-    /// What it is about.
+    /// The subject.
     pub subject: ReportSubject,
-    /// Who saw it.
+    /// The process that reports.
     pub reporter: ReporterId,
-    /// Rises with each statement of the reporter.
+    /// Increases with each report of the reporter.
     pub number: u64,
-    /// What was waited for in vain; `None` where the server was seen to do well.
+    /// The flows that got no answer; `None` if the server is healthy.
     pub silence: Option<ServerSilence>,
-    /// When it was seen last.
+    /// When this was last observed.
     pub at: Timestamp,
 }
 
 impl ServerReport {
     fn is_fresh(&self, now: Timestamp) -> bool {
-        now.since(self.at) <= REPORT_MEMORY
+        now.since(self.at) <= REPORT_RETENTION
     }
 
     const fn key(&self) -> ReportKey {
@@ -112,15 +115,16 @@
     }
 }
 
-/// The order in which reports are kept.
+/// The sort key of reports.
 type ReportKey = (BackendId, ReportSubject, ReporterId);
 
-/// Tells how far a host has told its reports to another one.
+/// The position of a report in the order in which a host received reports. It shows up to
+/// which one the host has sent its reports to another host.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReportSerial(u64);
 
 impl ReportSerial {
-    /// Wraps a number.
+    /// Creates a position from a number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -131,30 +135,31 @@
     }
 }
 
-/// A report, and how this host learned of it.
+/// A report, and when this host received it.
 #[derive(Debug, Clone, Copy)]
-struct KeptReport {
+struct StoredReport {
     report: ServerReport,
-    /// Its place in the order in which this host learned of reports.
+    /// Its position in the order in which this host received reports.
     serial: ReportSerial,
+    /// When this host received the first of the reporter's uninterrupted reports of silence.
     learned_at: Timestamp,
 }
 
-/// A report against a server that nothing refutes.
+/// A report of silence that is not refuted.
 #[derive(Debug, Clone, Copy)]
-struct StandingReport {
+struct UnrefutedReport {
     silence: ServerSilence,
     learned_at: Timestamp,
 }
 
-/// The reports that a host knows, its own among them.
+/// The reports that a host knows, including its own.
 #[derive(Debug, Default, Clone)]
 pub struct ReportTable {
-    reports: SortedVector<ReportKey, KeptReport>,
+    reports: SortedVector<ReportKey, StoredReport>,
     serial: ReportSerial,
 }
 
-/// What stands against a server.
+/// The sum of the reports of silence about a server that are not refuted.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReportQuorum {
     flows: u32,
@@ -164,12 +169,12 @@
 }
 
 impl ReportQuorum {
-    fn with(mut self, report: StandingReport) -> Self {
-        let StandingReport {
+    fn with(mut self, report: UnrefutedReport) -> Self {
+        let UnrefutedReport {
             silence,
             learned_at,
         } = report;
-        // Reports beyond those that a verdict needs must not put it off.
+        // Reports beyond those that a conclusion needs must not delay it.
         if !self.is_complete() {
             self.learned_at = self.learned_at.max(learned_at);
         }
@@ -180,36 +185,38 @@
     }
 
     const fn is_complete(&self) -> bool {
-        self.flows >= SILENT_FLOWS && self.hosts >= SILENT_HOSTS
+        self.flows >= MIN_SILENT_FLOWS && self.hosts >= MIN_SILENT_HOSTS
     }
 
-    fn is_verdict(&self, now: Timestamp) -> bool {
+    fn is_conclusive(&self, now: Timestamp) -> bool {
         self.is_complete()
-            && self.since.is_some_and(|since| now.since(since) >= SILENCE)
-            && now.since(self.learned_at) >= OBJECTION_TIME
+            && self
+                .since
+                .is_some_and(|since| now.since(since) >= MIN_SILENCE)
+            && now.since(self.learned_at) >= REFUTATION_TIME
     }
 }
 
 impl ReportTable {
-    /// Whether nothing is reported.
+    /// Whether there are no reports.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// The place of the latest report.
+    /// The position of the latest report.
     pub const fn serial(&self) -> ReportSerial {
         self.serial
     }
 
-    /// The reports that came after `serial`.
+    /// The reports that were received after `serial`.
     pub fn after(&self, serial: ReportSerial) -> impl Iterator<Item = &ServerReport> {
         let kept = self.reports.values();
         let later = kept.filter(move |kept| kept.serial > serial);
         later.map(|kept| &kept.report)
     }
 
-    /// Takes over `report`, unless its host has made a later statement, or it adds
-    /// nothing. Returns whether it was taken.
+    /// Stores `report`, unless a later one of its reporter is known, it is too old, or there
+    /// is no room for it. Returns whether it was stored.
     pub fn note(&mut self, report: ServerReport, now: Timestamp) -> bool {
         let known = self.reports.get(&report.key());
         let is_old = known.is_some_and(|known| known.report.number >= report.number);
@@ -219,7 +226,7 @@
         let was_silent = known.filter(|known| known.report.silence.is_some());
         let learned_at = was_silent.map_or(now, |known| known.learned_at);
         self.serial = ReportSerial(self.serial.0 + 1);
-        let kept = KeptReport {
+        let kept = StoredReport {
             report,
             serial: self.serial,
             learned_at,
@@ -232,47 +239,47 @@
         if self.reports.contains_key(&report.key()) {
             return true;
         }
-        let known = self.about(report.server, report.subject);
+        let known = self.reports_about(report.server, report.subject);
         let silent = known.filter(|kept| kept.report.silence.is_some());
-        let adds = report.silence.is_none() || silent.count() < SILENT_REPORTS;
-        adds && self.reports.len() < REPORT_LIMIT
+        let adds = report.silence.is_none() || silent.count() < MAX_SILENT_REPORTS;
+        adds && self.reports.len() < MAX_REPORTS
     }
 
-    fn about(
+    fn reports_about(
         &self,
         server: BackendId,
         subject: ReportSubject,
-    ) -> impl Iterator<Item = &KeptReport> {
+    ) -> impl Iterator<Item = &StoredReport> {
         let reports = self.reports.range_from(&(server, subject, ReporterId(0)));
         let same = reports.take_while(move |(key, _)| (key.0, key.1) == (server, subject));
         same.map(|(_, kept)| kept)
     }
 
-    /// When hosts saw the server do well last.
-    fn well_at(&self, server: BackendId, subject: ReportSubject) -> Option<Timestamp> {
-        let well = self
-            .about(server, subject)
+    /// When hosts last reported that the server was healthy.
+    fn healthy_at(&self, server: BackendId, subject: ReportSubject) -> Option<Timestamp> {
+        let healthy = self
+            .reports_about(server, subject)
             .filter(|kept| kept.report.silence.is_none());
-        well.map(|kept| kept.report.at).max()
+        healthy.map(|kept| kept.report.at).max()
     }
 
-    /// The reports against `server` that later progress does not refute: progress that
-    /// others reported, or that this host saw itself at `progress_at`.
-    fn standing(
+    /// The reports of silence about `server` that are not refuted by later progress, which
+    /// hosts reported or this host itself observed at `progress_at`.
+    fn unrefuted(
         &self,
         server: BackendId,
         subject: ReportSubject,
         progress_at: Option<Timestamp>,
         now: Timestamp,
-    ) -> impl Iterator<Item = StandingReport> {
-        let well_at = self.well_at(server, subject).max(progress_at);
+    ) -> impl Iterator<Item = UnrefutedReport> {
+        let healthy_at = self.healthy_at(server, subject).max(progress_at);
         let fresh = self
-            .about(server, subject)
+            .reports_about(server, subject)
             .filter(move |kept| kept.report.is_fresh(now));
         fresh.filter_map(move |kept| {
             let silence = kept.report.silence?;
-            let is_refuted = well_at.is_some_and(|at| silence.is_refuted_by(at));
-            (!is_refuted).then_some(StandingReport {
+            let is_refuted = healthy_at.is_some_and(|at| silence.is_refuted_by(at));
+            (!is_refuted).then_some(UnrefutedReport {
                 silence,
                 learned_at: kept.learned_at,
             })
@@ -286,21 +293,21 @@
         progress_at: Option<Timestamp>,
         now: Timestamp,
     ) -> ReportQuorum {
-        let standing = self.standing(server, subject, progress_at, now);
-        standing.fold(ReportQuorum::default(), ReportQuorum::with)
+        let unrefuted = self.unrefuted(server, subject, progress_at, now);
+        unrefuted.fold(ReportQuorum::default(), ReportQuorum::with)
     }
 
-    /// Whether anything is reported of `server`.
-    pub fn mentions(&self, server: BackendId) -> bool {
+    /// Whether there are reports about `server`.
+    pub fn has_reports_about(&self, server: BackendId) -> bool {
         let first = (server, ReportSubject::ALL[0], ReporterId(0));
         let mut reports = self.reports.range_from(&first);
         reports.next().is_some_and(|((id, ..), _)| *id == server)
     }
 
-    /// Whether several hosts together have reason to give `server` no new flows; this host
-    /// itself saw it make progress at `progress_at`, if ever. A mistake costs a server
-    /// some new flows and no caller anything, so that no time has to pass first.
-    pub fn is_doubtful(
+    /// Whether several hosts report silence of `server`, so that it should receive no new
+    /// flows; `progress_at` is when this host itself last observed progress of it. A mistake
+    /// costs the server some new flows and callers nothing, so there is no waiting time.
+    pub fn is_suspected(
         &self,
         server: BackendId,
         subject: ReportSubject,
@@ -308,11 +315,11 @@
         now: Timestamp,
     ) -> bool {
         let quorum = self.quorum(server, subject, progress_at, now);
-        quorum.hosts >= SILENT_HOSTS
+        quorum.hosts >= MIN_SILENT_HOSTS
     }
 
-    /// Whether several hosts together show that `server` has gone or answers nobody; this
-    /// host itself saw it make progress at `progress_at`, if ever.
+    /// Whether the reports of several hosts show that `server` is dead or answers nobody;
+    /// `progress_at` is when this host itself last observed progress of it.
     pub fn is_silent(
         &self,
         server: BackendId,
@@ -321,27 +328,27 @@
         now: Timestamp,
     ) -> bool {
         let quorum = self.quorum(server, subject, progress_at, now);
-        quorum.is_verdict(now)
+        quorum.is_conclusive(now)
     }
 
-    /// Whether progress of `server` at `progress_at` refutes what is reported of it, and
-    /// nobody has said so.
-    pub fn is_refuted_by(
+    /// Whether progress of `server` at `progress_at` refutes a report of silence that no
+    /// report refutes yet.
+    pub fn needs_refutation(
         &self,
         server: BackendId,
         subject: ReportSubject,
         progress_at: Timestamp,
     ) -> bool {
-        let told_at = self.well_at(server, subject);
-        let reports = self.about(server, subject);
+        let reported_at = self.healthy_at(server, subject);
+        let reports = self.reports_about(server, subject);
         let mut silent = reports.filter_map(|kept| kept.report.silence);
         silent.any(|one| {
-            let is_told = told_at.is_some_and(|at| one.is_refuted_by(at));
-            one.is_refuted_by(progress_at) && !is_told
+            let is_reported = reported_at.is_some_and(|at| one.is_refuted_by(at));
+            one.is_refuted_by(progress_at) && !is_reported
         })
     }
 
-    /// The servers that reports about `subject` speak against, in rising order.
+    /// The servers with reports of silence about `subject`, in ascending order.
     pub fn servers(&self, subject: ReportSubject) -> Vec<BackendId> {
         let reports = self.reports.values().map(|kept| &kept.report);
         let silent = reports.filter(|one| one.subject == subject && one.silence.is_some());
@@ -350,7 +357,7 @@
         servers
     }
 
-    /// Forgets reports that nothing has repeated lately. Returns whether there were any.
+    /// Removes reports that were not repeated recently. Returns whether there were any.
     pub fn age(&mut self, now: Timestamp) -> bool {
         let before = self.reports.len();
         self.reports.retain(|_, kept| kept.report.is_fresh(now));
--- a/crates/cardamomwinch_coordination/src/forwarding/server_starts.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_starts.rs
@@ -1,10 +1,9 @@
-//! Which servers have started again under the identifier that they had.
+//! Detects servers that restarted under the same identifier.
 //!
-//! Guards against a server that crashes and is back before its entry lapses: to a
-//! host that only compares identifiers nothing has happened. It shows as callers
-//! that are reset by the server one by one, with the first request that they send on
-//! each flow which rested, and as a server that is judged by what the process before
-//! it did. Each entry names the start of its process, which tells the two apart.
+//! Guards against a server that crashes and is back before its entry expires, which a host
+//! that only compares identifiers does not notice. The server would reset each idle flow at
+//! its next request, and would be evaluated by what its earlier process did. Each entry
+//! contains the start of its process, which distinguishes the two.
 
 use std::sync;
 
@@ -13,7 +12,7 @@
 use crate::forwarding::beliefs::store_call::ServerStart;
 use crate::forwarding::directory::ServerDirectory;
 
-/// The starts of all servers as they were known last.
+/// The last known starts of all servers.
 #[derive(Debug, Default)]
 pub struct ServerStarts {
     starts: SortedVector<BackendId, ServerStart>,
@@ -21,8 +20,8 @@
 }
 
 impl ServerStarts {
-    /// The servers, in rising order, that `directory` knows by another start than
-    /// before.
+    /// Returns the servers, in ascending order, whose start in `directory` differs from the
+    /// one of the previous call.
     pub fn take_restarted(&mut self, directory: &sync::Arc<ServerDirectory>) -> Vec<BackendId> {
         if sync::Arc::ptr_eq(&self.seen, directory) {
             return Vec::new();
--- a/crates/cardamomwinch_coordination/src/forwarding/unknown_flows.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/unknown_flows.rs
@@ -1,22 +1,22 @@
-//! Flows whose token no known server has.
+//! Flows whose token belongs to no known server.
 
 use std::time;
 
 use cardamomwinch_state::prelude::{FlowKey, SortedVector, Timestamp};
 
-/// Flows remembered at most. Beyond it callers are left to their own deadlines.
+/// The maximum number of flows. Others are not reset, and their callers time out.
 const UNKNOWN_LIMIT: usize = 4_096;
-/// How long one is remembered: longer than callers wait between two copies.
-const MEMORY: time::Duration = time::Duration::from_secs(5);
+/// How long a flow is kept: longer than callers wait between two copies.
+const RETENTION: time::Duration = time::Duration::from_secs(5);
 
-/// Since when each flow has met an unknown token.
+/// When the first packet with an unknown token was received of each flow.
 #[derive(Debug, Default)]
 pub struct UnknownFlows {
     since: SortedVector<FlowKey, Timestamp>,
 }
 
 impl UnknownFlows {
-    /// Notes that a packet of `flow` came, and returns when the first one did.
+    /// Records a packet of `flow`, and returns when the first one was received.
     pub fn note(&mut self, flow: FlowKey, now: Timestamp) -> Timestamp {
         if self.since.len() >= UNKNOWN_LIMIT && !self.since.contains_key(&flow) {
             return now;
@@ -24,13 +24,13 @@
         *self.since.get_or_insert_with(flow, || now)
     }
 
-    /// Forgets `flow`.
+    /// Removes `flow`.
     pub fn remove(&mut self, flow: &FlowKey) {
         self.since.remove(flow);
     }
 
-    /// Forgets flows that were noted long ago.
+    /// Removes flows whose first packet was received too long ago.
     pub fn sweep(&mut self, now: Timestamp) {
-        self.since.retain(|_, since| now.since(*since) <= MEMORY);
+        self.since.retain(|_, since| now.since(*since) <= RETENTION);
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/view.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/view.rs
@@ -1,4 +1,4 @@
-//! What forwarding decides against: published by the control thread, never changed.
+//! The data that forwarding decides by: published by the control thread, never changed.
 
 use std::sync;
 use std::time;
@@ -11,33 +11,34 @@
 use crate::forwarding::routes::RouteTable;
 use crate::forwarding::server_reports::ReportTable;
 
-/// Up to this age of the last word of the store or of a peer, what is missing is
-/// taken as not there. Watches and keep-alive probes bring a word more often
-/// than this while the store can be reached.
-pub const FRESH_AGE: time::Duration = time::Duration::from_millis(4_500);
-/// After the store was silent, entries of servers that live are back within two
-/// seconds; for this long, what is missing says nothing.
+/// Up to this age of the view, a server or route that is missing from it counts as
+/// nonexistent. While the store can be reached, watches and keep-alive probes confirm the
+/// data more often than this.
+pub const MAX_FRESH_AGE: time::Duration = time::Duration::from_millis(4_500);
+/// For this long after an outage of the store, missing entries show nothing. Entries of
+/// servers that are alive are back within two seconds.
 pub const SETTLING_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// What is believed at one moment.
+/// The routes, servers and reports that this host knows at one time.
 #[derive(Debug, Clone, Default)]
 pub struct ForwardingView {
     /// The failure domain of this host.
     pub domain: Option<DomainId>,
     /// The regions of all failure domains.
     pub regions: sync::Arc<DomainRegions>,
-    /// The part of this host in what cold servers get; `None` until it knows the hosts
-    /// of its domain.
+    /// The share of this host in the new flows of cold servers; `None` until it knows the
+    /// hosts of its domain.
     pub cold_share: Option<ColdShare>,
     /// The routes in force.
     pub routes: sync::Arc<RouteTable>,
     /// The known servers.
     pub directory: sync::Arc<ServerDirectory>,
-    /// What hosts of the own domain have seen of servers.
+    /// What hosts of the own domain have reported about servers.
     pub reports: sync::Arc<ReportTable>,
-    /// When the store, or a peer that had heard of it, said all of this last.
+    /// The time as of which this view was current with the store, by an answer of the store
+    /// or of a peer.
     pub heard_at: Timestamp,
-    /// When the store was last found to be silent or refusing.
+    /// When the store last failed to answer or refused a call.
     pub silent_at: Option<Timestamp>,
 }
 
@@ -47,22 +48,22 @@
         !self.routes.is_empty() && !self.directory.is_empty()
     }
 
-    /// Whether routes and servers are those of `other`.
-    pub fn holds_same(&self, other: &Self) -> bool {
+    /// Whether routes and servers are the same as in `other`.
+    pub fn has_same_data(&self, other: &Self) -> bool {
         sync::Arc::ptr_eq(&self.routes, &other.routes)
             && sync::Arc::ptr_eq(&self.directory, &other.directory)
     }
 
-    /// How old the last word is.
+    /// How long ago this view was last current with the store.
     pub fn age(&self, now: Timestamp) -> time::Duration {
         now.since(self.heard_at)
     }
 
-    /// Whether what is missing from this view can be taken as not there.
+    /// Whether a server or route that is missing from this view counts as nonexistent.
     pub fn is_complete(&self, now: Timestamp) -> bool {
         let settled = self
             .silent_at
             .is_none_or(|at| now.since(at) >= SETTLING_TIME);
-        settled && self.age(now) <= FRESH_AGE
+        settled && self.age(now) <= MAX_FRESH_AGE
     }
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_placement.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_placement.rs
@@ -11,7 +11,7 @@
 use cardamomwinch_coordination::forwarding::flow_lifetimes::FlowLifetimes;
 use cardamomwinch_coordination::forwarding::packet::{FlowPacket, PacketKind};
 use cardamomwinch_coordination::forwarding::permission::FlowPermission;
-use cardamomwinch_coordination::forwarding::placement::PlacementQuestion;
+use cardamomwinch_coordination::forwarding::placement::PlacementInput;
 use cardamomwinch_coordination::forwarding::progress::ProgressTable;
 use cardamomwinch_coordination::forwarding::record::ForwardingOutcome;
 use cardamomwinch_coordination::forwarding::view::ForwardingView;
@@ -287,7 +287,7 @@
     let looked_at = std::cell::Cell::new(0);
     let view = ForwardingView::default();
     let limiter = ColdLimiter::default();
-    let question = PlacementQuestion {
+    let question = PlacementInput {
         directory,
         progress,
         reports: &view.reports,
--- a/crates/cardamomwinch_coordination/tests/forwarding_reports.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_reports.rs
@@ -453,7 +453,7 @@
     }
     let reports = sync::Arc::clone(&domain.hosts[0].view.reports);
     for server in reports.servers(ANSWERS) {
-        assert!(!reports.is_doubtful(server, ANSWERS, None, at(3_600)));
+        assert!(!reports.is_suspected(server, ANSWERS, None, at(3_600)));
     }
 }
 
@@ -506,7 +506,7 @@
     asker.handle_peer(at(2_450), peer, Some(word));
     let reports = asker.view().reports;
     let answered_at = Some(at(1_200));
-    assert!(reports.mentions(near_server(1).id));
+    assert!(reports.has_reports_about(near_server(1).id));
     assert!(!reports.is_silent(near_server(1).id, DELIVERY, answered_at, at(2_600)));
 }
 
@@ -537,5 +537,8 @@
         domain.exchange(2_000 + step * 10);
     }
     let reports = &domain.hosts[0].view.reports;
-    assert!(reports.mentions(near_server(1).id), "it gets no new flows");
+    assert!(
+        reports.has_reports_about(near_server(1).id),
+        "it gets no new flows"
+    );
 }
--- a/crates/cardamomwinch_forwarder/src/traffic_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/traffic_thread.rs
@@ -209,7 +209,7 @@
             Ok(None) => {}
             Err(error) => log::error!("no packet can be received: {error}"),
         }
-        if !self.held.is_empty() && !view.holds_same(&self.seen) {
+        if !self.held.is_empty() && !view.has_same_data(&self.seen) {
             self.take_held(now, &view, buffer);
         }
         self.seen = view;
@@ -274,7 +274,7 @@
         self.thread.engine.handle(now, view, &decoded, &mut sink);
         match sink.fate {
             PacketFate::Drop => {}
-            PacketFate::Hold => self.held.keep(since, bytes),
+            PacketFate::Hold => self.held.hold(since, bytes),
             PacketFate::Send {
                 address,
                 server,
