--- a/crates/cardamomwinch_coordination/tests/forwarding_cold.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_cold.rs
@@ -1,4 +1,5 @@
-//! What hundreds of hosts together give to servers that have just started.
+//! The number of new flows that hundreds of hosts together send to servers that have just
+//! started.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -16,10 +17,11 @@
 
 /// How long servers are cold, in milliseconds.
 const COLD: u64 = 2_000;
-/// What a cold server may get in any second beyond its rate and half of that again.
+/// The number of new flows that a cold server may receive in any second beyond one and a half
+/// times its rate.
 const SLACK: u64 = 5;
 
-/// New flows a second that a cold server bears.
+/// Limits the new flows that a cold server may receive to `rate` per second.
 fn adopt_rate(host: &mut TestHost, rate: u64) {
     let start = ColdStart {
         service: service("desk"),
@@ -39,7 +41,7 @@
     }
 }
 
-/// The host `number` of `hosts`, of which it does not know `unknown` in a hundred.
+/// The host `number` of `hosts` hosts, of which it does not know `unknown` per cent.
 fn host_of(
     number: u64,
     hosts: u64,
@@ -57,7 +59,7 @@
     host
 }
 
-/// The most openings that a cold server got in any second.
+/// The largest number of openings that a cold server received in any second.
 fn busiest_second(openings: &mut [(BackendId, u64)]) -> usize {
     openings.sort_unstable();
     let counts = openings.iter().enumerate().map(|(first, (id, moment))| {
@@ -68,10 +70,10 @@
     counts.max().unwrap_or(0)
 }
 
-/// All servers of a domain are replaced at once. Each of hundreds of hosts sees empty
-/// servers and sends its callers there; together they give each cold server many times
-/// what it bears, and callers wait in its queue. Hosts that know too few others may
-/// take themselves for chosen, and even so it must hold.
+/// All servers of a domain are replaced at once. Each of hundreds of hosts sees servers without
+/// flows and sends its callers there. Together they would send each cold server many times what
+/// it can handle, and callers would wait in its queue. The limit must hold even if hosts do not
+/// know all others, and more of them than intended consider themselves chosen.
 #[parameterized(
     two_hosts = { 2, 0, 4 },
     few_hosts = { 8, 0, 4 },
@@ -82,7 +84,7 @@
     a_quick_start = { 23, 0, 50 },
     a_quick_start_with_some_unknown = { 107, 25, 50 },
 )]
-fn cold_servers_get_no_more_than_they_bear(hosts: u64, unknown: u64, rate: u64) {
+fn cold_servers_receive_no_more_than_their_rate(hosts: u64, unknown: u64, rate: u64) {
     let servers: Vec<_> = (1..=40)
         .map(|number| cold(near_server(number), COLD))
         .chain([far_server(1)])
@@ -99,17 +101,17 @@
             }
         }
     }
-    let bound = (rate + rate / 2 + SLACK) as usize;
+    let limit = (rate + rate / 2 + SLACK) as usize;
     let most = busiest_second(&mut openings);
-    assert!(most <= bound, "{most} in a second, {bound} allowed");
+    assert!(most <= limit, "{most} in a second, {limit} allowed");
     let servers: std::collections::BTreeSet<_> = openings.iter().map(|(id, _)| id).collect();
-    assert_eq!(servers.len(), 40, "each bears something");
+    assert_eq!(servers.len(), 40, "each server receives some flows");
 }
 
-/// Cold servers have had their part, and warm ones elsewhere have room. No caller may be
-/// refused or kept waiting then.
+/// Cold servers have received their share, and warm ones in another domain have free slots. No
+/// caller may be refused or kept waiting then.
 #[test]
-fn what_cold_servers_may_not_take_goes_to_warm_ones() {
+fn flows_beyond_the_rate_of_cold_servers_go_to_warm_ones() {
     let servers = vec![cold(near_server(1), COLD), far_server(1)];
     let mut host = host_of(1, 20, 0, 4, servers);
     for port in 1..50 {
@@ -118,10 +120,10 @@
     }
 }
 
-/// A host has just started and does not know yet how many others there are. It might give
-/// a cold server the whole of what all may.
+/// A host has just started and does not know the other hosts yet. It must not send flows to a
+/// cold server, because it does not know its share of the rate.
 #[test]
-fn a_host_that_knows_no_others_spares_cold_servers() {
+fn a_host_that_knows_no_others_sends_nothing_to_cold_servers() {
     let servers = vec![cold(near_server(1), COLD), far_server(1)];
     let mut host = host_of(1, 2, 0, 4, servers);
     host.view.cold_share = None;
@@ -131,9 +133,9 @@
     }
 }
 
-/// Where operators set no rate, cold servers are only slow: they get a smaller share.
+/// If operators set no rate, cold servers only count as more loaded and receive a smaller share.
 #[test]
-fn a_rate_of_zero_bounds_nothing() {
+fn a_rate_of_zero_limits_nothing() {
     let mut host = host_of(1, 200, 0, 0, vec![cold(near_server(1), COLD)]);
     for port in 1..50 {
         let sink = host.handle(at(u64::from(port)), &opening(port, 0));
@@ -141,10 +143,10 @@
     }
 }
 
-/// An evacuated domain comes back. Its servers have all started anew, but their entries
-/// still say what they said before. Until a later entry says otherwise they are cold.
+/// The evacuation of a domain ends. All its servers were restarted, but their entries are still
+/// the earlier ones. The servers count as cold until their entries are written again.
 #[test]
-fn servers_are_cold_after_an_evacuation_until_their_entries_say_otherwise() {
+fn servers_are_cold_after_an_evacuation_until_their_entries_are_written_again() {
     let servers = vec![near_server(1), near_server(2), far_server(1)];
     let mut host = host_of(1, 1_000, 0, 4, servers);
     let ended = EvacuationRecord {
--- a/crates/cardamomwinch_coordination/tests/forwarding_evacuations.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_evacuations.rs
@@ -1,4 +1,4 @@
-//! How hosts learn of evacuations: from the store, from each other, and late.
+//! How evacuations become known to hosts: from the store, from each other, and late.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Everything that the store holds at `revision`: a route, a server, and `more`.
+/// All items of the store at `revision`: a route, a server, and `more`.
 fn listing(more: Vec<StoreChange>, revision: u64) -> StoreOutcome {
     let routes = document(1, vec![(service_address(), route(true))]);
     let mut items = vec![StoreChange::Routes(routes), server_entry(1, 1, false)];
@@ -56,19 +56,20 @@
     view.directory.evacuations().is_evacuated(domain(name))
 }
 
-/// What the host that knows `asker`'s beliefs is told by `teller`.
-fn ask(teller: &mut BeliefEngine, asker: &mut BeliefEngine, moment: u64) -> PeerWord {
-    let (_, question) = asker.next_peer(at(moment)).unwrap();
-    teller.answer_peer(
+/// The answer of `sender` to a query of `receiver`.
+fn query(sender: &mut BeliefEngine, receiver: &mut BeliefEngine, moment: u64) -> PeerWord {
+    let (_, query) = receiver.next_peer(at(moment)).unwrap();
+    sender.answer_peer(
         at(moment),
         &PeerQuestion {
             wait: millis(0),
-            ..question
+            ..query
         },
     )
 }
 
-fn told(engine: &mut BeliefEngine) -> Vec<(bool, u64)> {
+/// The recorded changes of evacuations: whether each is active, and its revision.
+fn recorded_changes(engine: &mut BeliefEngine) -> Vec<(bool, u64)> {
     let changes = engine.take_changes().into_iter();
     let evacuations = changes.filter_map(|change| match change {
         BeliefChange::EvacuationChanged { evacuation } => {
@@ -80,43 +81,43 @@
 }
 
 #[test]
-fn a_watch_tells_begin_and_end_once_each() {
+fn begin_and_end_are_recorded_once_each() {
     let mut engine = started(1, Vec::new());
     engine.handle_store(at(100), watched(vec![begun("far", 11)], 11));
     assert!(is_evacuated(&engine, "far") && !is_evacuated(&engine, "near"));
     engine.handle_store(at(200), watched(vec![begun("far", 11)], 12));
     engine.handle_store(at(300), watched(vec![ended("far", 13)], 13));
     assert!(!is_evacuated(&engine, "far"));
-    assert_eq!(told(&mut engine), [(true, 11), (false, 13)]);
+    assert_eq!(recorded_changes(&mut engine), [(true, 11), (false, 13)]);
 }
 
-/// A host starts while a domain is empty. It must not be the one that sends flows there.
+/// A host starts while a domain is evacuated. It must not send new flows there.
 #[test]
-fn a_host_that_starts_learns_of_evacuations_that_last() {
+fn a_host_that_starts_receives_active_evacuations() {
     let engine_from_store = started(1, vec![begun("far", 7)]);
     assert!(is_evacuated(&engine_from_store, "far"));
-    let mut teller = engine_from_store;
-    let mut young = belief_engine(9);
-    let word = ask(&mut teller, &mut young, 20);
-    young.handle_peer(at(20), host_address(1), Some(word));
-    assert!(is_evacuated(&young, "far"));
+    let mut sender = engine_from_store;
+    let mut starting = belief_engine(9);
+    let answer = query(&mut sender, &mut starting, 20);
+    starting.handle_peer(at(20), host_address(1), Some(answer));
+    assert!(is_evacuated(&starting, "far"));
 }
 
-/// The history is lost, or the host was cut off, while an evacuation ended. Nothing tells
-/// of the end by itself; a listing without the item does.
+/// An evacuation ends while the history of the store is lost or the host is cut off. No change
+/// shows the end; only a listing without the item does.
 #[test]
-fn a_listing_ends_what_it_does_not_hold() {
+fn a_listing_ends_evacuations_that_it_does_not_contain() {
     let mut engine = started(1, vec![begun("far", 7), begun("near", 8)]);
     engine.handle_store(at(100), StoreOutcome::HistoryGone);
     engine.handle_store(at(110), listing(vec![begun("near", 8)], 30));
     assert!(!is_evacuated(&engine, "far") && is_evacuated(&engine, "near"));
-    assert_eq!(told(&mut engine), [(false, 30)]);
+    assert_eq!(recorded_changes(&mut engine), [(false, 30)]);
 }
 
-/// Pages of a listing were read while another host told of a later evacuation. The listing
-/// knows nothing of it, and must not end it.
+/// A later evacuation becomes known while the pages of a listing are read. The listing does not
+/// contain it, and must not end it.
 #[test]
-fn a_listing_does_not_end_what_began_later() {
+fn a_listing_does_not_end_evacuations_that_began_later() {
     let mut engine = started(1, Vec::new());
     engine.handle_store(at(100), watched(vec![begun("far", 40)], 40));
     engine.handle_store(at(110), StoreOutcome::HistoryGone);
@@ -124,9 +125,9 @@
     assert!(is_evacuated(&engine, "far"));
 }
 
-/// The store is silent for long. What operators asked for before holds on.
+/// The store does not answer for a long time. Earlier commands of operators stay in force.
 #[test]
-fn an_evacuation_outlives_an_outage_of_the_store() {
+fn an_evacuation_stays_active_in_an_outage_of_the_store() {
     let mut engine = started(1, vec![begun("far", 7)]);
     for second in 1..120 {
         engine.handle_store(at(second * 1_000), StoreOutcome::Failed);
@@ -135,21 +136,21 @@
     assert!(is_evacuated(&engine, "far"));
 }
 
-/// A host was cut off while an evacuation began and ended. It learns both from a neighbour
-/// as one difference, in which only the end counts; an old word must not bring it back.
+/// A host is cut off while an evacuation ends. It receives the end from a peer, and an older
+/// answer of another peer must not start the evacuation again.
 #[test]
-fn a_neighbour_tells_the_end_and_no_old_word_undoes_it() {
-    let mut teller = started(1, Vec::new());
-    let mut asker = started(9, vec![begun("far", 9)]);
-    let mut old = started(2, vec![begun("far", 9)]);
-    let old_word = ask(&mut old, &mut belief_engine(8), 10);
-    teller.handle_store(at(50), watched(vec![begun("far", 9), ended("far", 20)], 20));
-    let word = ask(&mut teller, &mut asker, 100);
-    asker.handle_peer(at(100), host_address(1), Some(word));
-    assert!(!is_evacuated(&asker, "far"));
-    asker.handle_peer(at(110), host_address(2), Some(old_word));
-    assert!(!is_evacuated(&asker, "far"));
-    let (moment, revision) = asker
+fn an_end_from_a_peer_is_not_undone_by_an_older_answer() {
+    let mut sender = started(1, Vec::new());
+    let mut receiver = started(9, vec![begun("far", 9)]);
+    let mut outdated = started(2, vec![begun("far", 9)]);
+    let old_answer = query(&mut outdated, &mut belief_engine(8), 10);
+    sender.handle_store(at(50), watched(vec![begun("far", 9), ended("far", 20)], 20));
+    let answer = query(&mut sender, &mut receiver, 100);
+    receiver.handle_peer(at(100), host_address(1), Some(answer));
+    assert!(!is_evacuated(&receiver, "far"));
+    receiver.handle_peer(at(110), host_address(2), Some(old_answer));
+    assert!(!is_evacuated(&receiver, "far"));
+    let (moment, revision) = receiver
         .view()
         .directory
         .evacuations()
@@ -158,24 +159,24 @@
     assert_eq!((moment, revision.get()), (at(50), 20));
 }
 
-/// Ended evacuations are forgotten some time. Whoever asks from before then is told
-/// everything, not a difference in which the end is missing.
+/// Ended evacuations are removed after a while. A host with older data must then receive
+/// everything, and not a difference in which the end is missing.
 #[test]
-fn a_forgotten_end_is_told_as_a_whole() {
-    let mut teller = started(1, vec![begun("far", 7)]);
-    teller.handle_store(at(100), watched(vec![ended("far", 11)], 12));
-    teller.tick(at(70_000));
-    assert!(teller.view().directory.evacuations().is_empty());
-    let mut asker = started(9, vec![begun("far", 7)]);
-    let word = ask(&mut teller, &mut asker, 70_000);
-    assert!(word.all_servers);
-    asker.handle_peer(at(70_000), host_address(1), Some(word));
-    assert!(!is_evacuated(&asker, "far"));
-}
-
-/// Two domains are emptied at once, and each is taken back by itself.
+fn after_an_ended_evacuation_is_removed_older_hosts_receive_everything() {
+    let mut sender = started(1, vec![begun("far", 7)]);
+    sender.handle_store(at(100), watched(vec![ended("far", 11)], 12));
+    sender.tick(at(70_000));
+    assert!(sender.view().directory.evacuations().is_empty());
+    let mut receiver = started(9, vec![begun("far", 7)]);
+    let answer = query(&mut sender, &mut receiver, 70_000);
+    assert!(answer.all_servers);
+    receiver.handle_peer(at(70_000), host_address(1), Some(answer));
+    assert!(!is_evacuated(&receiver, "far"));
+}
+
+/// Two domains are evacuated at the same time, and each evacuation ends by itself.
 #[test]
-fn evacuations_of_two_domains_are_apart() {
+fn evacuations_of_two_domains_are_independent() {
     let mut engine = started(1, vec![begun("far", 7)]);
     engine.handle_store(at(100), watched(vec![begun("near", 11)], 11));
     engine.handle_store(at(200), watched(vec![ended("far", 12)], 12));
--- a/crates/cardamomwinch_coordination/tests/forwarding_explanation.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_explanation.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a flow, against what the engine does with it.
+//! Explanations of flows for operators, compared with what the engine does.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -15,10 +15,10 @@
     explanation::explain(&host.view, &flow(1), token, hasher, at(moment))
 }
 
-/// An operator asks before the caller opens its flow. What is named must be what
-/// the engine then chooses from.
+/// An explanation before a flow is opened must list the servers that the engine then chooses
+/// from.
 #[test]
-fn an_opening_goes_to_one_of_the_servers_named() {
+fn an_opening_goes_to_one_of_the_listed_candidates() {
     let mut host = TestHost::new(vec![near_server(1), near_server(2), far_server(1)]);
     let explained = explain(&host, 0, None);
     assert_eq!(explained.outcome, ForwardingOutcome::OpeningPlaced);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_domain_without_servers_sends_openings_elsewhere() {
+fn candidates_are_in_another_domain_if_the_own_one_has_no_server() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
     host.change(|directory| {
         let phase = ServerPhase::Draining;
@@ -62,10 +62,10 @@
     assert_eq!(sink.outcomes, [dropped.outcome]);
 }
 
-/// The store was silent a moment ago. What is missing may be there, so that no
-/// caller is refused for it; once the word is fresh again, callers are told.
+/// The store failed a short time ago. A route that is missing from the view may exist, so no flow
+/// is reset because of it until the view is complete again.
 #[test]
-fn a_missing_route_refuses_only_while_the_view_is_complete() {
+fn flows_without_a_route_are_reset_only_while_the_view_is_complete() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let other = std::net::SocketAddr::from(([198, 18, 0, 9], 80));
     host.adopt(document(2, vec![(other, route(true))]));
--- a/crates/cardamomwinch_coordination/tests/forwarding_false_alarms.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_false_alarms.rs
@@ -1,4 +1,5 @@
-//! Servers that only seem silent: the host, its link, or one caller is at fault.
+//! Servers that only seem to be silent, because of a fault of the host, its link or one
+//! caller.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -9,8 +10,8 @@
 use forwarding_support::watched_flows::*;
 use forwarding_support::*;
 
-/// Guards against a flow that is ended because it alone loses packets, while others of its
-/// server go on.
+/// Guards against the reset of a flow that loses packets, while other flows of its server
+/// make progress.
 #[test]
 fn one_flow_that_repeats_itself_is_not_reset() {
     let mut host = TestHost::new(vec![near_server(1)]);
@@ -25,10 +26,10 @@
     }
 }
 
-/// Guards against a host that stood still and takes all servers for silent, since packets
-/// piled up meanwhile.
+/// Guards against a host that considers all servers silent after a process pause, because
+/// packets were queued during the pause.
 #[test]
-fn a_host_that_slept_suspects_nobody() {
+fn a_host_that_was_paused_suspects_no_server() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let server = near_server(1).id;
     for port in 1..4 {
@@ -48,9 +49,9 @@
     }
 }
 
-/// Guards against flows that are ended because entries lapsed while the store was down.
+/// Guards against flows that are ended because entries expired during an outage of the store.
 #[test]
-fn flows_are_kept_where_entries_lapsed_with_the_store() {
+fn flows_are_kept_if_entries_expired_in_an_outage_of_the_store() {
     let mut host = host_of_two(8);
     let server = near_server(1).id;
     host.view.silent_at = Some(at(900));
@@ -59,7 +60,8 @@
     assert_eq!(host.tick(at(1_100)).ended, []);
 }
 
-/// Guards against flows that are ended on a server that leaves and serves them to their end.
+/// Guards against flows that are ended on a server that left after a drain: it still serves
+/// them to their end.
 #[test]
 fn flows_of_a_server_that_left_are_kept() {
     let mut host = host_of_two(8);
@@ -75,9 +77,10 @@
     assert_eq!(host.tick(at(1_100)).ended, []);
 }
 
-/// Guards against flows that are ended for an earlier pause of a server that goes on.
+/// Guards against flows that are ended because of an earlier pause of a server that makes
+/// progress again.
 #[test]
-fn flows_of_a_server_that_goes_on_are_kept() {
+fn flows_of_a_server_that_makes_progress_again_are_kept() {
     let mut host = host_of_two(16);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
@@ -92,7 +95,7 @@
     assert_eq!(host.tick(at(4_000)).ended, []);
 }
 
-/// Guards against a host that ends flows by dozens because its own link is full, so that
+/// Guards against a host that ends dozens of flows because its own link is full, so that
 /// callers repeat themselves on flows of all servers.
 #[test]
 fn a_host_that_is_slow_itself_ends_no_flows() {
@@ -108,10 +111,10 @@
     }
 }
 
-/// Guards against a server that is taken for silent because two of its few flows repeat
-/// themselves once by chance.
+/// Guards against a server that is considered silent because, by chance, the callers of two of
+/// its few flows repeat themselves once.
 #[test]
-fn two_flows_that_repeat_themselves_once_say_too_little() {
+fn two_flows_with_one_repetition_each_are_too_little_evidence() {
     let mut host = host_of_two(4);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
@@ -133,10 +136,10 @@
     }
 }
 
-/// Guards against a host that takes servers for gone while nothing that it sends arrives,
-/// because a large configuration that it tells others fills its link.
+/// Guards against a host that considers servers dead while nothing that it sends is
+/// delivered, because it sends a large configuration to other hosts and its link is full.
 #[test]
-fn losses_while_nothing_that_this_host_sends_arrives_say_nothing() {
+fn losses_while_this_host_delivers_nothing_reset_no_flow() {
     let mut host = host_of_two(8);
     let (server, other) = (near_server(1).id, near_server(2).id);
     let waiting = ports_on(&host, server);
@@ -153,16 +156,16 @@
         let sink = host.handle(at(1_600), &data(*port, server, 500, 1, 80));
         assert_eq!(
             sink.resets, 0,
-            "two losses, and nothing else arrived either"
+            "two losses, but nothing else was delivered either"
         );
     }
     assert_eq!(host.tick(at(2_100)).ended, []);
 }
 
-/// Guards against the same where the full link lets a part through: servers that answer
-/// repetitions give the host away.
+/// Guards against the same if the full link lets a part of the packets through: servers that
+/// answer only repetitions show that the host itself loses packets.
 #[test]
-fn a_host_whose_servers_answer_repetitions_doubts_itself() {
+fn a_host_whose_servers_answer_repetitions_resets_no_flow() {
     let mut host = TestHost::new((1..=4).map(near_server).collect());
     for port in 1..=8 {
         host.establish(at(0), port);
@@ -189,10 +192,10 @@
     }
 }
 
-/// Guards against a host that ends its only flow although no other server shows that its
-/// own link is well.
+/// Guards against a host that resets the only flow of a server although no progress of any
+/// other server shows that its own link works.
 #[test]
-fn the_only_flow_of_a_host_that_hears_of_nobody_is_kept() {
+fn the_only_flow_of_a_server_is_kept_if_no_server_makes_progress() {
     let mut host = host_of_two(4);
     let repeating = [near_server(1).id, near_server(2).id].map(|id| (ports_on(&host, id)[0], id));
     for moment in [1_000, 1_200, 1_600, 2_400] {
@@ -203,10 +206,10 @@
     }
 }
 
-/// Guards against a host that stood still and counts the repetitions that waited for it,
-/// before its timers run.
+/// Guards against a host that, after a process pause, counts the queued repetitions before its
+/// timers run.
 #[test]
-fn packets_that_waited_for_a_host_that_slept_reset_nothing() {
+fn packets_that_were_queued_during_a_pause_reset_no_flow() {
     let mut host = host_of_two(12);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
@@ -223,10 +226,10 @@
     assert_eq!(host.tick(at(4_602)).ended, []);
 }
 
-/// Guards against a host without processor time for 400 ms that finds requests and their
-/// copies together and takes them for three flows without an answer.
+/// Guards against a host without processor time for 400 ms that receives requests together
+/// with their copies, and considers them three flows without an answer.
 #[test]
-fn a_host_that_stalled_for_a_moment_resets_nothing() {
+fn a_host_that_was_paused_for_400_ms_resets_no_flow() {
     let mut host = host_of_two(12);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
@@ -249,8 +252,8 @@
     }
 }
 
-/// Guards against six packets of one request, in another order on a flow that rested, that
-/// count as so many flows without an answer.
+/// Guards against six packets of one request that arrive in another order, on a flow that was
+/// idle, and count as six flows without an answer.
 #[test]
 fn packets_in_another_order_are_no_repetition() {
     let mut host = host_of_two(8);
@@ -264,8 +267,8 @@
     assert_eq!(host.tick(at(3_010)).ended, []);
 }
 
-/// Guards against one caller that lost its way to a server and counts as many flows, for it
-/// repeats six packets in a round.
+/// Guards against one caller that counts as many silent flows because it can no longer reach a
+/// server and repeats six packets in each round.
 #[test]
 fn one_flow_counts_once_however_many_packets_it_repeats() {
     let mut host = host_of_two(8);
@@ -285,10 +288,10 @@
     }
 }
 
-/// Guards against a host whose link was full a moment ago, and that takes a flow which loses
-/// the same data twice for one without an answer.
+/// Guards against a host whose link was full a short time ago, and that resets a flow which
+/// loses the same data twice.
 #[test]
-fn a_host_that_lost_packets_a_moment_ago_resets_nothing() {
+fn a_host_that_recently_lost_packets_resets_no_flow() {
     let mut host = TestHost::new((1..=5).map(near_server).collect());
     for port in 1..=15 {
         host.establish(at(0), port);
--- a/crates/cardamomwinch_coordination/tests/forwarding_placement.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_placement.rs
@@ -28,6 +28,7 @@
     }
 }
 
+/// Opens a flow on each of `ports`, and returns how many were sent to the other domain.
 fn count_far(host: &mut TestHost, begin: u64, ports: std::ops::Range<u16>) -> usize {
     let mut far = 0;
     for (turn, port) in ports.enumerate() {
@@ -51,29 +52,29 @@
 }
 
 #[test]
-fn flows_go_elsewhere_where_the_own_domain_has_no_server() {
+fn flows_go_to_another_domain_if_the_own_one_has_no_server() {
     let mut host = TestHost::new(vec![far_server(1)]);
     assert_eq!(host.open(at(0), 1), far_server(1).id);
 }
 
-/// Half of a domain's servers are lost while its callers stay. Those left answer
-/// late, then refuse, although the other domain is half idle.
+/// Half of a domain's servers fail while its callers stay. The remaining servers answer late
+/// and then refuse requests, although the other domain is half idle.
 #[test]
-fn a_strained_domain_is_relieved_by_others() {
+fn flows_spill_over_from_an_overloaded_domain() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
     serve_requests(&mut host, 0, 1..20, 30);
-    assert_eq!(count_far(&mut host, 250, 1_000..1_050), 0, "a calm domain");
+    assert_eq!(count_far(&mut host, 250, 1_000..1_050), 0, "no overload");
     serve_requests(&mut host, 400, 2_000..2_040, 140);
     let far = count_far(&mut host, 900, 3_000..3_100);
     assert!(
         (20..=80).contains(&far),
-        "{far} of 100 flows were sent elsewhere"
+        "{far} of 100 flows were sent to the other domain"
     );
 }
 
-/// Every domain is strained alike. Moving flows about would only add delay.
+/// All domains are equally overloaded. Moving flows between them would only add delay.
 #[test]
-fn a_strained_domain_keeps_its_flows_where_others_are_no_better() {
+fn an_overloaded_domain_keeps_its_flows_if_others_are_no_better() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
     let far = far_server(1).id;
     serve_requests(&mut host, 0, 1..40, 140);
@@ -85,8 +86,8 @@
     assert_eq!(count_far(&mut host, 650, 3_000..3_050), 0);
 }
 
-/// A server that has just started works slowly for some seconds. If it got all
-/// new flows for having the fewest, its first callers would wait in a queue.
+/// A server that has just started is slow for some seconds. If it received all new flows
+/// because it has the fewest, its first callers would wait in a queue.
 #[test]
 fn a_cold_server_gets_a_smaller_share() {
     let mut cold = near_server(2);
@@ -116,10 +117,11 @@
     assert_eq!(sink.sent[0].0, leaving);
 }
 
-/// While the store is down the entries of all servers lapse, though the servers
-/// live. For two seconds after its return they may be used; later they are gone.
+/// During an outage of the store the entries of all servers expire, although the servers are
+/// alive. They may receive new flows for a grace period of two and a half seconds, and none
+/// after that.
 #[test]
-fn vanished_servers_serve_for_a_moment_and_no_longer() {
+fn vanished_servers_take_new_flows_only_in_the_grace_period() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let server = near_server(1).id;
     host.change(|directory| directory.note_removed(server, StoreRevision::new(2), at(0)));
@@ -131,10 +133,10 @@
     assert_eq!(sink.outcomes, [ForwardingOutcome::NoServerHeld]);
 }
 
-/// No server can take the flow. Until the caller's last copy one may come; after
-/// that its caller would wait for nothing and is told.
+/// No server can take the flow. Until the caller's last copy a server may be added; after
+/// that the caller would only wait until its deadline, so the flow is reset.
 #[test]
-fn a_caller_without_a_server_is_told_at_its_last_copy() {
+fn a_flow_without_a_server_is_reset_at_its_last_copy() {
     let mut host = TestHost::new(Vec::new());
     for (copy, moment) in [(0, 0), (1, 200)] {
         let sink = host.handle(at(moment), &opening(1, copy));
@@ -145,9 +147,9 @@
     assert_eq!(sink.outcomes, [ForwardingOutcome::NoServerReset]);
 }
 
-/// One of four servers becomes five times slower and says nothing of it. It has no more
-/// flows than the others, and its callers are late one after the other. It must get
-/// fewer new flows in proportion, and some still.
+/// One of four servers becomes five times slower, but its entry does not show it. It has no
+/// more flows than the others, and its callers are answered late. It must receive fewer new
+/// flows in proportion, but not none.
 #[test]
 fn a_slow_server_gets_fewer_flows_and_never_none() {
     let servers: Vec<_> = (1..=4).map(near_server).collect();
@@ -166,11 +168,12 @@
     }
     let moments = 310..390;
     let opened = moments.map(|moment| host.establish(at(moment), 1_000 + moment as u16));
-    let taken = opened.filter(|server| *server == slow).count();
-    assert!((1..=8).contains(&taken), "{taken} of 80");
+    let received = opened.filter(|server| *server == slow).count();
+    assert!((1..=8).contains(&received), "{received} of 80");
 }
 
-/// Opens a flow from `port`, asks, and closes it with the answer, all within 50 ms.
+/// Opens a flow from `port`, sends a request, and closes the flow with the answer, all within
+/// 50 ms. Returns the server.
 fn serve_short_flow(host: &mut TestHost, moment: u64, port: u16) -> BackendId {
     let server = host.establish(at(moment), port);
     host.handle(at(moment + 4), &data(port, server, 500, 1, 80));
@@ -182,9 +185,10 @@
     server
 }
 
-/// One of six servers stands in this domain, and a third of all callers. Sessions stay
-/// there, because a cut would strand them elsewhere; the server is busier than all others,
-/// day by day, and its callers are late. Flows that live for a request may leave.
+/// One of six servers is in this domain, but a third of all callers. Sessions stay in the
+/// domain, because they would break in another one if a domain were cut off. So the server is
+/// always busier than all others, and its callers are answered late. Flows that last for one
+/// request may leave the domain.
 #[test]
 fn short_flows_leave_a_domain_with_few_servers_and_sessions_stay() {
     let mut servers: Vec<_> = (1..=5).map(far_server).collect();
@@ -197,7 +201,7 @@
     assert_eq!(
         serve_short_flow(&mut host, 100, 100),
         near,
-        "nothing is learnt yet"
+        "no lifetime was measured yet"
     );
     let left = (0..10).filter(|number| {
         let moment = 200 + 60 * u64::from(*number);
@@ -206,10 +210,10 @@
     assert_eq!(left.count(), 10);
 }
 
-/// The same callers, and as many servers in each domain. A short flow that left would win
-/// nothing, and be lost where the domain is cut off.
+/// The same callers, but the same number of servers in each domain. A short flow that left
+/// the domain would gain nothing, and would be lost if a domain were cut off.
 #[test]
-fn short_flows_stay_in_a_domain_that_has_its_part_of_the_servers() {
+fn short_flows_stay_in_a_domain_that_has_its_share_of_the_servers() {
     let mut servers: Vec<_> = (1..=3).map(far_server).collect();
     servers.extend((1..=3).map(near_server));
     let mut host = TestHost::new(servers);
@@ -222,9 +226,9 @@
     }
 }
 
-/// Flows of a route are as short as those that callers have closed lately.
+/// Whether flows of a route count as short depends on those that callers closed recently.
 #[test]
-fn flows_are_short_once_callers_have_closed_such() {
+fn flows_count_as_short_after_callers_closed_short_ones() {
     let mut lifetimes = FlowLifetimes::default();
     let service = service_address();
     assert!(!lifetimes.are_short(&service));
@@ -233,14 +237,17 @@
     for _ in 0..3 {
         lifetimes.note(service, millis(12_000));
     }
-    assert!(!lifetimes.are_short(&service), "sessions came in between");
+    assert!(
+        !lifetimes.are_short(&service),
+        "sessions were closed in between"
+    );
 }
 
-/// Callers that open a flow for each request are answered with one packet and close.
-/// If only longer answers were measured, a service of such callers would be judged
-/// by nothing.
+/// Callers that open a flow for each request receive an answer of one packet and close the
+/// flow. If only longer answers were measured, the servers of such callers would have no
+/// measurements.
 #[test]
-fn short_answers_are_measured_where_the_caller_closes_with_them() {
+fn short_answers_are_measured_if_the_caller_closes_the_flow() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let server = host.establish(at(0), 1);
     host.handle(at(10), &data(1, server, 500, 1, 80));
@@ -252,7 +259,7 @@
 }
 
 #[test]
-fn what_callers_wait_for_is_measured() {
+fn opening_and_response_times_are_measured() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let server = host.open(at(0), 1);
     let confirmed = host.handle(at(4), &data(1, server, 500, 1, 80));
@@ -261,13 +268,13 @@
     assert_eq!(
         one_packet.responses,
         [],
-        "acknowledged with the next request only"
+        "acknowledged only with the next request"
     );
     let answered = host.handle(at(70), &data(1, server, 660, 3_001, 0));
     assert_eq!(answered.responses, [millis(30)]);
 }
 
-/// A service of `near` servers in the own domain and as many elsewhere.
+/// A service with `near` servers in the own domain and the same number in another one.
 fn large_service(near: u64) -> ServerDirectory {
     let near_ones = (1..=near).map(near_server);
     let far_ones = (1..=near).map(|number| ServerRecord {
@@ -277,17 +284,17 @@
     directory(near_ones.chain(far_ones).collect())
 }
 
-/// What a question chose, and how many servers it looked at.
+/// Returns the chosen server, and the number of servers that were compared.
 fn choose(
     directory: &ServerDirectory,
     progress: &ProgressTable,
     subject: u64,
     avoided: impl Fn(BackendId) -> bool,
 ) -> (Option<BackendId>, usize) {
-    let looked_at = std::cell::Cell::new(0);
+    let compared = std::cell::Cell::new(0);
     let view = ForwardingView::default();
     let limiter = ColdLimiter::default();
-    let question = PlacementInput {
+    let input = PlacementInput {
         directory,
         progress,
         reports: &view.reports,
@@ -299,28 +306,28 @@
         latency_goal: millis(150),
         now: at(0),
     };
-    let chosen = question.choose(|id| {
-        looked_at.set(looked_at.get() + 1);
+    let chosen = input.choose(|id| {
+        compared.set(compared.get() + 1);
         avoided(id)
     });
-    (chosen.map(|server| server.id), looked_at.get())
+    (chosen.map(|server| server.id), compared.get())
 }
 
-/// A service has thousands of servers. Each opening looked at all of them, and at the
-/// size to design for a host spent a third of a core on that.
+/// Guards against high processor load if a service has thousands of servers. When each opening
+/// compared all of them, a host of the largest planned fleet spent a third of a core on that.
 #[test]
-fn an_opening_looks_at_few_servers_of_a_large_service() {
+fn an_opening_compares_few_servers_of_a_large_service() {
     let directory = large_service(5_000);
     let progress = ProgressTable::default();
     for subject in 0..100 {
-        let (chosen, looked_at) = choose(&directory, &progress, subject * 7_919, |_| false);
+        let (chosen, compared) = choose(&directory, &progress, subject * 7_919, |_| false);
         let chosen = directory.get(chosen.unwrap()).unwrap();
         assert_eq!(chosen.domain, domain("near"));
-        assert!(looked_at <= 400, "{looked_at} servers");
+        assert!(compared <= 400, "{compared} servers");
     }
 }
 
-/// Openings spread over all servers of a large service, although each looks at few.
+/// Openings spread over all servers of a large service, although each compares only a few.
 #[test]
 fn openings_spread_over_a_large_service() {
     let directory = large_service(1_000);
@@ -337,8 +344,8 @@
     assert!(*most <= 13, "{most} flows on one server of ten each");
 }
 
-/// All servers of a domain but a few leave together. Those few, which an opening may
-/// not have looked at, must be found.
+/// Almost all servers of a domain drain together. The remaining one, which may not be in the
+/// sample of an opening, must be found.
 #[test]
 fn the_last_servers_of_a_large_service_are_found() {
     let last = near_server(4_321).id;
--- a/crates/cardamomwinch_coordination/tests/forwarding_places.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_places.rs
@@ -1,5 +1,5 @@
-//! Which servers operators let new flows go to: evacuated failure domains and routes that
-//! are bound to regions.
+//! Which servers may take new flows by the settings and commands of operators: evacuated
+//! failure domains, and routes that are bound to regions.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -31,7 +31,7 @@
     });
 }
 
-fn take_back(host: &mut TestHost, domain_name: &str, revision: u64, moment: u64) {
+fn end_evacuation(host: &mut TestHost, domain_name: &str, revision: u64, moment: u64) {
     let phase = EvacuationPhase::Ended { at: at(moment) };
     let ended = evacuation(domain_name, phase, revision);
     host.change(|directory| {
@@ -53,10 +53,10 @@
     host.view.regions = sync::Arc::new(pairs.into_iter().collect());
 }
 
-/// Operators empty a failure domain. Its hosts go on forwarding, but a caller whose flow
-/// still went to a server there would be cut off by the work that follows.
+/// Operators evacuate a failure domain for maintenance. Its hosts still forward, but a new flow
+/// that was sent to a server there would break during the maintenance.
 #[test]
-fn an_evacuated_domain_gets_no_new_flows_and_keeps_its_open_ones() {
+fn an_evacuated_domain_receives_no_new_flows_and_keeps_its_open_ones() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
     let kept = host.establish(at(0), 1);
     assert_eq!(kept, near_server(1).id);
@@ -66,14 +66,14 @@
     }
     let sink = host.handle(at(200), &data(1, kept, 500, 1, 80));
     assert_eq!(sink.sent[0].0, kept);
-    take_back(&mut host, "near", 3, 300);
+    end_evacuation(&mut host, "near", 3, 300);
     assert_eq!(host.open(at(5_000), 90), near_server(1).id);
 }
 
-/// An opening went to a server whose domain is evacuated before the caller copies it. A
-/// copy that follows the first one would reach the domain seconds after the order.
+/// An opening was sent to a server whose domain is evacuated before the caller sends a copy. A
+/// copy to the same server would open a flow there after the evacuation began.
 #[test]
-fn a_copy_leaves_a_domain_that_is_evacuated_meanwhile() {
+fn a_copy_is_not_sent_to_a_domain_that_was_evacuated_since() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
     assert_eq!(host.open(at(0), 1), near_server(1).id);
     evacuate(&mut host, "near", 2);
@@ -81,9 +81,9 @@
     assert_eq!(sink.sent[0].0, far_server(1).id);
 }
 
-/// The only servers of a service stand in evacuated domains. Nothing can serve the flow
-/// until operators change their mind: the caller is told at once, not after its copies.
-/// A host whose word is old does not know that, and leaves the flow to the next copy.
+/// All servers of a service are in evacuated domains. No server can take the flow until
+/// operators end an evacuation, so the flow is reset at once and not after its copies. A host
+/// with an outdated view cannot be sure of that, and waits for the next copy.
 #[test]
 fn a_flow_that_no_domain_may_take_is_refused_at_once() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
@@ -99,10 +99,10 @@
     assert_eq!(sink.outcomes, [ForwardingOutcome::NoServerHeld]);
 }
 
-/// Entries vanish while the store is away, and vanished servers serve where nobody else
-/// does. Those of an evacuated domain may not even then.
+/// During an outage of the store entries vanish, and vanished servers receive new flows if there
+/// are no others. Those of an evacuated domain must not even then.
 #[test]
-fn a_vanished_server_of_an_evacuated_domain_gets_nothing() {
+fn a_vanished_server_of_an_evacuated_domain_receives_no_flows() {
     let mut host = TestHost::new(vec![near_server(1)]);
     evacuate(&mut host, "near", 2);
     let gone = near_server(1).id;
@@ -113,8 +113,8 @@
     assert_eq!(sink.outcomes, [ForwardingOutcome::NoServerHeld]);
 }
 
-/// Requests that may run once are bound to one region by law. Hosts of the other one take
-/// their packets, and chose a server beside them.
+/// Flows of a route may have to stay in one region by law. Hosts of another region receive their
+/// packets as well, and must not choose a server of their own region.
 #[parameterized(
     bound_elsewhere = { &["pecs"], Some("far") },
     bound_here = { &["bud"], Some("near") },
@@ -135,8 +135,8 @@
     }
 }
 
-/// The settings do not say where a domain stands. A flow that is bound to regions must
-/// not be guessed into one.
+/// The settings do not contain the region of a domain. A flow that is bound to regions must not
+/// be sent to a server there.
 #[test]
 fn a_bound_flow_avoids_domains_of_unknown_regions() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
@@ -147,8 +147,8 @@
     assert_eq!(sink.outcomes, [ForwardingOutcome::ForbiddenReset]);
 }
 
-/// The first server does not answer the opening, and the only other one stands in a region
-/// that the route may not use. The copy must not go there for want of another.
+/// The first server does not answer the opening, and the only other one is in a region that the
+/// route may not use. The copy must not be sent there, although there is no other server.
 #[test]
 fn a_copy_does_not_leave_the_regions_of_its_route() {
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
--- a/crates/cardamomwinch_coordination/tests/forwarding_reports.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_reports.rs
@@ -1,4 +1,4 @@
-//! What the hosts of a domain tell each other about servers, and what follows.
+//! Reports about servers that the hosts of a domain exchange, and their effects.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -37,7 +37,7 @@
     }
 }
 
-fn lively(reporter: u64, number: u64, seen_at: u64) -> ServerReport {
+fn healthy(reporter: u64, number: u64, seen_at: u64) -> ServerReport {
     ServerReport {
         silence: None,
         ..silent(reporter, number, 0, 0, seen_at)
@@ -54,18 +54,18 @@
 
 #[parameterized(
     three_flows_on_two_hosts = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 1, 40, 250)], None, 600, true },
-    others_had_no_time_to_object = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 1, 40, 560)], None, 640, false },
+    others_had_no_time_to_refute_it = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 1, 40, 560)], None, 640, false },
     too_soon = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 1, 40, 250)], None, 480, false },
     one_host_alone = { &[silent(1, 1, 5, 0, 210)], None, 900, false },
     two_flows = { &[silent(1, 1, 1, 0, 210), silent(2, 1, 1, 40, 250)], None, 900, false },
-    another_host_saw_it_live = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 2, 40, 250), lively(3, 1, 300)], None, 900, false },
-    this_host_saw_it_live = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 2, 40, 250)], Some(300), 900, false },
-    answers_from_before_it_fell_silent = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 1, 40, 250), lively(3, 1, 60)], Some(50), 600, true },
-    it_lived_and_then_fell_silent = { &[silent(1, 1, 2, 500, 710), silent(2, 1, 1, 540, 750), lively(3, 1, 400)], Some(450), 1_100, true },
+    another_host_saw_progress = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 2, 40, 250), healthy(3, 1, 300)], None, 900, false },
+    this_host_saw_progress = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 2, 40, 250)], Some(300), 900, false },
+    answers_from_before_it_fell_silent = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 1, 40, 250), healthy(3, 1, 60)], Some(50), 600, true },
+    it_was_healthy_and_then_fell_silent = { &[silent(1, 1, 2, 500, 710), silent(2, 1, 1, 540, 750), healthy(3, 1, 400)], Some(450), 1_100, true },
     long_ago = { &[silent(1, 1, 2, 0, 210), silent(2, 1, 1, 40, 250)], None, 4_000, false },
     the_same_host_twice = { &[silent(1, 1, 2, 0, 210), silent(1, 2, 4, 0, 400)], None, 900, false },
 )]
-fn several_hosts_together_show_that_a_server_has_gone(
+fn reports_of_several_hosts_show_that_a_server_is_dead(
     reports: &[ServerReport],
     progress: Option<u64>,
     moment: u64,
@@ -79,26 +79,26 @@
     );
 }
 
-/// Reports cross several hosts and may meet themselves, each time a little older. If they
-/// counted as new they would go round for ever.
+/// Reports pass through several hosts and may come back to one, each time a little older. If
+/// they counted as new, they would circulate forever.
 #[test]
 fn a_report_that_comes_again_is_not_passed_on() {
     let mut table = table(&[silent(1, 4, 1, 0, 210)]);
     let serial = table.serial();
-    let mut echo = silent(1, 4, 1, 3, 214);
-    assert!(!table.note(echo, at(230)));
-    echo.number = 3;
-    assert!(!table.note(echo, at(230)));
+    let mut repeated = silent(1, 4, 1, 3, 214);
+    assert!(!table.note(repeated, at(230)));
+    repeated.number = 3;
+    assert!(!table.note(repeated, at(230)));
     assert_eq!(table.serial(), serial);
-    assert!(table.note(lively(1, 5, 260), at(270)));
+    assert!(table.note(healthy(1, 5, 260), at(270)));
     assert_eq!(table.after(serial).count(), 1);
     assert_eq!(table.after(ReportSerial::default()).count(), 1);
 }
 
-/// All servers of a large domain are reported by all hosts. What is kept and told must
-/// stay bounded.
+/// All hosts report all servers of a large domain. The number of reports that are kept and
+/// sent must stay limited.
 #[test]
-fn a_table_keeps_no_more_than_a_verdict_needs() {
+fn a_table_keeps_few_more_reports_than_a_conclusion_needs() {
     let mut table = ReportTable::default();
     for server in 1..=2_000 {
         for reporter in 1..=20 {
@@ -115,7 +115,7 @@
     assert!(table.is_empty());
 }
 
-/// Hosts of one domain that hear each other's reports at once.
+/// Hosts of one domain that receive each other's reports without delay.
 struct Domain {
     hosts: Vec<TestHost>,
     table: ReportTable,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Collects what hosts have seen until `moment`, and lets all know it.
+    /// Collects the reports of all hosts at `moment`, and makes them known to all.
     fn exchange(&mut self, moment: u64) {
         for host in &mut self.hosts {
             for report in host.engine.take_reports() {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Where each flow of the domain is: the host, its port, and its server.
+/// Opens `flows` flows on each host. Returns the host, the port and the server of each flow.
 fn establish_everywhere(domain: &mut Domain, flows: u16) -> Vec<(usize, u16, BackendId)> {
     let mut placed = Vec::new();
     for index in 0..domain.hosts.len() {
@@ -163,39 +163,40 @@
     placed
 }
 
-/// A server loses power while each of twenty hosts holds one or two of its flows. Alone,
-/// each host has to lose a request on each of them. Once three requests were lost anywhere,
-/// all hosts must know: idle flows are ended before their callers lose a request that may
-/// run only once, and no new flow goes there.
+/// A server loses power while each of twenty hosts has one or two of its flows. On its own,
+/// each host would lose a request on each of them. After three requests were lost anywhere,
+/// all hosts must know that the server is dead: idle flows are ended before their callers lose
+/// a request that is not idempotent, and no new flow is sent to the server.
 #[test]
-fn what_three_flows_show_is_known_to_all_hosts() {
+fn the_silence_of_three_flows_becomes_known_to_all_hosts() {
     let mut domain = Domain::new(20, 20);
     let flows = establish_everywhere(&mut domain, 40);
     let dead = near_server(1).id;
-    let resting = flows.iter().filter(|one| one.2 == dead).count();
-    assert!(resting >= 20, "{resting} flows");
-    // Three callers on three hosts ask at 2 s; all others go on elsewhere.
-    let asking: Vec<_> = flows
+    let on_dead = flows.iter().filter(|one| one.2 == dead).count();
+    assert!(on_dead >= 20, "{on_dead} flows");
+    // Three callers on three hosts send a request to the dead server at 2 s. The flows on other
+    // servers make progress.
+    let requesting: Vec<_> = flows
         .iter()
         .filter(|one| one.2 == dead)
         .step_by(7)
         .collect();
-    let asking = &asking[..3];
+    let requesting = &requesting[..3];
     for step in 0..100 {
         let moment = 2_000 + step * 10;
         for (index, port, server) in &flows {
             if *server != dead && (u64::from(*port) + step).is_multiple_of(25) {
-                let turn = step as u32 / 25;
-                let ask = data(*port, *server, 500 + 80 * turn, 1 + 3_000 * turn, 80);
-                let answered = data(*port, *server, 580 + 80 * turn, 3_001 + 3_000 * turn, 0);
-                domain.hosts[*index].handle(at(moment), &ask);
+                let round = step as u32 / 25;
+                let request = data(*port, *server, 500 + 80 * round, 1 + 3_000 * round, 80);
+                let answered = data(*port, *server, 580 + 80 * round, 3_001 + 3_000 * round, 0);
+                domain.hosts[*index].handle(at(moment), &request);
                 domain.hosts[*index].handle(at(moment + 9), &answered);
             }
         }
         if [0, 20, 60].contains(&step) {
-            for (index, port, _) in asking {
-                let ask = data(*port, dead, 500, 1, 80);
-                domain.hosts[*index].handle(at(moment), &ask);
+            for (index, port, _) in requesting {
+                let request = data(*port, dead, 500, 1, 80);
+                domain.hosts[*index].handle(at(moment), &request);
             }
         }
         if step % 10 == 0 {
@@ -207,7 +208,7 @@
     }
     let ended = domain.hosts.iter().flat_map(|host| &host.ended);
     let ended: SortedVector<_, ()> = ended.map(|flow| (*flow, ())).collect();
-    assert_eq!(ended.len(), resting, "each flow is ended, also idle ones");
+    assert_eq!(ended.len(), on_dead, "each flow is ended, also idle ones");
     for (index, host) in domain.hosts.iter_mut().enumerate() {
         for port in 0..5 {
             let server = host.open(at(3_010), 9_000 + 10 * index as u16 + port);
@@ -216,8 +217,8 @@
     }
 }
 
-/// Links lose three packets in ten. Every host sees repetitions on every server, and every
-/// server goes on to answer others: no flow may be ended.
+/// Links lose three packets in ten. Every host sees repetitions on every server, but every
+/// server still answers others: no flow may be ended.
 #[test]
 fn losses_everywhere_end_no_flow() {
     let mut domain = Domain::new(20, 20);
@@ -229,17 +230,17 @@
             if !(u64::from(*port) + step).is_multiple_of(40) {
                 continue;
             }
-            let turn = step as u32 / 40;
-            let ask = data(*port, *server, 500 + 80 * turn, 1 + 3_000 * turn, 80);
-            let sink = domain.hosts[*index].handle(at(moment), &ask);
+            let round = step as u32 / 40;
+            let request = data(*port, *server, 500 + 80 * round, 1 + 3_000 * round, 80);
+            let sink = domain.hosts[*index].handle(at(moment), &request);
             assert_eq!(sink.resets, 0);
             if random.random_bool(0.7) {
-                let answered = data(*port, *server, 580 + 80 * turn, 3_001 + 3_000 * turn, 0);
+                let answered = data(*port, *server, 580 + 80 * round, 3_001 + 3_000 * round, 0);
                 domain.hosts[*index].handle(at(moment + 9), &answered);
             } else {
-                let sink = domain.hosts[*index].handle(at(moment + 200), &ask);
+                let sink = domain.hosts[*index].handle(at(moment + 200), &request);
                 assert_eq!(sink.resets, 0, "the server answers others");
-                let answered = data(*port, *server, 580 + 80 * turn, 3_001 + 3_000 * turn, 0);
+                let answered = data(*port, *server, 580 + 80 * round, 3_001 + 3_000 * round, 0);
                 domain.hosts[*index].handle(at(moment + 209), &answered);
             }
         }
@@ -253,11 +254,11 @@
     }
 }
 
-/// Half of the servers crash together. Each resets callers at once, so that it seems idle
-/// and draws openings; each host alone tries each of them, again and again. Two openings
-/// that were not confirmed on two hosts must keep all hosts away.
+/// Half of the servers crash together. Each resets callers at once, so it seems idle and
+/// attracts openings; without reports each host would try each of them again and again. Two
+/// unconfirmed openings on two hosts must keep all hosts away from a server.
 #[test]
-fn crashed_servers_draw_few_openings() {
+fn crashed_servers_receive_few_openings() {
     let mut domain = Domain::new(20, 20);
     establish_everywhere(&mut domain, 20);
     let is_dead = |id: BackendId| id.get().is_multiple_of(2);
@@ -281,14 +282,17 @@
         }
         domain.exchange(moment + 9);
     }
-    // 3,000 openings. Before the first 180 ms have passed nobody can know.
-    assert!(wasted <= 400, "{wasted} openings went to crashed servers");
+    // Of 3,000 openings. No host can know of the crash during the first 180 ms.
+    assert!(
+        wasted <= 400,
+        "{wasted} openings were sent to crashed servers"
+    );
 }
 
-/// A host that lost what it sent to several servers is itself in doubt, and must not make
-/// others believe it.
+/// The link of a host loses what it sends to several servers. The host must not report
+/// servers as silent then.
 #[test]
-fn a_host_in_doubt_reports_nothing() {
+fn a_host_with_a_lossy_link_reports_nothing() {
     let mut host = TestHost::new((1..=4).map(near_server).collect());
     let servers: Vec<_> = (1..=4_u16)
         .map(|port| host.establish(at(0), port))
@@ -308,10 +312,10 @@
     assert!(host.engine.take_reports().is_empty());
 }
 
-/// Other hosts report a server that this host sees answer. It must say so, or they would
-/// end flows that are served.
+/// Other hosts report silence of a server that answers this host. This host must refute the
+/// reports, or the others would end working flows.
 #[test]
-fn a_host_that_sees_a_reported_server_live_says_so() {
+fn a_host_that_sees_progress_of_a_reported_server_refutes_the_reports() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let server = host.establish(at(0), 1);
     host.view.reports = sync::Arc::new(table(&[silent(7, 1, 3, 100, 310)]));
@@ -326,9 +330,10 @@
     assert!(!table.is_silent(server, DELIVERY, None, at(900)));
 }
 
-/// The callers of flows that may run only once wait for an answer that may still come.
+/// On a route that is not idempotent, flows on a reported server are not reset: the answer may
+/// still come.
 #[test]
-fn a_reported_server_costs_no_caller_that_may_not_repeat_itself() {
+fn reports_reset_no_flow_that_is_not_idempotent() {
     let mut host = TestHost::new(vec![near_server(1)]);
     host.adopt(document(2, vec![(service_address(), route(false))]));
     let server = host.establish(at(0), 1);
@@ -341,8 +346,9 @@
     }
 }
 
-/// One of many hosts sees a server fall silent. All must know soon, though each speaks
-/// with few others, also where a third of the hosts cannot be reached.
+/// One of many hosts detects that a server is silent. All hosts must know it soon, although
+/// each exchanges reports with only a few others, and also if a third of the hosts cannot be
+/// reached.
 #[parameterized(
     eight = { 8, 0, 150 },
     a_domain = { 23, 0, 300 },
@@ -362,9 +368,9 @@
         at: at(start),
         ..silent(77, 1, 2, start, start)
     };
-    let teller = hosts - 1;
-    fleet.hosts[teller].condition = Condition::Running;
-    fleet.hosts[teller].engine.take_reports(at(start), [seen]);
+    let reporter = hosts - 1;
+    fleet.hosts[reporter].condition = Condition::Running;
+    fleet.hosts[reporter].engine.take_reports(at(start), [seen]);
     let knows = |index: usize, fleet: &Fleet| {
         let host = &fleet.hosts[index];
         let reports = host.engine.view().reports;
@@ -376,20 +382,21 @@
     while (0..hosts).any(|index| !knows(index, &fleet)) && fleet.now < start + limit {
         fleet.run_until(fleet.now + 10);
     }
-    let ignorant = (0..hosts).filter(|index| !knows(*index, &fleet)).count();
-    assert_eq!(ignorant, 0, "after {} ms", fleet.now - start);
+    let without_report = (0..hosts).filter(|index| !knows(*index, &fleet)).count();
+    assert_eq!(without_report, 0, "after {} ms", fleet.now - start);
     let busiest = fleet.tellings.iter().max().unwrap();
     assert!(*busiest <= 40, "{busiest} calls at one host");
 }
 
-/// A server says that it is well, takes each request, and resets its caller at once. Hosts
-/// see neither resets nor answers. Each new flow there loses a request that may run only
-/// once; after some of them were never answered, no host may open further ones.
+/// The entry of a server says that it is healthy, but the server accepts each request and
+/// resets its caller at once. Hosts see neither resets nor answers. Each new flow on it loses a
+/// request that is not idempotent; after some of them were never answered, no host may open
+/// further ones.
 #[test]
 fn a_server_that_answers_nobody_gets_no_new_flows() {
     let mut domain = Domain::new(20, 10);
     establish_everywhere(&mut domain, 5);
-    let liar = near_server(1).id;
+    let faulty = near_server(1).id;
     let mut opened = Vec::new();
     let mut port = 20_000;
     for step in 0..300_u64 {
@@ -400,7 +407,7 @@
                 let host = &mut domain.hosts[index];
                 let server = host.open(at(moment), port);
                 host.handle(at(moment + 5), &data(port, server, 100, 1, 80));
-                if server != liar {
+                if server != faulty {
                     host.handle(at(moment + 9), &data(port, server, 180, 3_001, 0));
                     let closing = FlowPacket {
                         kind: PacketKind::Closing,
@@ -420,28 +427,28 @@
         domain.exchange(moment + 9);
     }
     let late = opened.iter().filter(|moment| **moment >= 2_950).count();
-    assert!(opened.len() > 3, "it draws flows at first");
+    assert!(opened.len() > 3, "it receives flows at first");
     assert_eq!(late, 0, "of {}", opened.len());
     let ended: usize = domain.hosts.iter().map(|host| host.ended.len()).sum();
     assert_eq!(ended, 0, "an answer that is missing ends no flow");
 }
 
-/// The fabric hands all flows to other hosts at once. Those that had them wait for answers
-/// which others see; the servers must not be doubted for it.
+/// The fabric moves all flows to other hosts at once. The earlier hosts wait for answers that
+/// now pass through other hosts; the servers must not be suspected because of it.
 #[test]
-fn flows_that_move_to_other_hosts_cost_no_server_anything() {
+fn flows_that_move_to_other_hosts_raise_no_suspicion() {
     let mut domain = Domain::new(20, 10);
     let flows = establish_everywhere(&mut domain, 10);
-    for (turn, moment) in [2_000, 2_300, 2_600, 2_900, 3_200].into_iter().enumerate() {
-        let turn = turn as u32;
+    for (round, moment) in [2_000, 2_300, 2_600, 2_900, 3_200].into_iter().enumerate() {
+        let round = round as u32;
         for (index, port, server) in &flows {
-            // The first request passes another host than the acknowledgement of its answer
-            // and everything that follows.
+            // The first request passes through one host; the acknowledgement of its answer and
+            // everything after it pass through another one.
             let moved = (index + 1) % 20;
-            let asked = if turn == 0 { *index } else { moved };
-            let ask = data(*port, *server, 500 + 80 * turn, 1 + 3_000 * turn, 80);
-            let answered = data(*port, *server, 580 + 80 * turn, 3_001 + 3_000 * turn, 0);
-            domain.hosts[asked].handle(at(moment), &ask);
+            let first = if round == 0 { *index } else { moved };
+            let request = data(*port, *server, 500 + 80 * round, 1 + 3_000 * round, 80);
+            let answered = data(*port, *server, 580 + 80 * round, 3_001 + 3_000 * round, 0);
+            domain.hosts[first].handle(at(moment), &request);
             domain.hosts[moved].handle(at(moment + 40), &answered);
         }
         for step in 1..30 {
@@ -457,7 +464,7 @@
     }
 }
 
-fn report_teller(number: u8, domain_name: &str) -> BeliefEngine {
+fn started_engine(number: u8, domain_name: &str) -> BeliefEngine {
     let settings = BeliefSettings {
         domain: domain(domain_name),
         regions: DomainRegions::default(),
@@ -478,50 +485,51 @@
     engine
 }
 
-/// A domain is cut off from another one. For hosts there its servers are silent, while they
-/// serve their own callers; when the cut heals, hosts that found the store silent ask
-/// anybody. What those say of servers must not end flows here.
+/// Two domains are cut off from each other. Each considers the servers of the other one
+/// silent, while they serve their own callers. When the domains are connected again, hosts
+/// whose store failed query hosts of any domain. Reports of the other domain must not end
+/// flows.
 #[test]
-fn reports_are_told_in_their_own_domain_only() {
-    let mut teller = report_teller(1, "far");
-    teller.take_reports(at(300), [silent(7, 1, 3, 0, 210)]);
+fn reports_are_sent_only_in_their_own_domain() {
+    let mut sender = started_engine(1, "far");
+    sender.take_reports(at(300), [silent(7, 1, 3, 0, 210)]);
     for (domain_name, expected) in [("far", 1), ("near", 0)] {
-        let mut asker = report_teller(9, domain_name);
-        let (_, question) = asker.next_peer(at(400)).unwrap();
-        assert_eq!(teller.knows_more_than(&question), expected == 1);
-        let word = teller.answer_peer(at(400), &question);
-        assert_eq!(word.reports.len(), expected);
+        let mut receiver = started_engine(9, domain_name);
+        let (_, query) = receiver.next_peer(at(400)).unwrap();
+        assert_eq!(sender.knows_more_than(&query), expected == 1);
+        let answer = sender.answer_peer(at(400), &query);
+        assert_eq!(answer.reports.len(), expected);
     }
 }
 
-/// An answer comes over a link that is full, and is seconds late. What its reports say is
-/// as old as that: a server that was seen to answer meanwhile must not be held silent.
+/// An answer of a peer passes a full link and is seconds late. Its reports are older by that
+/// time: a server that has answered since must not count as silent.
 #[test]
-fn reports_are_as_old_as_their_way_was_long() {
-    let mut teller = report_teller(1, "near");
-    teller.take_reports(at(420), [silent(7, 1, 2, 0, 400), silent(8, 1, 2, 0, 400)]);
-    let mut asker = report_teller(9, "near");
-    let (peer, question) = asker.next_peer(at(450)).unwrap();
-    let word = teller.answer_peer(at(450), &question);
-    asker.handle_peer(at(2_450), peer, Some(word));
-    let reports = asker.view().reports;
+fn reports_are_older_by_the_time_that_their_answer_took() {
+    let mut sender = started_engine(1, "near");
+    sender.take_reports(at(420), [silent(7, 1, 2, 0, 400), silent(8, 1, 2, 0, 400)]);
+    let mut receiver = started_engine(9, "near");
+    let (peer, query) = receiver.next_peer(at(450)).unwrap();
+    let answer = sender.answer_peer(at(450), &query);
+    receiver.handle_peer(at(2_450), peer, Some(answer));
+    let reports = receiver.view().reports;
     let answered_at = Some(at(1_200));
     assert!(reports.has_reports_about(near_server(1).id));
     assert!(!reports.is_silent(near_server(1).id, DELIVERY, answered_at, at(2_600)));
 }
 
-/// The rotation of the fabric changes while openings are under way: the hosts that placed
-/// them never see them confirmed, since the callers' next packets pass others. It is late,
-/// and nobody asks a server anything for a second. Sessions that rest there must stay.
+/// The rotation of the fabric changes while openings are on their way. The hosts that placed
+/// them never see them confirmed, because the callers' next packets pass through other hosts.
+/// No other request is sent to the server for a second. Its idle sessions must not be ended.
 #[test]
-fn openings_that_others_saw_confirmed_end_no_flow() {
+fn openings_that_are_confirmed_through_other_hosts_end_no_flow() {
     let mut domain = Domain::new(4, 1);
     establish_everywhere(&mut domain, 3);
     let elsewhere = far_server(1);
     for (index, host) in domain.hosts.iter_mut().enumerate() {
         host.change(|directory| directory.note(elsewhere.clone()));
         let number = index as u16;
-        // Something else that the host sends at that moment arrives.
+        // Another packet that the host sends at the same time is delivered.
         host.handle(at(2_000), &data(30_000 + number, elsewhere.id, 500, 1, 80));
         host.open(at(2_000), 20_000 + number);
         host.handle(
@@ -539,6 +547,6 @@
     let reports = &domain.hosts[0].view.reports;
     assert!(
         reports.has_reports_about(near_server(1).id),
-        "it gets no new flows"
+        "it receives no new flows"
     );
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_routes.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_routes.rs
@@ -1,4 +1,4 @@
-//! Versions of the routes, and the differences that hosts tell each other.
+//! Versions of the routes, and the differences that hosts send each other.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -35,10 +35,10 @@
         .collect()
 }
 
-/// An older version arrives late, from a peer that lagged behind. If it came into
-/// force, callers would be refused a route that was there a moment ago.
+/// An older version arrives late, from a peer with outdated data. If it came into force, flows
+/// of a route that was just added would be reset.
 #[test]
-fn versions_never_fall() {
+fn the_version_in_force_never_decreases() {
     let mut table = RouteTable::default();
     assert!(table.adopt(document(5, vec![(address(1), named("a"))])));
     assert!(!table.adopt(document(4, Vec::new())));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_difference_makes_the_later_version_of_the_earlier_one() {
+fn a_difference_turns_the_earlier_version_into_the_later_one() {
     let first = document(1, vec![(address(1), named("a")), (address(2), named("b"))]);
     let second = document(2, vec![(address(2), named("c")), (address(3), named("d"))]);
     let (mut ahead, mut behind) = (RouteTable::default(), RouteTable::default());
@@ -63,9 +63,9 @@
     assert_eq!(ahead.difference(version(2)), None);
 }
 
-/// A peer skipped a version in which a route was changed; in the next one it was
-/// changed back. To the peer nothing happened. The host that asks holds the
-/// skipped version and would keep the changed route for ever.
+/// A peer skipped a version in which a route was changed; in the next one it was changed back.
+/// For the peer the route never changed. A host that has the skipped version and queries the
+/// peer would keep the changed route forever.
 #[test]
 fn a_change_that_the_peer_never_saw_is_undone() {
     let one = |number, name| document(number, vec![(address(1), named(name))]);
@@ -79,9 +79,9 @@
     assert_eq!(host.find(&address(1)).unwrap().name, "a");
 }
 
-/// A host that starts knows no version and is told all routes.
+/// A host that starts has no version and receives all routes.
 #[test]
-fn a_host_that_starts_is_told_everything() {
+fn a_host_that_starts_receives_all_routes() {
     let mut peer = RouteTable::default();
     for number in 1..400 {
         peer.adopt(document(number, vec![(address(1), named("a"))]));
@@ -91,10 +91,10 @@
     assert_eq!(host.len(), 1);
 }
 
-/// All hosts must choose the same service for a flow, because copies of its
-/// opening may meet different hosts; and shares must follow the weights.
+/// All hosts must choose the same service for a flow, because copies of its opening may reach
+/// different hosts; and the shares of the services must follow their weights.
 #[test]
-fn services_are_chosen_alike_and_by_weight() {
+fn services_are_chosen_by_hash_and_weight() {
     let target = |name, weight| RouteTarget {
         service: service(name),
         weight: Weight::new(weight),
@@ -113,8 +113,8 @@
     assert_eq!(count("c"), 0);
 }
 
-/// A route was dropped. Its open flows may not be served on, and their callers
-/// must hear so at once.
+/// A route was dropped. Packets of its open flows must no longer be forwarded, and the flows are
+/// reset at once.
 #[test]
 fn flows_of_a_dropped_route_are_reset() {
     let mut host = TestHost::new(vec![near_server(1)]);
@@ -125,10 +125,10 @@
     assert_eq!((sink.sent.len(), sink.resets), (0, 1));
 }
 
-/// A flow was opened through a host that knows a new route already. On a host
-/// that lags behind, its packets must pass: their token names the server.
+/// A flow was opened through a host that already knows a new route. A host with an outdated view
+/// must forward its packets as well: their token identifies the server.
 #[test]
-fn flows_of_a_route_that_is_not_known_yet_go_on() {
+fn flows_of_a_route_that_is_not_known_yet_are_forwarded() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let mut packet = data(1, near_server(1).id, 500, 1, 80);
     packet.flow.service = address(3);
@@ -136,10 +136,10 @@
     assert_eq!(sink.sent.len(), 1);
 }
 
-/// A host that has lost the store cannot know whether a route was added since.
-/// A reset would refuse callers a route that is in force.
+/// A host that cannot reach the store does not know whether a route was added since. A reset
+/// would refuse callers a route that is in force.
 #[test]
-fn an_unknown_route_is_refused_only_by_a_fresh_view() {
+fn an_unknown_route_is_refused_only_by_a_current_view() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let mut packet = opening(1, 0);
     packet.flow.service = address(3);
@@ -149,10 +149,10 @@
     assert_eq!(sink.outcomes, [ForwardingOutcome::NoRouteReset]);
 }
 
-/// The flow's server left while this host was not running, or was added a moment
-/// ago. Only once the store has said since that there is none is the caller told.
+/// The server of a flow left while this host was not running, or was added a short time ago. The
+/// flow is reset only if a later update of the view still lacks the server.
 #[test]
-fn an_unknown_token_is_answered_once_the_store_has_spoken_since() {
+fn a_flow_with_an_unknown_token_is_reset_after_an_update_of_the_view() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let packet = data(1, BackendId::new(0xdead), 500, 1, 80);
     let first = host.handle(at(1_000), &packet);
--- a/crates/cardamomwinch_coordination/tests/forwarding_silence.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_silence.rs
@@ -1,4 +1,4 @@
-//! Servers that fall silent or have gone, as the packets of callers show it.
+//! Detection of silent and dead servers from the packets of callers.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod forwarding_support;
@@ -8,32 +8,35 @@
 use forwarding_support::watched_flows::*;
 use forwarding_support::*;
 
-/// A backend server is gone but still listed, because the store is down. Each
-/// opening sent to it comes back to the caller as a reset, past the host. Its
-/// flows end, so it has the fewest, and draws every new flow: callers use up
-/// all their retries on it within a tenth of a second.
+/// Guards against a dead server that receives every new flow. It is still listed because
+/// the store is down. It resets each opening, and the resets go to the callers directly and
+/// not through the host. Its flows end, so it has the fewest, and callers use up all their
+/// retries on it within a tenth of a second.
 #[test]
-fn a_server_that_confirms_no_opening_draws_no_further_ones() {
+fn a_server_that_confirms_no_opening_receives_no_further_ones() {
     let mut host = TestHost::new(vec![near_server(1), near_server(2)]);
     let dead = near_server(1).id;
     for port in 0..20 {
         host.establish(at(10 * u64::from(port)), 1_000 + port);
     }
-    let mut drawn = 0;
+    let mut received = 0;
     for port in 0..20 {
         let now = at(1_000 + 50 * u64::from(port));
         let server = host.open(now, 2_000 + port);
         if server == dead {
-            drawn += 1;
+            received += 1;
         } else {
             host.handle(now.after(millis(3)), &data(2_000 + port, server, 1, 1, 0));
         }
     }
-    assert!(drawn <= 3, "{drawn} of 20 openings went to the dead server");
+    assert!(
+        received <= 3,
+        "{received} of 20 openings were sent to the dead server"
+    );
 }
 
-/// A single opening is lost on its way. The server lives and must not be shut
-/// out for longer than the moment until another opening can prove it.
+/// A single opening is lost on its way. The server is alive, and must receive flows again as
+/// soon as it confirms another opening.
 #[test]
 fn a_server_is_tried_again_after_one_lost_opening() {
     let mut host = TestHost::new(vec![near_server(1)]);
@@ -44,8 +47,8 @@
     assert!(!host.engine.progress().is_suspected(server, at(304)));
 }
 
-/// The server that was chosen first does not answer, and the caller copies its
-/// opening. The copy must go to another server, or the attempt is lost.
+/// The first chosen server does not answer, and the caller sends a copy of its opening. The
+/// copy must be sent to another server, or the flow is never opened.
 #[test]
 fn a_copy_of_an_opening_goes_to_another_server() {
     let mut host = TestHost::new(vec![near_server(1), near_server(2), near_server(3)]);
@@ -58,11 +61,11 @@
     assert!(first != second && second != third && first != third);
 }
 
-/// The host was slow to start or slept, and an opening and its copy come in one
-/// burst. If the copy went to a second server, both would answer the caller,
-/// whose flow is then split.
+/// Guards against a flow that is split between two servers. The host starts slowly or was
+/// paused, and an opening and its copy arrive in one burst. If the copy were sent to a second
+/// server, both would answer the caller.
 #[test]
-fn copies_that_waited_together_go_to_one_server() {
+fn copies_that_were_queued_together_go_to_one_server() {
     let mut host = TestHost::new(vec![near_server(1), near_server(2)]);
     let first = host.open(at(0), 1);
     let copy = host.handle(at(1), &opening(1, 1));
@@ -70,10 +73,10 @@
     assert_eq!(copy.outcomes, [ForwardingOutcome::OpeningRepeated]);
 }
 
-/// The server of several open flows loses power. Their callers would wait until
-/// their deadlines; told in time, they send idempotent requests again elsewhere.
+/// The server of several open flows loses power. Their callers would wait until their
+/// deadlines; after a reset they send idempotent requests again elsewhere.
 #[test]
-fn callers_of_a_silent_server_are_told() {
+fn flows_on_a_silent_server_are_reset() {
     let mut host = host_of_two(8);
     let server = near_server(1).id;
     let waiting = ports_on(&host, server);
@@ -84,7 +87,7 @@
     let repeat = |port| data(port, server, 500, 1, 80);
     for port in &waiting[..2] {
         let sink = host.handle(at(1_200), &repeat(*port));
-        assert_eq!(sink.outcomes, [ForwardingOutcome::Resent], "chance");
+        assert_eq!(sink.outcomes, [ForwardingOutcome::Resent], "may be chance");
     }
     show_life(&mut host, 1_201, near_server(2).id);
     let third = host.handle(at(1_202), &repeat(waiting[2]));
@@ -92,10 +95,10 @@
     assert_eq!(third.resets, 1);
 }
 
-/// Like above, but the request may run only once. A reset cannot make the caller
-/// send it again, and the server's answer may still come.
+/// As above, but the requests are not idempotent. The callers would not send them again
+/// after a reset, and the server's answer may still come.
 #[test]
-fn callers_that_may_not_repeat_are_left_alone() {
+fn flows_with_requests_that_are_not_idempotent_are_not_reset() {
     let mut host = TestHost::new(vec![near_server(1)]);
     let server = near_server(1).id;
     host.adopt(document(2, vec![(service_address(), route(false))]));
@@ -110,11 +113,11 @@
     }
 }
 
-/// Flows outlive their server's entry in the store by their lifetime, because an
-/// entry may lapse though its server lives. Where the server is silent too, one
-/// repetition is enough.
+/// Packets of open flows are still sent to a server that has left the store, because its
+/// entry may expire although it is alive. If the server is silent as well, one repetition is
+/// enough for a reset.
 #[test]
-fn callers_of_a_server_that_left_are_told_after_one_repetition() {
+fn a_flow_on_a_server_that_left_is_reset_after_one_repetition() {
     let mut host = host_of_two(4);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
@@ -123,18 +126,17 @@
         directory.age(at(5_000), millis(60_000));
     });
     let first = host.handle(at(5_000), &data(port, server, 500, 1, 80));
-    assert_eq!(first.sent.len(), 1, "it may still live");
+    assert_eq!(first.sent.len(), 1, "it may still be alive");
     show_life(&mut host, 5_100, near_server(2).id);
     let second = host.handle(at(5_200), &data(port, server, 500, 1, 80));
     assert_eq!(second.outcomes, [ForwardingOutcome::SilentServerReset]);
 }
 
-/// A server lost power and the store has counted it as gone for long. A host that did
-/// not watch the flow gets a request on it that may run only once. Forwarded into the
-/// void again and again, it kept its caller waiting until the deadline, although
-/// nobody can answer any more.
+/// Guards against a caller that waits until its deadline for a server that lost power and
+/// left the store long ago. A host that has not seen the flow before receives a request on
+/// it that is not idempotent, and would forward each repetition although no answer can come.
 #[test]
-fn a_caller_that_may_not_repeat_is_told_once_its_server_has_left() {
+fn a_flow_that_is_not_idempotent_is_reset_once_its_server_has_left() {
     let mut host = host_of_two(4);
     host.adopt(document(2, vec![(service_address(), route(false))]));
     let server = near_server(1).id;
@@ -143,24 +145,28 @@
         directory.age(at(5_000), millis(60_000));
     });
     let repeat = data(999, server, 500, 1, 80);
-    assert_eq!(host.handle(at(5_000), &repeat).sent.len(), 1, "it may live");
+    assert_eq!(
+        host.handle(at(5_000), &repeat).sent.len(),
+        1,
+        "it may still be alive"
+    );
     show_life(&mut host, 5_100, near_server(2).id);
     let once = host.handle(at(5_200), &repeat);
     assert_eq!(
         once.outcomes,
         [ForwardingOutcome::Resent],
-        "its answer may be late"
+        "the answer may be late"
     );
     show_life(&mut host, 5_500, near_server(2).id);
     let twice = host.handle(at(5_600), &repeat);
     assert_eq!(twice.outcomes, [ForwardingOutcome::SilentServerReset]);
 }
 
-/// Callers keep flows for later. Their server loses power; the next request that
-/// each sends on such a flow is lost, and one that may run only once is not sent
-/// again. Told before, callers open another flow.
+/// Guards against requests that are lost on idle flows of a dead server. Callers keep flows
+/// for later, and the server loses power. The next request on each flow would get no answer,
+/// and is not sent again if it is not idempotent. After a reset callers open another flow.
 #[test]
-fn idle_flows_of_a_server_that_has_gone_are_ended() {
+fn idle_flows_of_a_dead_server_are_ended() {
     let mut host = host_of_two(0);
     host.adopt(document(2, vec![(service_address(), route(false))]));
     for port in 1..=16 {
@@ -180,13 +186,13 @@
     ended.sort();
     let mut expected: Vec<_> = idle.iter().map(|port| flow(*port)).collect();
     expected.sort();
-    assert_eq!(ended, expected, "those that wait are left alone");
+    assert_eq!(ended, expected, "those that wait for an answer are kept");
     assert_eq!(host.tick(at(1_500)).ended, []);
 }
 
-/// A server of a large fleet loses power. This host sees two of its flows: one
-/// waits for an answer, the other rests. The next request on the resting one may
-/// run only once, and would be lost.
+/// A server of a large fleet loses power. This host sees two of its flows: one waits for an
+/// answer, the other is idle. The next request on the idle one is not idempotent and would be
+/// lost.
 #[test]
 fn an_idle_flow_is_ended_after_two_repetitions_of_another_one() {
     let mut host = host_of_two(0);
@@ -208,9 +214,9 @@
     assert_eq!(all_ended, [flow(on_it[1])]);
 }
 
-/// A server of a large fleet loses power, and this host has a single flow on it,
-/// which rests. Nothing tells of the loss until the store takes the server off its
-/// list without a word before. The next request must not go there.
+/// A server of a large fleet loses power, and this host has a single flow on it, which is
+/// idle. No packet shows it until the entry of the server vanishes from the store. The next
+/// request must not be sent there.
 #[test]
 fn flows_of_a_server_that_vanished_are_ended() {
     let mut host = host_of_two(8);
@@ -224,9 +230,9 @@
     assert_eq!(host.tick(at(1_200)).ended, []);
 }
 
-/// Like above, but the flow has had an answer of one packet, which its caller
-/// acknowledges with its next request only. It looks as if it still waited, and its
-/// next request, which may run only once, would be lost.
+/// As above, but the last answer on the flow was one packet, which the caller acknowledges
+/// only with its next request. The flow looks as if it still waited for that answer, and its
+/// next request, which is not idempotent, would be lost.
 #[test]
 fn flows_whose_last_answer_was_short_are_ended_too() {
     let mut host = host_of_two(0);
@@ -241,17 +247,17 @@
     }
     host.change(|directory| directory.note_removed(server, StoreRevision::new(2), at(1_500)));
     host.view.heard_at = at(1_500);
-    assert_eq!(host.tick(at(1_600)).ended, [], "they may wait");
+    assert_eq!(host.tick(at(1_600)).ended, [], "they may still wait");
     let ended: Vec<_> = (17..=21)
         .flat_map(|tick| host.tick(at(100 * tick)).ended)
         .collect();
     assert_eq!(ended.len(), on_it.len());
 }
 
-/// The store has taken a server off its list, and a caller repeats itself once. It
-/// need not wait for a second time.
+/// The entry of a server vanished from the store, and a caller repeats itself. One repetition
+/// is enough for a reset.
 #[test]
-fn a_caller_of_a_server_that_vanished_is_told_after_one_repetition() {
+fn a_flow_on_a_server_that_vanished_is_reset_after_one_repetition() {
     let mut host = host_of_two(2);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
@@ -262,11 +268,11 @@
     assert_eq!(sink.outcomes, [ForwardingOutcome::SilentServerReset]);
 }
 
-/// A server of a large fleet loses power. This host sees a single flow of it, so
-/// that no other one can tell. Its caller has sent the same data three times, and
-/// would wait until its deadline.
+/// A server of a large fleet loses power. This host sees a single flow of it, so no other
+/// flow can confirm the silence. The caller has sent the same data three times, and would
+/// wait until its deadline.
 #[test]
-fn the_only_flow_of_a_silent_server_is_told_after_two_repetitions() {
+fn the_only_flow_of_a_silent_server_is_reset_after_two_repetitions() {
     let mut host = host_of_two(2);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
@@ -277,18 +283,18 @@
         outcomes.extend(sink.outcomes);
         show_delivery(&mut host, moment + 2, near_server(2).id);
     }
-    let told = ForwardingOutcome::SilentServerReset;
+    let reset = ForwardingOutcome::SilentServerReset;
     let expected = [
         ForwardingOutcome::Forwarded,
         ForwardingOutcome::Resent,
-        told,
+        reset,
     ];
     assert_eq!(outcomes, expected);
 }
 
-/// A request takes three packets, and its server is silent. All three come again
-/// in each round, the furthest not first. Unless each round counts as one, the
-/// silence shows late, and the log tells of new requests where there are none.
+/// A request takes three packets, and its server is silent. The caller repeats all three in
+/// each round, in ascending order. Each round must count as one repetition: otherwise the
+/// silence is detected late, and the log shows new requests that do not exist.
 #[test]
 fn rounds_of_several_packets_are_counted() {
     let mut host = host_of_two(2);
@@ -308,11 +314,11 @@
     assert_eq!(watched.copies, 2);
 }
 
-/// The only server of a domain is gone but still listed. A caller's opening is
-/// reset past the host, it tries twice more within six milliseconds, and meets
-/// the same server each time, while another domain has one that serves.
+/// The only server of a domain is dead but still listed. It resets a caller's opening
+/// directly, and the caller tries twice more within six milliseconds. It would reach the same
+/// server each time, although another domain has one that is alive.
 #[test]
-fn a_caller_that_tries_again_meets_another_server() {
+fn a_caller_that_tries_again_reaches_another_server() {
     let (near, far) = (near_server(1).id, far_server(1).id);
     let mut host = TestHost::new(vec![near_server(1), far_server(1)]);
     let first = opening(1, 0);
@@ -324,5 +330,5 @@
     host.handle(at(6), &data(1, near, 1, 1, 0));
     let mut third = opening(1, 0);
     third.flow.caller.set_port(3);
-    assert_eq!(host.handle(at(7), &third).sent[0].0, near, "it lives");
+    assert_eq!(host.handle(at(7), &third).sent[0].0, near, "it is alive");
 }
