--- a/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
@@ -158,12 +158,12 @@
             FlowStage::Open => false,
         };
         if is_copy {
-            let proven = self.deliveries.was_delivering_at(watched.seen_at);
+            let was_delivering = self.deliveries.was_delivering_at(watched.seen_at);
             let sent_at = watched.seen_at;
             self.server_reach.note_unanswered_opening(earlier, sent_at);
             self.progress
-                .note_unanswered(earlier, sent_at, proven, context.now);
-            if proven {
+                .note_unanswered(earlier, sent_at, was_delivering, context.now);
+            if was_delivering {
                 self.report_silence(earlier, context.now);
             }
         }
@@ -204,8 +204,8 @@
         context.record(outcome, Some(&server), copy, flows, sink);
     }
 
-    /// Starts to watch a flow. If the table is full, the flow is forwarded all the same but
-    /// doesn't count as load of its server.
+    /// Starts to watch a flow. If the table is full, the flow is still forwarded, but it does
+    /// not count as load of its server.
     pub(super) fn start_watching(&mut self, context: &PacketContext<'_>, watched: WatchedFlow) {
         let flow = context.packet.flow;
         match self.watch.insert(context.hash, flow, watched) {
--- a/crates/cardamomwinch_coordination/src/forwarding/permission.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/permission.rs
@@ -21,8 +21,8 @@
 }
 
 impl<'a> FlowPermission<'a> {
-    /// Creates the rules at `now` for a flow to `service` that may use servers in the
-    /// `allowed` regions, or in any region if `allowed` is empty.
+    /// Creates the rules at `now` for a flow to `service` that may use servers in
+    /// `allowed_regions`, or in any region if there are none.
     pub fn new(
         view: &'a ForwardingView,
         service: ServiceId,
@@ -56,11 +56,11 @@
 
     /// Whether `server` is still slow because it has just started.
     pub fn is_cold(&self, server: &ServerRecord) -> bool {
-        let lasting = self
+        let duration = self
             .cold_start
             .map(|start| start.lasting)
             .unwrap_or_default();
-        self.view.directory.cold_until(server, lasting) > self.now
+        self.view.directory.cold_until(server, duration) > self.now
     }
 
     /// Whether the rate of new flows to `server` is currently limited.
--- a/crates/cardamomwinch_coordination/src/forwarding/progress.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/progress.rs
@@ -3,7 +3,8 @@
 //! show that they were not acknowledged, and an acknowledgement that advances proves that
 //! the server is alive.
 //!
-//! Silence of a server means that it has acknowledged nothing that callers had to repeat.
+//! A server is called silent towards a flow while the caller repeats itself and acknowledges
+//! nothing new from the server. A flow is called silent in that case, too.
 
 use std::time;
 
@@ -11,8 +12,8 @@
 
 use crate::forwarding::server_reports::{ReportSubject, ServerSilence};
 
-/// How long a server that did not answer an opening receives no further one. Callers
-/// copy openings after 200 ms; a server that is alive answers within a round trip.
+/// How long a server that did not answer an opening receives no further one. Callers send
+/// a copy of an opening after 200 ms; a server that is alive answers within a round trip.
 /// One lost datagram costs a server a second of new flows and nothing else.
 const FIRST_SUSPICION: time::Duration = time::Duration::from_secs(1);
 /// Each unanswered opening after a suspicion doubles the duration of the next one, up to
@@ -69,6 +70,7 @@
     silent_since: Timestamp,
     /// Whether the data of one flow were lost three times in a row since `progress_at`.
     triple_loss: bool,
+    /// Until when the server receives no new flows, because it did not answer an opening.
     suspected_until: Timestamp,
     /// The duration of the last suspicion.
     suspicion: time::Duration,
@@ -230,21 +232,21 @@
         (now.since(at) <= RESPONSE_RETENTION).then_some(mean)
     }
 
-    /// Records that `server` did not answer an opening sent at `sent_at`. `proven` means that
-    /// this host delivered other packets at that time. Returns whether the server becomes
-    /// suspected by this.
+    /// Records that `server` did not answer an opening sent at `sent_at`. `was_delivering` is
+    /// whether this host delivered other packets at that time. Returns whether the server
+    /// becomes suspected by this.
     pub fn note_unanswered(
         &mut self,
         server: BackendId,
         sent_at: Timestamp,
-        proven: bool,
+        was_delivering: bool,
         now: Timestamp,
     ) -> bool {
         if now < self.repetitions_ignored_until {
             return false;
         }
         let entry = self.entry(server, now);
-        if proven {
+        if was_delivering {
             entry.add_silent_flow(sent_at);
         }
         if entry.suspected_until > now {
--- a/crates/cardamomwinch_coordination/src/forwarding/server_reach.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_reach.rs
@@ -1,10 +1,10 @@
 //! Detects that no server answers this host.
 //!
-//! Guards against a failure domain that is cut off from servers while callers still reach
-//! its hosts, and that has no own servers for them: they are evacuated, or the service has
-//! none there. All flows of callers of that domain would time out, although hosts elsewhere
-//! could serve them. A host that no server answers leaves the fabric's rotation; if all
-//! hosts of a domain do, the fabric uses those of the nearest domain.
+//! Guards against a failure domain that is cut off while callers still reach its hosts, and
+//! whose own servers may take no flows: they are evacuated, or the service has none there. All
+//! flows of callers of that domain would time out, although hosts of other domains could serve
+//! them. A host that no server answers leaves the fabric's rotation; if all hosts of a domain
+//! do, the fabric uses those of the nearest domain.
 
 use std::time;
 
@@ -12,8 +12,8 @@
 
 use crate::forwarding::view::ForwardingView;
 
-/// How long several servers must have been silent, and none have answered. Callers send
-/// again after 200 ms.
+/// The time for which several servers must have been silent and no server may have answered.
+/// Callers send again after 200 ms.
 const MIN_SILENCE: time::Duration = time::Duration::from_millis(600);
 /// The number of servers that must be silent. One or two may have died by themselves.
 const MIN_SILENT_SERVERS: usize = 3;
@@ -24,7 +24,7 @@
 /// store may be down.
 const MAX_ABSENCE: time::Duration = time::Duration::from_secs(10);
 
-/// The servers that have not answered something since any server last answered.
+/// The servers that were silent towards a flow since the last answer of any server.
 #[derive(Debug, Default)]
 struct SilencePeriod {
     answered_at: Option<Timestamp>,
@@ -45,7 +45,7 @@
         self.since = Some(self.since.map_or(sent_at, |at| at.min(sent_at)));
     }
 
-    /// Whether several servers have been silent for [`SILENCE`], and no server has answered
+    /// Whether several servers have been silent for [`MIN_SILENCE`], and no server has answered
     /// in that time.
     fn is_long(&self, now: Timestamp) -> bool {
         let is_long = |since: Timestamp| now.since(since) >= MIN_SILENCE;
