--- a/crates/cardamomwinch_coordination/src/control/homes/asking.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/asking.rs
@@ -1,4 +1,4 @@
-//! Requests for leases: those that this host sends, and those that it answers.
+//! Requests for leases: sending them, and answering those of other hosts.
 
 use cardamomwinch_protocol::peer::homes::{HomeMessage, LeaseGrant, LeaseRequest};
 use cardamomwinch_state::prelude::{HostId, ShardId, SortedVector, Timestamp};
@@ -69,7 +69,7 @@
         out.push(HomeAction::Publish);
     }
 
-    /// Asks voters for what this host holds, and for what it should.
+    /// Requests leases on the shards that this host holds or is preferred for.
     pub(super) fn ask(&mut self, now: Timestamp, world: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
         let candidates = self.holders.candidates(now, world, world.identity.domain);
         let shards: Vec<ShardId> = self.leases.shards().collect();
--- a/crates/cardamomwinch_coordination/src/control/homes/eras.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/eras.rs
@@ -1,26 +1,27 @@
-//! The sets of voters that leases on one shard may rest on.
+//! The sets of voters that leases on one shard may rely on.
 //!
-//! Hosts adopt a new list at different times. Until then somebody may hold the
-//! shard with a majority of the earlier voters, who need not meet a majority of
-//! the new ones. So a host that knows of earlier voters needs their majority
-//! besides; it stops counting on them once a majority of them has granted it the
-//! shard while going by a list that no longer makes them the voters: from then
-//! on they refuse every candidate that still takes them to be. Earlier voters
-//! that the list has dropped are not waited for.
+//! Hosts adopt a new list of hosts at different times. Meanwhile another host may
+//! hold the shard with a majority of the earlier voters, and such a majority may
+//! have no member in common with a majority of the new voters. A host that knows
+//! of earlier voters therefore needs a majority of them as well. It drops a set of
+//! earlier voters once a majority of that set has granted it the shard under a
+//! list that no longer names them as the voters: from then on they refuse every
+//! candidate that goes by an older list. Earlier voters that the current list no
+//! longer contains are ignored.
 
 use cardamomwinch_protocol::peer::homes::EarlierHosts;
 use cardamomwinch_state::prelude::{HostId, HostListVersion, HostTable, ShardId, Timestamp};
 
 use crate::control::homes::ranking::{self, VOTER_COUNT};
 
-/// What a voter has granted to this host.
+/// The grant of one voter to this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldGrant {
     /// The voter.
     pub voter: HostId,
-    /// When this host stops counting on the grant, by its own clock.
+    /// When this host stops relying on the grant, by its own clock.
     pub until: Timestamp,
-    /// The list that the voter goes by.
+    /// The list of hosts that was in force at the voter.
     pub host_list: HostListVersion,
 }
 
@@ -28,12 +29,12 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct EarlierVoters {
     voters: Vec<HostId>,
-    /// Whether all of them are needed, because their witness is not known.
+    /// Whether all of them are needed, because their witness is unknown.
     all: bool,
     replaced_in: HostListVersion,
 }
 
-/// The present and the earlier voters of one shard.
+/// The current and the earlier voters of one shard.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct VoterEras {
     earlier: Vec<EarlierVoters>,
@@ -41,7 +42,8 @@
 }
 
 impl VoterEras {
-    /// Takes a newly adopted list into account.
+    /// Replaces the current voters by those of a newly adopted list, and keeps
+    /// the former ones as earlier voters.
     pub fn adopt_hosts(&mut self, hosts: &HostTable, shard: ShardId) {
         let voters = ranking::voters(hosts, shard);
         if voters != self.present {
@@ -58,9 +60,9 @@
         self.earlier.retain(|era| !era.voters.is_empty());
     }
 
-    /// Takes in what a voter says of earlier hosts of the domain. Of fewer than
-    /// three, each one is needed: a holder may rest on any one of them and on a
-    /// witness that is not known here.
+    /// Adds the earlier hosts of the domain that a voter has reported. If there
+    /// are fewer than three, all of them are needed: a holder may rely on any one
+    /// of them together with a witness that is unknown to this host.
     pub fn learn_earlier(&mut self, earlier: &EarlierHosts, hosts: &HostTable, shard: ShardId) {
         if earlier.replaced_in > hosts.version {
             return;
@@ -84,40 +86,41 @@
         self.earlier.insert(position, era);
     }
 
-    /// Whether only the present voters count.
+    /// Whether only the current voters count.
     pub fn are_settled(&self) -> bool {
         self.earlier.is_empty()
     }
 
-    /// Takes another host's word that voters replaced up to `host_list` do not
-    /// count any more.
+    /// Drops the earlier voters that `host_list` or an older list replaced,
+    /// because another host has reported that they no longer count.
     pub fn settle(&mut self, host_list: HostListVersion) {
         self.earlier.retain(|era| era.replaced_in > host_list);
     }
 
-    /// All voters, present and earlier.
+    /// All voters, earlier and current. A host may occur more than once.
     pub fn voters(&self) -> impl Iterator<Item = HostId> {
         let earlier = self.earlier.iter().flat_map(|era| &era.voters);
         earlier.chain(&self.present).copied()
     }
 
-    /// Until when `grants` are enough to begin to hold: a majority of every
-    /// set of voters, since somebody may hold with any of them.
+    /// Until when `grants` suffice to acquire the lease. This takes a majority of
+    /// every set of voters, since another host may hold the lease with any of
+    /// them.
     pub fn acquirable_until(&self, grants: &[HeldGrant]) -> Timestamp {
         let earlier = self.earlier.iter().map(|era| era.granted_until(grants));
         let ends = earlier.chain([majority_until(&self.present, grants)]);
         ends.min().unwrap_or(Timestamp::ZERO)
     }
 
-    /// Until when `grants` are enough to go on holding without a gap: a
-    /// majority of the oldest voters that count. Nobody can have replaced them
-    /// meanwhile, because that takes their majority.
+    /// Until when `grants` suffice to extend a running lease. This takes a
+    /// majority of the oldest voters that still count. No other host can have
+    /// acquired the lease meanwhile, because that takes their majority too.
     pub fn extendable_until(&self, grants: &[HeldGrant]) -> Timestamp {
         self.granted_until(0, grants)
     }
 
-    /// Until when the earlier voters at `position`, or else the present ones,
-    /// have granted.
+    /// Until when the earlier voters at `position`, or the current ones if there
+    /// are none at `position`, have granted the shard.
     fn granted_until(&self, position: usize, grants: &[HeldGrant]) -> Timestamp {
         match self.earlier.get(position) {
             Some(era) => era.granted_until(grants),
@@ -125,8 +128,9 @@
         }
     }
 
-    /// Drops earlier voters that `grants` show to have moved on, as long as the
-    /// next set of voters has granted the shard as well.
+    /// Drops each oldest set of earlier voters that has granted the shard under
+    /// the list that replaced it, provided that the next set has granted the shard
+    /// as well.
     pub fn settle_by(&mut self, now: Timestamp, grants: &[HeldGrant]) {
         while let Some(oldest) = self.earlier.first() {
             let moved: Vec<HeldGrant> = grants
@@ -153,7 +157,7 @@
     }
 }
 
-/// Until when a majority of `voters` has granted.
+/// Until when a majority of `voters` has granted the shard.
 fn majority_until(voters: &[HostId], grants: &[HeldGrant]) -> Timestamp {
     granted_until(voters, ranking::majority(voters.len()), grants)
 }
--- a/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
@@ -1,5 +1,5 @@
-//! Hand-overs and the graceful stop: which shards leave, to whom, and what
-//! happens once the successor has everything.
+//! Hand-overs and the graceful stop: which shards are handed over to which host,
+//! and how the lease is given up once the successor has received all records.
 
 use std::time;
 
@@ -16,11 +16,12 @@
 use crate::control::homes::outgoing::OutgoingHandOver;
 use crate::control::homes::{HomeAction, HomeTable, HomeWorld, SentRelease, ranking};
 
-/// Releases are repeated at this interval, and for this long.
+/// The interval at which releases are repeated.
 const RELEASE_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// How long releases are repeated.
 const RELEASE_LIMIT: time::Duration = time::Duration::from_millis(350);
 
-/// To whom one release goes, and whom it names.
+/// The receiver of a release, and the successor that the release names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReleaseRoute {
     voter: HostId,
@@ -28,7 +29,7 @@
 }
 
 impl HomeTable {
-    /// Sends on what the traffic thread has given out.
+    /// Sends a chunk that the traffic thread has exported to the successor.
     pub fn take_exported(
         &mut self,
         now: Timestamp,
@@ -38,7 +39,8 @@
         self.outgoing.take_chunk(now, chunk, out);
     }
 
-    /// Notes that the traffic thread has taken a chunk in.
+    /// Records that the traffic thread has imported a chunk. After the last chunk,
+    /// requests the lease.
     pub fn take_imported(
         &mut self,
         now: Timestamp,
@@ -54,9 +56,9 @@
         else {
             return;
         };
-        // A third host could hold the shard, and let its lease run out, only
-        // after a whole lease from the release on; later than that, records may
-        // be missing here.
+        // A third host can acquire the shard and let its lease expire no earlier
+        // than one lease after the release. From then on, records may be missing
+        // here.
         let limits = world.limits;
         let valid_until = commit
             .released
@@ -72,8 +74,9 @@
         self.request(now, world, &[shard], out);
     }
 
-    /// Asks at once again for shards that were handed over to this host: the
-    /// release may reach the voters after the first request.
+    /// Requests shards that were handed over to this host again without waiting
+    /// for the next round: the release may reach the voters after the first
+    /// request.
     pub(super) fn ask_for_inherited(
         &mut self,
         now: Timestamp,
@@ -113,15 +116,16 @@
         }
     }
 
-    /// A host that ranks before this one, has asked for the shard of late, and can begin
-    /// to hold it.
+    /// A host that ranks before this one, has recently requested the shard, and can
+    /// acquire the lease.
     ///
-    /// Guards against a host that has just started and may not begin yet, since others
-    /// may count on voters that it never heard of. Handed the shard at once, it held
-    /// nothing for four seconds, because the requests of the holder, which would have
-    /// told it, ended with the hand-over. It shows as requests that are called unknown
-    /// when a host is added. A claimant that is told nothing begins by itself once every
-    /// host must have adopted the list.
+    /// Guards against a hand-over to a host that has just started and may not acquire
+    /// the lease yet, because other hosts may rely on voters that it does not know. If
+    /// the shard was handed over at once, it had no home for four seconds: the requests
+    /// of the holder, from which the new host would have learned that no earlier voters
+    /// count, ended with the hand-over. Callers saw requests with an unknown outcome
+    /// when a host was added. A claimant that learns nothing acquires the lease by
+    /// itself once every host must have adopted the list.
     pub(super) fn better_claimant(
         &self,
         now: Timestamp,
@@ -139,9 +143,10 @@
         fit.then_some(claim.host)
     }
 
-    /// Gives the lease up, in this order: from here on this host does not act
-    /// on it, the traffic thread forgets the shard, the successor may use what
-    /// it has put by, the voters may grant the shard to it.
+    /// Gives up the lease once the successor has acknowledged all chunks. The order
+    /// matters: this host stops using the lease, the traffic thread forgets the
+    /// shard, the successor may use the chunks that it has buffered, and the voters
+    /// may grant the shard to the successor.
     pub(super) fn commit(
         &mut self,
         now: Timestamp,
@@ -221,8 +226,8 @@
         }
     }
 
-    /// Repeats releases that may have been lost: a voter that missed one keeps
-    /// the successor out for the rest of a lease.
+    /// Repeats releases, because they may have been lost: a voter that did not
+    /// receive one refuses the successor until its grant to this host expires.
     pub(super) fn repeat_releases(
         &mut self,
         now: Timestamp,
@@ -248,8 +253,9 @@
             return;
         };
         if now >= stop_by {
-            // Nobody took the rest. The leases run out by themselves; to end
-            // them early would let a successor begin without the records.
+            // No host took the remaining shards. Their leases expire at the
+            // voters: releasing them earlier would let a successor begin without
+            // the records.
             self.leases.give_up_all();
         }
         let empty = self.leases.held(now).next().is_none() && self.outgoing.is_idle();
--- a/crates/cardamomwinch_coordination/src/control/homes/holders.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/holders.rs
@@ -1,4 +1,4 @@
-//! Whom this host takes to hold the shards that it does not hold itself.
+//! The presumed holders of the shards that this host does not hold itself.
 
 use std::time;
 
@@ -8,7 +8,7 @@
 use crate::control::homes::HomeWorld;
 use crate::control::homes::ranking;
 
-/// A notice from another failure domain counts this long.
+/// How long a notice from another failure domain stays valid.
 const NOTICE_COUNTS_FOR: time::Duration = time::Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
@@ -24,9 +24,9 @@
     best: Vec<Option<HostId>>,
 }
 
-/// Holders learnt from messages, and those to be expected where none is known.
-/// Either may be wrong for a while: a host that is relayed a datagram and does
-/// not hold the shard relays it on.
+/// Holders learned from messages, and the expected holders of all other shards.
+/// Both may be wrong for a while: a host that receives a relayed datagram and
+/// does not hold the shard relays it further.
 #[derive(Debug, Default)]
 pub struct HolderTable {
     learnt: SortedVector<ShardId, LearntHolder>,
@@ -35,7 +35,7 @@
 }
 
 impl HolderTable {
-    /// Notes that `host` says to hold shards of its failure domain.
+    /// Records the shards of its failure domain that `host` reports to hold.
     pub fn learn(
         &mut self,
         host: HostId,
@@ -51,8 +51,9 @@
         }
     }
 
-    /// Takes a notice of a host in another failure domain; `false` where it does
-    /// not count.
+    /// Handles a notice from a host of another failure domain. Returns `false` if
+    /// the notice is invalid: `sender` is not listed in the domain of the notice,
+    /// or the number of shards differs.
     pub fn take_notice(
         &mut self,
         now: Timestamp,
@@ -75,7 +76,7 @@
         true
     }
 
-    /// Notes whether `host` says that it stops; counts until `until`.
+    /// Records whether `host` reports that it is stopping, valid until `until`.
     pub fn note_stopping(&mut self, host: HostId, stopping: bool, until: Timestamp) {
         match stopping {
             true => drop(self.stopping.insert(host, until)),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Hosts of `domain` that may be given shards now, as this host sees it.
+    /// Hosts of `domain` that may currently receive shards, as this host sees it.
     pub fn candidates(
         &self,
         now: Timestamp,
@@ -106,7 +107,8 @@
         !stopping && world.membership.is_reachable(now, host)
     }
 
-    /// The holder of `shard` that this host has learnt of, where that is recent.
+    /// The holder of `shard` that this host has recently learned of, if it is
+    /// reachable.
     pub fn learnt(&self, now: Timestamp, world: &HomeWorld<'_>, shard: ShardId) -> Option<HostId> {
         let learnt = self.learnt.get(&shard)?;
         let own = world.identity.host;
@@ -116,8 +118,8 @@
         counts.then_some(learnt.host)
     }
 
-    /// The holders to be expected of all shards of `domain`. Worked out anew only
-    /// where the hosts to choose from have changed.
+    /// The expected holder of each shard of `domain`, by the position of the shard.
+    /// Recomputed only if the candidates or the number of shards have changed.
     pub fn forecast(
         &mut self,
         now: Timestamp,
@@ -126,8 +128,8 @@
     ) -> &[Option<HostId>] {
         let mut candidates = self.candidates(now, world, domain);
         if candidates.is_empty() {
-            // Nobody there is known to answer. Another domain's hosts may be
-            // out of this host's sight and yet serve.
+            // No host of the domain is known to be reachable. Hosts of another
+            // domain may serve even if this host cannot reach them.
             let hosts = world.hosts.in_domain(domain);
             let live = hosts.filter(|entry| ranking::may_hold(entry, domain));
             candidates = live.map(|entry| entry.id).collect();
--- a/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
@@ -1,9 +1,9 @@
 //! Shards that another host hands over to this one.
 //!
-//! Chunks are put by, and given to the traffic thread only after the holder has
-//! given up its lease. Were they used before and the hand-over broken off, what
-//! they say would grow old while the holder goes on: a request that they call
-//! waiting might run there and here.
+//! Chunks are buffered, and imported by the traffic thread only after the holder
+//! has given up its lease. If they were imported earlier and the hand-over was
+//! then aborted, they would become outdated while the holder continues: a request
+//! that they list as waiting might run on both hosts.
 
 use std::time;
 
@@ -16,9 +16,9 @@
 use crate::control::event::TakeOverReport;
 use crate::control::homes::HomeAction;
 
-/// Chunks that nobody committed are dropped after this time.
+/// A hand-over that is not committed and imported within this time is dropped.
 const PUT_BY_FOR: time::Duration = time::Duration::from_secs(2);
-/// Chunks put by at the same time, of all hand-overs.
+/// The most chunks buffered at the same time, of all hand-overs together.
 const CHUNKS_AT_ONCE: usize = 512;
 
 #[derive(Debug)]
@@ -33,12 +33,12 @@
     records_since: Timestamp,
 }
 
-/// A hand-over that the traffic thread has taken in.
+/// A hand-over that the traffic thread has imported completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ImportedHandOver {
-    /// The word of the former holder.
+    /// The commit of the former holder.
     pub commit: HandOverCommit,
-    /// From when on the records are whole.
+    /// The records are complete from this time on.
     pub records_since: Timestamp,
 }
 
@@ -50,13 +50,13 @@
 }
 
 impl IncomingTable {
-    /// Whether `shard` is being handed over to this host, so that it is not to
-    /// ask for it yet.
+    /// Whether `shard` is being handed over to this host, which must not request
+    /// its lease yet.
     pub fn awaits(&self, shard: ShardId) -> bool {
         self.shards.contains_key(&shard)
     }
 
-    /// Puts a chunk by and acknowledges it; `round` is the last of this host.
+    /// Buffers a chunk and acknowledges it; `round` is this host's last round.
     pub fn take_chunk(
         &mut self,
         now: Timestamp,
@@ -101,8 +101,8 @@
         });
     }
 
-    /// Takes the word that the lease is given up: confirms it and gives the
-    /// chunks to the traffic thread.
+    /// Handles the commit of a hand-over: confirms it, and passes the chunks to the
+    /// traffic thread if all of them are here.
     pub fn take_commit(
         &mut self,
         sender: HostId,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Notes that the traffic thread has taken a chunk in. Returns the hand-over
-    /// where it was the last one.
+    /// Records that the traffic thread has imported a chunk. Returns the hand-over
+    /// if it was the last chunk.
     pub fn note_imported(&mut self, report: TakeOverReport) -> Option<ImportedHandOver> {
         let id = report.hand_over;
         let known = self.shards.get_mut(&id.shard)?;
@@ -154,13 +154,13 @@
         })
     }
 
-    /// Drops what was not committed or not taken in for too long.
+    /// Drops hand-overs that were not committed and imported in time.
     pub fn advance(&mut self, now: Timestamp) {
         self.shards
             .retain(|_, known| now.since(known.since) < PUT_BY_FOR);
     }
 
-    /// Drops everything.
+    /// Drops all incoming hand-overs.
     pub fn break_off(&mut self) {
         self.shards.clear();
     }
--- a/crates/cardamomwinch_coordination/src/control/homes/leases.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/leases.rs
@@ -1,4 +1,4 @@
-//! What this host asks for, and holds, as a candidate.
+//! The leases that this host requests and holds as a candidate.
 
 use std::time;
 
@@ -13,14 +13,14 @@
 use crate::control::homes::eras::{HeldGrant, VoterEras};
 use crate::snapshot::HomeLease;
 
-/// Requests that may still be answered.
+/// Request rounds whose answers still count.
 const OPEN_ROUNDS: usize = 8;
 
-/// What this host knows as a candidate about one shard of its failure domain.
+/// The state of this host as a candidate for one shard of its failure domain.
 #[derive(Debug, Default)]
 struct CandidateShard {
     eras: VoterEras,
-    /// Whether earlier voters may exist that this life never heard of.
+    /// Whether earlier voters may exist that this incarnation does not know.
     unsure: bool,
     grants: Vec<HeldGrant>,
     /// Answers to requests up to this round are ignored.
@@ -29,14 +29,14 @@
     inherited: Option<InheritedRecords>,
 }
 
-/// What a hand-over left to this host, until it holds the lease.
+/// Records from a hand-over to this host, kept until it holds the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InheritedRecords {
     /// The hand-over.
     pub hand_over: HandOverId,
-    /// From when on the records handed over are whole.
+    /// The records are complete from this time on.
     pub records_since: Timestamp,
-    /// Another host may have held the shard in between from this point on.
+    /// From this time on another host may have held the shard in between.
     pub valid_until: Timestamp,
 }
 
@@ -57,13 +57,13 @@
 }
 
 impl LeaseTable {
-    /// From this point on the host goes by the list that it has, though it may
-    /// have been told of no earlier voters.
+    /// Until `sure_from` this host acquires no lease on a shard whose earlier
+    /// voters it may not know. After that it relies on its own list.
     pub fn be_unsure_until(&mut self, sure_from: Timestamp) {
         self.sure_from = sure_from;
     }
 
-    /// Takes a newly adopted list, or a new number of shards, into account.
+    /// Applies a newly adopted list of hosts, or a new number of shards.
     pub fn adopt_hosts(&mut self, world: &HomeWorld<'_>) {
         let first = self.first_list == HostListVersion::ZERO;
         if first {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// This host's lease on `shard`, where it holds at `now`.
+    /// This host's lease on `shard`, if it holds one at `now`.
     pub fn lease(&self, now: Timestamp, shard: ShardId) -> Option<HomeLease> {
         let lease = self.shards.get(&shard)?.lease?;
         (now < lease.held_until).then_some(lease)
@@ -95,12 +95,12 @@
             .map(|(shard, _)| *shard)
     }
 
-    /// All shards of the own failure domain.
+    /// All shards of this host's failure domain.
     pub fn shards(&self) -> impl Iterator<Item = ShardId> {
         self.shards.keys().copied()
     }
 
-    /// The voters to ask about `shard`.
+    /// The voters to ask for `shard`, earlier and current, sorted by id.
     pub fn voters(&self, shard: ShardId) -> Vec<HostId> {
         let state = self.shards.get(&shard);
         let mut voters: Vec<HostId> =
@@ -110,7 +110,7 @@
         voters
     }
 
-    /// Opens a round whose grants count from `now`.
+    /// Opens a request round whose grants run from `now`.
     pub fn open_round(&mut self, now: Timestamp, limits: &ConfigurationLimits) -> LeaseRound {
         let round = self.next_round();
         let counts_until = now.after(limits.home_lease).before(limits.clock_skew);
@@ -162,7 +162,8 @@
         state.is_some_and(|state| state.eras.are_settled() && !state.unsure)
     }
 
-    /// Takes another host's word about voters of earlier lists.
+    /// Drops earlier voters that the request of another host reports as no longer
+    /// relevant.
     pub fn learn_settled(&mut self, request: &LeaseRequest) {
         let first = self.first_list;
         for (shard, state) in self.shards.iter_mut() {
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Counts the grants of `voter`. Returns the shards that this host has
-    /// begun to hold.
+    /// Records the grants of `voter`. Returns the shards that this host begins to
+    /// hold.
     pub fn take_grant(
         &mut self,
         now: Timestamp,
@@ -214,7 +215,7 @@
         begun
     }
 
-    /// Forgets what a hand-over left that began before `newer`.
+    /// Forgets the records of a hand-over that began before `newer`.
     pub fn forget_inherited_before(&mut self, newer: HandOverId) {
         if let Some(state) = self.shards.get_mut(&newer.shard) {
             let inherited = state.inherited;
@@ -222,14 +223,15 @@
         }
     }
 
-    /// Takes over what a hand-over left.
+    /// Keeps the records of a hand-over until this host holds the lease.
     pub fn inherit(&mut self, shard: ShardId, inherited: InheritedRecords) {
         if let Some(state) = self.shards.get_mut(&shard) {
             state.inherited = Some(inherited);
         }
     }
 
-    /// Shards that were handed over to this host and that it does not hold yet.
+    /// Shards that were handed over to this host and whose lease it does not hold
+    /// yet.
     pub fn inherited(&self, now: Timestamp) -> impl Iterator<Item = ShardId> {
         let shards = self.shards.iter();
         shards
@@ -240,8 +242,8 @@
             .map(|(shard, _)| *shard)
     }
 
-    /// Gives up the lease on `shard`. Grants that are still on their way do not
-    /// bring it back: voters may have granted it to another host by then.
+    /// Gives up the lease on `shard`. Grants that arrive later for rounds up to now
+    /// are ignored: voters may have granted the shard to another host by then.
     pub fn give_up(&mut self, shard: ShardId) {
         let last_round = self.last_round;
         if let Some(state) = self.shards.get_mut(&shard) {
@@ -290,7 +292,7 @@
         }
     }
 
-    /// Extends the lease, or begins one; `true` where one has begun.
+    /// Extends the lease, or acquires it. Returns `true` if it was acquired.
     fn renew(&mut self, now: Timestamp, skew: time::Duration, may_begin: bool) -> bool {
         let running = self.lease.filter(|lease| now < lease.held_until);
         let lease = match running {
@@ -319,8 +321,9 @@
         begun
     }
 
-    /// Without a hand-over, an earlier home may have taken requests until
-    /// just now, as callers with a fast clock see it.
+    /// The time since which the records are complete. Without a hand-over this is
+    /// `now` plus the clock skew: an earlier home may have accepted requests until
+    /// just now, by the clock of callers that run ahead.
     fn records_since(&self, now: Timestamp, skew: time::Duration) -> Timestamp {
         let inherited = self.inherited.filter(|records| now < records.valid_until);
         inherited.map_or(now.after(skew), |records| records.records_since)
--- a/crates/cardamomwinch_coordination/src/control/homes/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/mod.rs
@@ -1,6 +1,7 @@
-//! Which host is home of which shard: leases granted by a majority of a few
-//! voters per shard, renewed in batches, and handed over on planned changes.
-//! `docs/design/home-leases.md` weighs this against other ways.
+//! Decides which host is the home of each shard. The home holds a lease that a
+//! majority of a few voters per shard has granted. Leases are renewed in
+//! batches, and handed over on planned changes.
+//! `docs/design/home-leases.md` compares this design with alternatives.
 
 pub(crate) mod asking;
 pub mod eras;
@@ -31,21 +32,22 @@
 use crate::identity::HostIdentity;
 use crate::snapshot::{ServingPhase, ShardView};
 
-/// A lease is renewed this often while it runs.
+/// Renewal rounds within the duration of a lease.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// A host that stops is drained after this time at the latest.
+/// A stopping host gives up the shards that it still holds after this time.
 pub const STOP_LIMIT: time::Duration = time::Duration::from_secs(10);
-/// A list is in force everywhere within this time. A cold host is unsure of
-/// earlier voters until then and for one lease more, which a holder that has
-/// lagged behind may still have left.
+/// Every host has adopted a new list of hosts within this time. A host that has
+/// just started waits for this time plus one lease before it relies on its own
+/// list alone: a holder that adopted the list late may still hold a lease from
+/// earlier voters until then.
 const ADOPTION_BOUND: time::Duration = time::Duration::from_secs(3);
 
-/// What the rest of control knows and homes are decided by.
+/// The state of the control engine that decisions about homes depend on.
 #[derive(Debug, Clone, Copy)]
 pub struct HomeWorld<'w> {
-    /// Who this host is.
+    /// The identity of this host.
     pub identity: HostIdentity,
-    /// Whether it serves.
+    /// Whether this host is starting, serving or stopping.
     pub phase: ServingPhase,
     /// Whether a configuration is in force.
     pub adopted: bool,
@@ -53,7 +55,7 @@
     pub limits: &'w ConfigurationLimits,
     /// The list of hosts in force.
     pub hosts: &'w HostTable,
-    /// Who is reachable.
+    /// Which hosts are reachable.
     pub membership: &'w PeerMembership,
 }
 
@@ -66,7 +68,7 @@
         self.phase == ServingPhase::Serving
     }
 
-    /// Whether this host may be given shards by the list in force.
+    /// Whether the list in force allows this host to hold shards.
     fn may_hold(&self) -> bool {
         let own = self.hosts.get(self.identity.host);
         own.is_some_and(|own| ranking::may_hold(own, self.identity.domain))
@@ -80,70 +82,73 @@
     }
 }
 
-/// Something to be done about homes.
+/// An action that the home table requests from the control engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HomeAction {
     /// Send a message to another host.
     Send {
-        /// The host.
+        /// The receiver.
         host: HostId,
         /// The message.
         message: HomeMessage,
     },
-    /// The traffic thread of the shard is to freeze it and give out what it knows.
+    /// Make the traffic thread of the shard freeze it and export its records.
     ReleaseShard {
         /// The hand-over.
         hand_over: HandOverId,
-        /// When the shard thaws, unless it is to be forgotten before.
+        /// When the shard thaws by itself, unless it is forgotten before.
         frozen_until: Timestamp,
     },
-    /// The hand-over is broken off; the traffic thread of the shard is to go on.
+    /// Make the traffic thread of the shard serve it again, because the
+    /// hand-over was aborted.
     ThawShard {
         /// The shard.
         shard: ShardId,
     },
-    /// The shard is handed over; the traffic thread is to forget it.
+    /// Make the traffic thread forget the shard, which was handed over.
     ForgetShard {
         /// The shard.
         shard: ShardId,
     },
-    /// The traffic thread of the shard is to take the chunk in.
+    /// Make the traffic thread of the shard import a chunk.
     TakeOver {
-        /// What to take in.
+        /// The chunk.
         chunk: HandOverChunk,
     },
-    /// The home of a shard changed, to or from this host.
+    /// Report that the home of a shard changed, to or from this host.
     HomeChanged {
         /// The shard.
         shard: ShardId,
-        /// Its home from now on.
+        /// The new home.
         home: HostId,
     },
-    /// The homes changed, so that a new snapshot is due.
+    /// Publish a new snapshot, because the homes changed.
     Publish,
-    /// This host stops and holds nothing any more.
+    /// Report that this host is stopping and no longer holds a shard.
     Drained,
 }
 
+/// A request of another host of the domain for a shard that it does not hold.
 #[derive(Debug, Clone, Copy)]
 struct ShardClaim {
     host: HostId,
-    /// When the host asked last.
+    /// When the last request arrived.
     heard: Timestamp,
-    /// When it first asked, without another one asking since.
+    /// When the first request arrived after the last one of another host.
     since: Timestamp,
-    /// Whether it knows that nobody counts on earlier voters.
+    /// Whether the host knows that no lease relies on earlier voters.
     settled: bool,
 }
 
-/// A lease that this host has given up.
+/// A lease that this host has given up to a successor.
 #[derive(Debug, Clone, Copy)]
 struct SentRelease {
     released: Timestamp,
     successor: LeaseSuccessor,
 }
 
-/// The homes of all shards as this host sees them, and its part in choosing them.
+/// The homes of all shards as this host sees them, with its own leases and the
+/// grants that it has made as a voter.
 #[derive(Debug, Default)]
 pub struct HomeTable {
     views: SortedVector<ShardId, ShardView>,
@@ -167,31 +172,33 @@
 }
 
 impl HomeTable {
-    /// The homes by shard.
+    /// The home of each shard, as of the last [`HomeTable::refresh`].
     pub fn shards(&self) -> &SortedVector<ShardId, ShardView> {
         &self.views
     }
 
-    /// What this host has promised as a voter.
+    /// The grants that this host has made as a voter.
     pub fn voters(&self) -> &VoterTable {
         &self.voters
     }
 
-    /// What this host holds.
+    /// The leases of this host.
     pub fn leases(&self) -> &LeaseTable {
         &self.leases
     }
 
-    /// Whether this host has stopped and holds nothing any more.
+    /// Whether this host is stopping and no longer holds a shard.
     pub fn is_drained(&self) -> bool {
         self.drained
     }
 
-    /// To be called before each event is decided. Guards against a control
-    /// thread that slept: what it held may be held by another host by now, and
-    /// what it promised may be forgotten by whom it promised it. It shows as a
-    /// gap between two events that is longer than a lease; then every lease is
-    /// given up and nothing is granted for as long again.
+    /// Must be called before each event is handled.
+    ///
+    /// Guards against a control thread that was paused: another host may hold
+    /// its leases by now, and hosts that it granted leases to may have forgotten
+    /// them. A pause shows as a gap between two events that is longer than a
+    /// lease. The host then gives up every lease and grants nothing for the
+    /// duration of a lease.
     pub fn note_event(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
         let lease = world.limits.home_lease;
         let slept = self.started.is_some() && now.since(self.last_event) > lease;
@@ -231,7 +238,7 @@
         self.next_round = now;
     }
 
-    /// Begins to hand everything over.
+    /// Begins to hand over all shards, because this host stops.
     pub fn stop(&mut self, now: Timestamp) {
         if self.stop_by.is_none() {
             self.stop_by = Some(now.after(STOP_LIMIT));
@@ -239,7 +246,8 @@
         }
     }
 
-    /// Does what is due at `now`.
+    /// Renews leases, repeats messages, and begins, aborts or finishes hand-overs
+    /// that are due at `now`.
     pub fn advance(&mut self, now: Timestamp, world: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
         if self.shard_count > 0 {
             self.outgoing.advance(now, out);
@@ -257,7 +265,7 @@
         self.finish_stop(now, world, out);
     }
 
-    /// Takes a message of another host.
+    /// Handles a message from another host.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -282,11 +290,11 @@
             HomeMessage::HandOver(chunk) => {
                 let own = chunk.hand_over.shard.domain == world.identity.domain;
                 if own && world.is_serving() && world.may_hold() {
-                    // The sender has been home since, so that what an earlier
-                    // hand-over left is not all that is known any more.
+                    // The sender was the home after any earlier hand-over, so
+                    // the records of that hand-over are no longer complete.
                     self.leases.forget_inherited_before(chunk.hand_over);
-                    // No release of this host is sent after the round that it
-                    // names to the holder.
+                    // The receipt names the last round of this host to the
+                    // holder. No release may be sent in a later round.
                     self.releases.remove(&chunk.hand_over.shard);
                     let round = self.leases.last_round();
                     self.incoming
@@ -305,7 +313,7 @@
 }
 
 impl CandidateLife {
-    /// The life of `host` that bears `incarnation`.
+    /// Returns `incarnation` of `host`.
     pub const fn new(host: HostId, incarnation: Incarnation) -> Self {
         Self { host, incarnation }
     }
--- a/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
@@ -1,10 +1,10 @@
 //! Shards that this host hands over to a better-ranked host, or because it
 //! stops.
 //!
-//! The traffic thread freezes the shard and gives out what it knows; the
-//! successor acknowledges each chunk; then the lease is given up and the
-//! successor told so. Until that point the hand-over can be broken off without
-//! harm: the successor has only put the chunks by.
+//! The traffic thread freezes the shard and exports its records. The successor
+//! acknowledges each chunk. Then this host gives up the lease and sends the
+//! successor a commit. Before the commit the hand-over can be aborted without
+//! harm, because the successor has only buffered the chunks.
 
 use std::time;
 
@@ -17,15 +17,16 @@
 use crate::control::homes::HomeAction;
 use crate::control::homes::voters::CandidateLife;
 
-/// A hand-over that has not got so far in this time is broken off.
+/// A hand-over whose chunks are not all acknowledged within this time is aborted.
 pub const HAND_OVER_LIMIT: time::Duration = time::Duration::from_millis(500);
-/// What was not acknowledged is sent again after this time.
+/// Chunks and commits that were not acknowledged are sent again after this time.
 const RESEND_AFTER: time::Duration = time::Duration::from_millis(100);
-/// A successor that did not acknowledge is left alone for this long.
+/// A host that did not acknowledge a hand-over is not chosen as successor for
+/// this long.
 const AVOID_FOR: time::Duration = time::Duration::from_secs(1);
-/// The word that the lease is given up is repeated for this long.
+/// An unconfirmed commit is repeated for this long.
 const COMMIT_LIMIT: time::Duration = time::Duration::from_secs(2);
-/// Hand-overs at the same time.
+/// The most outgoing hand-overs at the same time.
 pub const HAND_OVERS_AT_ONCE: usize = 8;
 
 #[derive(Debug)]
@@ -38,11 +39,11 @@
 /// A hand-over that is under way.
 #[derive(Debug)]
 pub struct OutgoingHandOver {
-    /// Its name.
+    /// Identifies the hand-over.
     pub id: HandOverId,
     /// The successor.
     pub successor: HostId,
-    /// The life of the successor that acknowledges, and its round.
+    /// The incarnation of the successor that acknowledges, and its last round.
     life: Option<LeaseSuccessor>,
     chunks: SortedVector<u16, OutgoingChunk>,
     total: Option<u16>,
@@ -54,10 +55,12 @@
         whole && self.chunks.values().all(|chunk| chunk.received)
     }
 
-    /// Whether `sender` is the successor, in the life that has acknowledged
-    /// before. Guards against a successor that restarts half-way: it has
-    /// forgotten the chunks of its earlier life, so that the hand-over would
-    /// seem whole and is not. It is broken off instead.
+    /// Records the round of a receipt. Returns `false` if `sender` is not the
+    /// successor, or not the incarnation of it that acknowledged before.
+    ///
+    /// Guards against a successor that restarts during the hand-over: it has lost
+    /// the chunks of its earlier incarnation, so the hand-over would seem complete
+    /// although it is not. It times out instead.
     fn note_life(&mut self, sender: CandidateLife, receipt: ChunkReceipt) -> bool {
         let incarnation = sender.incarnation;
         let known = self.life.unwrap_or(LeaseSuccessor {
@@ -73,7 +76,7 @@
         true
     }
 
-    /// The life of the successor that has acknowledged, if any has.
+    /// The incarnation of the successor that has acknowledged, if any.
     pub fn acknowledged_by(&self) -> Option<LeaseSuccessor> {
         self.life
     }
@@ -99,25 +102,27 @@
 }
 
 impl OutgoingTable {
-    /// Whether nothing is under way and every successor has confirmed.
+    /// Whether no hand-over is running and every commit was confirmed.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.commits.is_empty()
     }
 
-    /// Whether one more hand-over, of `shard`, may begin.
+    /// Whether a hand-over of `shard` may begin.
     pub fn may_begin(&self, shard: ShardId) -> bool {
         self.running.len() < HAND_OVERS_AT_ONCE && !self.running.contains_key(&shard)
     }
 
-    /// Whether `host` failed to acknowledge just now.
+    /// Whether `host` recently failed to acknowledge a hand-over.
     pub fn is_avoided(&self, now: Timestamp, host: HostId) -> bool {
         self.avoided.get(&host).is_some_and(|until| now < *until)
     }
 
-    /// Begins to hand `shard` over. Guards against a control thread that is held
-    /// up just before it gives up the lease, while the traffic thread goes on:
-    /// the shard stays frozen, unless control thaws it, until every lease that
-    /// was published before that point has run out.
+    /// Begins to hand over `shard`.
+    ///
+    /// Guards against a control thread that is delayed just before it gives up the
+    /// lease while the traffic thread continues: unless the control thread thaws
+    /// the shard, it stays frozen until every lease published before that point
+    /// has expired.
     pub fn begin(
         &mut self,
         now: Timestamp,
@@ -141,7 +146,7 @@
         });
     }
 
-    /// Sends on what the traffic thread has given out.
+    /// Sends a chunk that the traffic thread has exported to the successor.
     pub fn take_chunk(&mut self, now: Timestamp, chunk: HandOverChunk, out: &mut Vec<HomeAction>) {
         let running = self.running.get_mut(&chunk.hand_over.shard);
         let Some(hand_over) = running.filter(|running| running.id == chunk.hand_over) else {
@@ -162,8 +167,8 @@
         hand_over.chunks.insert(position, outgoing);
     }
 
-    /// Takes an acknowledgement. Returns the hand-over where that was the last
-    /// one and there still is time to commit.
+    /// Handles an acknowledgement. Returns the hand-over if this was the last
+    /// missing one and the hand-over has not timed out.
     pub fn take_receipt(
         &mut self,
         now: Timestamp,
@@ -180,7 +185,7 @@
         ready.then(|| self.running.remove(&shard)).flatten()
     }
 
-    /// Tells the successor that the lease is given up, and again until it confirms.
+    /// Sends the successor the commit, and repeats it until the successor confirms.
     pub fn commit(
         &mut self,
         now: Timestamp,
@@ -200,14 +205,14 @@
         });
     }
 
-    /// Takes a successor's confirmation.
+    /// Handles the confirmation of a commit.
     pub fn confirm(&mut self, sender: HostId, id: HandOverId) {
         self.commits.retain(|shard, sent| {
             *shard != id.shard || sent.successor != sender || sent.commit.hand_over != id
         });
     }
 
-    /// Sends again what was not acknowledged, and breaks off what is overdue.
+    /// Resends unacknowledged chunks and commits, and aborts overdue hand-overs.
     pub fn advance(&mut self, now: Timestamp, out: &mut Vec<HomeAction>) {
         let avoided = &mut self.avoided;
         avoided.retain(|_, until| now < *until);
@@ -245,7 +250,7 @@
         }
     }
 
-    /// Breaks everything off.
+    /// Aborts all running hand-overs.
     pub fn break_off(&mut self) {
         self.running.clear();
     }
--- a/crates/cardamomwinch_coordination/src/control/homes/views.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/views.rs
@@ -1,4 +1,5 @@
-//! The homes as this host sees them, and what it tells others of its own.
+//! The homes as this host sees them, and the notices about its own shards that
+//! it sends to other failure domains.
 
 use std::time;
 
@@ -8,7 +9,8 @@
 use crate::control::homes::{HomeAction, HomeTable, HomeWorld};
 use crate::snapshot::ShardView;
 
-/// How often a host tells one host of another domain what it holds.
+/// The interval at which a host sends the list of its shards to one host of
+/// another domain.
 const NOTICE_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
 impl HomeTable {
@@ -47,11 +49,13 @@
         }
     }
 
-    /// Tells every host of another domain that answers that this host is home of
-    /// nothing any more. Guards against datagrams that are relayed to a host
-    /// that is gone, until its heartbeats are missed: answers of servers among
-    /// them, which nobody sends again. Sent once; where it is lost, that is how
-    /// long it takes.
+    /// Notifies every reachable host of another domain that this host is no
+    /// longer the home of any shard.
+    ///
+    /// Guards against datagrams that are relayed to a stopped host until its
+    /// heartbeats are missed. Some of them are answers of backend servers, which
+    /// are not sent again. The notice is sent once; a host that does not receive
+    /// it relays to this host until the heartbeats are missed.
     pub(super) fn announce_stop(
         &self,
         now: Timestamp,
@@ -71,7 +75,7 @@
         }));
     }
 
-    /// Works out the homes anew, for a snapshot.
+    /// Recomputes the homes for a snapshot.
     pub fn refresh(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
         let mut views = SortedVector::new();
         for domain in domains(world.hosts) {
--- a/crates/cardamomwinch_coordination/src/control/homes/voters.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/voters.rs
@@ -1,25 +1,28 @@
-//! What this host promises as a voter.
+//! The grants that this host makes as a voter.
 //!
-//! A grant is a promise to grant the shard to nobody else before it has run
-//! out. All that a voter must not do follows from keeping it:
+//! A grant is a promise to grant the shard to no other host before the grant
+//! expires. The restrictions on a voter follow from this promise:
 //!
-//! - A host without a disk forgets its promises when it restarts. It therefore
-//!   grants nothing before the longest promise of its earlier life has run out.
-//! - A process that was paused cannot know what it missed; it grants nothing
-//!   for as long after it wakes.
-//! - A candidate that goes by a list of hosts from before the voters of its
-//!   domain changed gets nothing new, because the majority that it counts may
-//!   not be one any more. A holder is renewed meanwhile: its running grant keeps
-//!   everybody else out anyway.
-//! - A candidate that has just started never heard of earlier voters, who may
-//!   still be counted on by a holder that lags behind; it is told of them.
-//! - A release passes the promise on to the successor that it names, and to
-//!   nobody else: any other host may still trust what an earlier hand-over left
-//!   to it, and would run again what was run since. That trust ends a lease
-//!   after that hand-over, and a grant blocks everybody else for as long.
-//! - Messages of one host may overtake each other. A release that was held up
-//!   passes on no grant that its sender asked for, or was named for, later.
-//!   Requests may come in any order: a grant only adds a promise.
+//! - Grants are not stored on disk, so a host forgets them when it restarts. It
+//!   therefore grants nothing until the longest grant of its previous incarnation
+//!   has expired.
+//! - A process that was paused does not know what it missed. It grants nothing
+//!   for the same time after it resumes.
+//! - A candidate whose list of hosts is older than the last change of the voters
+//!   of its domain gets no new grant, because the majority that it counts may no
+//!   longer be one. A holder is still renewed: its running grant excludes all
+//!   other hosts anyway.
+//! - A candidate that has just started does not know of earlier voters, on whom a
+//!   holder with an older list may still rely. The voter sends them to it.
+//! - A release passes the grant on to the successor that it names, and to no
+//!   other host. Any other host may still trust records that it inherited from an
+//!   earlier hand-over, and would run again the requests that were run since.
+//!   That trust ends one lease after that hand-over, and a grant excludes all
+//!   other hosts for the same time.
+//! - Messages of one host may overtake each other. A delayed release does not
+//!   pass on a grant that its sender requested, or was named for, after it sent
+//!   the release. Requests may arrive in any order, because a grant only adds a
+//!   promise.
 
 use std::time;
 
@@ -33,44 +36,45 @@
 use crate::control::homes::HomeWorld;
 use crate::control::homes::ranking::{self, VOTER_COUNT};
 
-/// No grant runs longer than this, whatever the request says.
+/// The longest duration of a grant, whatever the request asks for.
 const LONGEST_GRANT: time::Duration = time::Duration::from_secs(60);
 
-/// One life of one host.
+/// One incarnation of a host: the time from one start of its process to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CandidateLife {
     /// The host.
     pub host: HostId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A promise about one shard.
+/// The grant of one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterGrant {
-    /// To whom it was given.
+    /// The host that it was granted to.
     pub holder: CandidateLife,
-    /// When it runs out, by this host's clock.
+    /// When it expires, by this host's clock.
     pub until: Timestamp,
-    /// The latest request of the holder about the shard; releases up to this
-    /// round are of earlier grants.
+    /// The latest round in which the holder requested the shard. Releases up to
+    /// this round concern earlier grants.
     pub round: LeaseRound,
-    /// Whether the holder was named by the one before and has not been granted
-    /// the shard yet. It is judged like any new holder then.
+    /// Whether the previous holder has named this one as its successor and the
+    /// shard has not been granted to it yet. Its first request is then checked
+    /// like that of any new holder.
     pub is_named: bool,
 }
 
 #[derive(Debug)]
 struct DomainHosts {
-    /// The hosts that voters are taken from.
+    /// The hosts from which the voters are chosen.
     pool: Vec<HostId>,
-    /// Those of the domain itself.
+    /// The hosts of the domain itself.
     own: Vec<HostId>,
     changed: HostListVersion,
     earlier: Vec<EarlierHosts>,
 }
 
-/// Earlier lists of a domain's hosts that are remembered.
+/// Earlier lists of hosts that are kept for each domain.
 const EARLIER_LIMIT: usize = 8;
 
 impl DomainHosts {
@@ -95,7 +99,7 @@
     }
 }
 
-/// The promises of this host.
+/// The grants of this host as a voter.
 #[derive(Debug, Default)]
 pub struct VoterTable {
     grants: SortedVector<ShardId, VoterGrant>,
@@ -105,18 +109,19 @@
 }
 
 impl VoterTable {
-    /// The promises that were made, run out or not.
+    /// The grants by shard, expired ones included.
     pub fn grants(&self) -> &SortedVector<ShardId, VoterGrant> {
         &self.grants
     }
 
-    /// Grants nothing before `until`.
+    /// Withholds all grants until `until`.
     pub fn stay_silent(&mut self, until: Timestamp) {
         self.silent_until = self.silent_until.max(until);
     }
 
-    /// Notes in which failure domains a newly adopted list changes the voters.
-    /// A domain too small to fill its voters changes with any other.
+    /// Records in which failure domains a newly adopted list changes the voters.
+    /// In a domain with fewer hosts than voters, they change with any host of any
+    /// domain.
     pub fn adopt_hosts(&mut self, hosts: &HostTable) {
         let mut named: Vec<DomainId> = hosts.hosts.values().map(|host| host.domain).collect();
         named.extend(self.domains.keys());
@@ -139,8 +144,8 @@
         }
     }
 
-    /// Decides about a request of `candidate`. `None` where it is not worth an
-    /// answer: from an earlier life, or of a host that is not listed.
+    /// Decides a request of `candidate`. Returns `None` if the request is ignored:
+    /// it comes from an earlier incarnation, or from a host that is not listed.
     pub fn decide(
         &mut self,
         now: Timestamp,
@@ -195,8 +200,8 @@
         Some(grant)
     }
 
-    /// Passes grants that their holder gives up on to the successor that it
-    /// names, for the time that they still run.
+    /// Passes the grants that `candidate` gives up to the successor that it names.
+    /// Their expiry does not change.
     pub fn release(
         &mut self,
         world: &HomeWorld<'_>,
@@ -224,8 +229,8 @@
         }
     }
 
-    /// Guards against the earlier life of a host that has restarted: its
-    /// messages may still be on their way.
+    /// Whether `candidate` is the latest known incarnation of its host. Messages
+    /// of an earlier incarnation may arrive after a restart.
     fn is_latest_life(&mut self, candidate: CandidateLife) -> bool {
         let incarnation = candidate.incarnation;
         let known = self
--- a/crates/cardamomwinch_coordination/tests/homes_common/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_common/mod.rs
@@ -1,5 +1,5 @@
-//! Several hosts side by side with a small message exchange between them that
-//! loses, doubles, delays and cuts, all by one seed.
+//! Several hosts in one process, with a simulated network between them that
+//! loses, duplicates, delays and cuts off messages. One seed determines all of it.
 #![allow(dead_code, unreachable_pub, clippy::unwrap_used, missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,14 +12,14 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// When every simulation begins, in microseconds.
+/// The time at which every simulation begins, in microseconds.
 pub const BEGIN: u64 = 1_000_000_000;
-/// Hosts' clocks differ from the exchange's by at most half of the skew.
+/// The clocks of hosts differ from that of the network by at most half of this.
 const SKEW_MICROS: i64 = 100_000;
 /// UDP and IP headers, counted with each message.
 pub const HEADER_BYTES: usize = 28;
 
-/// What happens to messages on their way.
+/// Faults of the network.
 #[derive(Clone, Copy)]
 pub struct Faults {
     pub loss: f64,
@@ -36,7 +36,7 @@
     };
 }
 
-/// A host as the published list names it.
+/// A host in a published list.
 #[derive(Clone)]
 pub struct Listed {
     pub name: String,
@@ -44,7 +44,7 @@
     pub leaving: bool,
 }
 
-/// One host of the exchange.
+/// One simulated host.
 pub struct Host {
     pub name: String,
     pub id: HostId,
@@ -62,7 +62,7 @@
     Relay { bytes: Vec<u8> },
 }
 
-/// Something that left the hosts.
+/// A datagram from a host to a backend server or a caller.
 pub enum Outside {
     ToBackend { host: usize, bytes: Vec<u8> },
     ToCaller { host: usize, bytes: Vec<u8> },
@@ -74,7 +74,7 @@
     pub hosts: Vec<Host>,
     pub faults: Faults,
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Like `cuts`, for control messages alone.
+    /// Like `cuts`, but only for control messages.
     pub peer_cuts: BTreeSet<(usize, usize)>,
     pub root: String,
     pub fragment: String,
@@ -83,9 +83,9 @@
     pub outside: Vec<Outside>,
     pub keys: AuthenticationKeys,
     pub tick: u64,
-    /// Whether traffic engines get ticks.
+    /// Whether traffic engines receive ticks.
     pub traffic: bool,
-    /// Whether bytes are counted.
+    /// Whether the bytes of control messages are counted.
     pub counting: bool,
     wire: BTreeMap<(u64, u64), (usize, Packet)>,
     sequence: u64,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Publishes a list of these hosts; returns its version.
+    /// Publishes a list of these hosts and returns its version.
     pub fn publish(&mut self, listed: &[usize], leaving: &[usize]) -> u64 {
         let list = listed.iter().map(|index| Listed {
             name: self.hosts[*index].name.clone(),
@@ -175,12 +175,13 @@
         DomainId::from_name(&self.hosts[host].domain)
     }
 
-    /// The clock of a host.
+    /// The time by the clock of `host`.
     pub fn local(&self, host: usize) -> Timestamp {
         Timestamp::new(self.now.saturating_add_signed(self.hosts[host].offset))
     }
 
-    /// Starts a host anew; it adopts the configuration and list `version`.
+    /// Starts a new incarnation of a host, which adopts the configuration and the
+    /// list `version`.
     pub fn start(&mut self, host: usize, version: u64) {
         let identity = HostIdentity {
             host: self.id(host),
@@ -323,7 +324,7 @@
         self.cuts.insert((other, one));
     }
 
-    /// Lets time pass up to `self.now + micros`, event by event.
+    /// Advances the time to `self.now + micros`, event by event.
     pub fn pass(&mut self, micros: u64) {
         let end = self.now + micros;
         loop {
@@ -352,7 +353,7 @@
             let (to, packet) = entry.remove();
             let paused_until = self.hosts[to].paused_until;
             if self.now < paused_until {
-                // It waits in the socket of the paused process.
+                // The message waits in the socket of the paused process.
                 self.wire.insert((paused_until, sequence), (to, packet));
                 continue;
             }
@@ -386,7 +387,7 @@
     }
 
     /// The hosts that hold an unexpired lease on `shard` by their own clocks,
-    /// paused ones included.
+    /// including paused hosts.
     pub fn holders(&self, shard: ShardId) -> Vec<usize> {
         let hosts = (0..self.hosts.len()).filter(|index| {
             let engine = self.hosts[*index].engine.as_ref();
--- a/crates/cardamomwinch_coordination/tests/homes_cost.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_cost.rs
@@ -1,4 +1,4 @@
-//! What leases cost, and what a stop takes, at nine hosts.
+//! The bytes that leases cost, and the time that a stop takes, with nine hosts.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod homes_common;
@@ -19,7 +19,7 @@
     ("bud-budaors-3", "bud-budaors"),
 ];
 const SHARDS: u16 = 32;
-/// Bytes a second that leases may take of a host, headers included.
+/// Bytes per second that a host may send for leases, headers included.
 const BUDGET: usize = 700;
 
 fn settled(seed: u64) -> Exchange {
@@ -36,8 +36,9 @@
     exchange
 }
 
-/// Callers' traffic shares a thin line with control: in calm, leases stay
-/// within their budget on every host.
+/// Guards against lease messages that take bandwidth from the traffic of callers,
+/// which may share a slow link with them. Without faults, every host stays within
+/// the budget.
 #[test]
 fn leases_cost_no_more_than_their_budget() {
     let mut exchange = settled(1);
@@ -58,9 +59,9 @@
     assert!(most <= BUDGET, "{most} B/s");
 }
 
-/// A host is stopped for replacement. Every shard that it is home of goes to
-/// another host with its records, the process may exit, and a replacement that
-/// starts later gets its shards back the same way.
+/// Guards against lost records when a host is replaced. A host stops gracefully: it
+/// hands over each of its shards with the records, then its process exits. The
+/// replacement that starts later gets the shards back in the same way.
 #[test]
 fn a_stop_hands_over_every_shard_and_a_start_gets_them_back() {
     for seed in 0..10 {
@@ -122,7 +123,7 @@
             assert_eq!(
                 exchange.holders(shard),
                 [0],
-                "seed {seed}: {shard} is not back"
+                "seed {seed}: {shard} was not handed back"
             );
         }
     }
--- a/crates/cardamomwinch_coordination/tests/homes_hand_over.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_hand_over.rs
@@ -1,5 +1,5 @@
-//! A home that stops leaves what it knows to the next, so that nothing runs
-//! twice and nothing is refused that then runs.
+//! A home that stops hands its records over to the next home, so that no request
+//! runs twice, and none is reported as not run and then runs.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod homes_common;
@@ -14,26 +14,26 @@
 use rand::Rng;
 
 const HOSTS: &[(&str, &str)] = &[("a1", "a"), ("a2", "a"), ("a3", "a"), ("b1", "b")];
-/// The hosts of the domain of the servers.
+/// The hosts in the failure domain of the backend servers.
 const OWN: std::ops::Range<usize> = 0..3;
 /// A host of another domain.
 const OTHER_DOMAIN: usize = 3;
 const SERVICE: &str = "127.0.0.1:7001";
 const SHARDS: u16 = 4;
 
-/// Hosts, servers and callers.
+/// Hosts, backend servers and callers.
 struct Bench {
     exchange: Exchange,
-    /// How often each request was run.
+    /// How many times each request was run.
     runs: BTreeMap<RequestId, u32>,
-    /// Requests that a caller was told were not run.
+    /// Requests that were reported to a caller as not run.
     not_run: BTreeSet<RequestId>,
     answered: BTreeSet<RequestId>,
     tokens: BTreeMap<FlowKey, RoutingToken>,
-    /// How long a server takes for a request, in microseconds; none where it
-    /// never answers.
+    /// How long a server takes for a request, in microseconds; `None` if it never
+    /// answers.
     service_time: Option<u64>,
-    /// The longest time that a datagram takes to its server.
+    /// The longest time that a datagram takes to its server, in microseconds.
     way: u64,
     arriving: Vec<(u64, Vec<u8>)>,
     answering: Vec<(u64, FlowKey, BackendId, HostId, RequestId, AttemptNumber)>,
@@ -150,8 +150,9 @@
     fn run(&mut self, bytes: &[u8]) {
         let datagram: BackendDatagram<'_> = codec::decode(bytes).unwrap();
         if datagram.kind == BackendKind::Open {
-            // A server says that it has opened a flow; callers are told then. It
-            // comes to the first host, so that the other draws stay the same.
+            // A server confirms that it has opened a flow, and the host answers the
+            // caller. The confirmation always goes to the first host, so that it
+            // takes no random number.
             let up = (0..HOSTS.len()).find(|host| self.exchange.is_up(*host));
             let host = up.unwrap();
             let reply = BackendReply {
@@ -259,8 +260,8 @@
     }
 }
 
-/// Guards against a copy that runs again at the next home, since only the old one knew that
-/// the request ran while it stopped.
+/// Guards against a copy of a request that runs again at the next home, because only the old
+/// home knew that the request was running when it stopped.
 #[test]
 fn a_request_that_runs_during_a_stop_is_not_run_again() {
     let mut bench = Bench::new(1, 2);
@@ -309,14 +310,14 @@
     );
 }
 
-/// Guards against a waiting request that the next home sends although the slot is taken, or
-/// sends twice.
+/// Guards against a waiting request that the next home sends to the server although its slot
+/// is taken, or sends twice.
 #[test]
 fn a_request_that_waits_during_a_stop_runs_once_at_the_next_home() {
     let mut bench = Bench::new(2, 1);
     let flow = bench.open(1);
     let home = bench.home(&flow);
-    // Shorter than the half second that a request is let wait for a slot.
+    // Shorter than the half second that a request may wait for a slot.
     bench.service_time = Some(400_000);
     let headers = [bench.header(1), bench.header(2)];
     for header in headers {
@@ -327,8 +328,8 @@
     bench.exchange.control(home, ControlEvent::Stop);
     bench.wait_drained(home);
     bench.exchange.crash(home);
-    // How long the hand-over takes depends on which home it is; the second may
-    // have been sent, but only once the first was answered.
+    // The duration of the hand-over depends on the host that is the home. The
+    // second request may have been sent, but only after the first was answered.
     assert!(
         bench.dispatched(2) == 0 || bench.answered.contains(&headers[0].id),
         "the slot is still taken"
@@ -343,14 +344,14 @@
 }
 
 /// Guards against an answer that a host of another domain relays to the old home, which has
-/// stopped: nobody would free the slot or remember the answer.
+/// stopped: no host would free the slot or record the answer.
 #[test]
 fn an_answer_by_another_domain_just_after_a_stop_reaches_the_next_home() {
     for seed in 20..30 {
         let mut bench = Bench::new(seed, 1);
         let flow = bench.open(1);
         let home = bench.home(&flow);
-        // Until the test lets it answer.
+        // Longer than the test: the answer is delivered by hand below.
         bench.service_time = Some(60_000_000);
         let header = bench.header(7);
         bench.send(home, flow, header);
@@ -387,11 +388,12 @@
         let engine = bench.exchange.hosts[next].engine.as_ref().unwrap();
         let ledgers = engine.traffic().ledgers();
         let busy: u32 = ledgers.iter().map(|(_, ledger)| ledger.busy()).sum();
-        assert_eq!(busy, 0, "seed {seed}: the slot stays taken");
+        assert_eq!(busy, 0, "seed {seed}: the slot was not freed");
     }
 }
 
-/// Guards against a copy that runs again at the next home of one that died without a word.
+/// Guards against a copy of a request that runs again at the next home after the home crashed
+/// without a hand-over.
 #[test]
 fn a_request_of_a_home_that_died_is_answered_as_unknown() {
     let mut bench = Bench::new(3, 2);
@@ -399,7 +401,7 @@
     let home = bench.home(&flow);
     bench.service_time = None;
     let mut header = bench.header(7);
-    // As long-lived as is allowed, so that the next home is there in time.
+    // The longest allowed deadline, so that there is a next home before it passes.
     header.deadline = header.deadline.after(std::time::Duration::from_millis(50));
     bench.send(home, flow, header);
     bench.pass(50_000);
@@ -414,10 +416,11 @@
     assert!(!bench.not_run.contains(&header.id));
 }
 
-/// Callers without tokens have flows on servers that their lookup table does
-/// not name, because the named ones were full. Each host in turn is replaced;
-/// every datagram of a flow still goes to its server, and no server is taken to
-/// hold more or fewer flows than it does.
+/// Guards against flows that change their server, or are counted wrongly, when hosts are
+/// replaced. Callers that echo no token have flows on servers that the lookup table does not
+/// select for them, because the selected ones were full. Each host in turn is replaced. Every
+/// datagram of a flow must still go to its server, and each server must be counted with
+/// exactly the flows that it has.
 #[test]
 fn flows_off_their_table_keep_their_servers_over_replacements() {
     let mut bench = Bench::with_limits(4, 2, 3, 2_000);
@@ -431,7 +434,7 @@
         bench
             .exchange
             .fabric(host, FabricDatagram::Caller(datagram));
-        // To the home, on to the server, and its word back.
+        // To the home, then to the server, and its confirmation back.
         bench.pass(20_000);
         if let Some(token) = bench.tokens.remove(&flow(number)) {
             pins.insert(flow(number), token.unverified_claim().backend);
@@ -452,7 +455,7 @@
         bench.wait_drained(home);
         bench.exchange.crash(home);
         // Hosts of other domains relay to the stopped host until they miss its
-        // heartbeats; callers send again meanwhile.
+        // heartbeats; callers repeat their datagrams meanwhile.
         bench.pass(1_500_000);
         bench.wait_held();
         check_flows(&mut bench, &pins);
@@ -495,8 +498,8 @@
     }
 }
 
-/// Guards against answers and waiting requests that are lost, or run twice, because
-/// hand-overs are broken off for want of acknowledgements.
+/// Guards against lost answers, and waiting requests that are lost or run twice, when
+/// hand-overs are aborted because acknowledgements are missing.
 #[test]
 fn a_hand_over_that_is_broken_off_leaves_everything_with_the_home() {
     let mut bench = Bench::with_limits(5, 1, 2_000, 5_000);
@@ -530,11 +533,12 @@
     assert_eq!((bench.dispatched(1), bench.dispatched(2)), (1, 1));
 }
 
-/// Guards against copies that run again because a hand-over had no room for their requests.
+/// Guards against copies that run again because the records of their requests did not fit
+/// into the hand-over.
 #[test]
 fn what_does_not_fit_into_a_hand_over_does_not_run_again() {
     let mut bench = Bench::with_limits(6, 1_000, 2_000, 10_000);
-    // Many chunks at once, so that none may overtake another and be sent anew.
+    // No delay, so that none of the many chunks overtakes another and is sent again.
     bench.exchange.faults.delay = 0;
     let flow = bench.open(1);
     let home = bench.home(&flow);
@@ -571,8 +575,8 @@
     assert!(bench.not_run.is_empty());
 }
 
-/// Guards against requests that run twice, or run although they were called "not run", while
-/// hosts are replaced in turn and messages are lost or held up.
+/// Guards against requests that run twice, or run although they were reported as not run,
+/// while hosts are replaced in turn and messages are lost or delayed.
 #[test]
 fn nothing_runs_twice_while_homes_move() {
     let mut totals = (0, 0, 0, 0);
@@ -635,7 +639,7 @@
     );
 }
 
-/// Stops or crashes one host at a time; starts it again a little later.
+/// Stops or crashes one host at a time, and starts it again after three seconds.
 fn replace(bench: &mut Bench, stopping: Option<(usize, u64)>) -> Option<(usize, u64)> {
     let now = bench.exchange.now;
     match stopping {
--- a/crates/cardamomwinch_coordination/tests/homes_leases.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_leases.rs
@@ -1,4 +1,5 @@
-//! At most one host holds a shard at any time, and every shard finds a home again.
+//! At most one host holds a shard at any time, and every shard gets a new home
+//! after a failure.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod homes_common;
@@ -20,15 +21,16 @@
     ("b1", "b"),
     ("b2", "b"),
 ];
-/// Hosts of the domain that is watched.
+/// The hosts of the domain whose shards are checked.
 const OWN: std::ops::Range<usize> = 0..5;
 const SHARDS: u16 = 2;
 const STEP: u64 = 25_000;
-/// A cold host is unsure until running ones have adopted what it has, which
-/// takes 3 s, less the difference of two clocks, and one lease more.
+/// A host that has just started relies on its own list only after all running
+/// hosts have adopted it. This takes 3 s, less the difference of two clocks; the
+/// host waits for one lease more.
 const COLD_MARGIN: u64 = 2_900_000;
 
-/// What a run came to.
+/// The totals of a run.
 #[derive(Debug, Default, Clone, Copy)]
 struct Run {
     held_steps: usize,
@@ -40,7 +42,7 @@
     listed: Vec<usize>,
     known: Vec<u64>,
     due: Vec<(u64, usize, u64)>,
-    /// A host that the newest list has dropped and that is to be gone by then.
+    /// A host that the newest list no longer contains, and when it is removed.
     dropped: Option<(usize, u64)>,
 }
 
@@ -83,7 +85,8 @@
             .collect();
         let version = self.exchange.publish(&self.listed, &leaving);
         for host in 0..HOSTS.len() {
-            // Most learn of it within 3 s, some while cut off from the platform.
+            // Most hosts learn of it within 3 s. Some are cut off from the
+            // platform and learn of it later.
             let longest = if self.exchange.rng.random_bool(0.2) {
                 12_000_000
             } else {
@@ -148,10 +151,10 @@
         }
     }
 
-    /// A cold host takes the highest list that anybody gives it. None starts
-    /// while a running host of the domain is to lag behind for longer than a
-    /// cold host stays unsure: were the voters cold as well, nobody could tell
-    /// it of the earlier list (docs/design/home-leases.md, what cannot hold).
+    /// Starts a host with the newest list. Does nothing if a running host of the
+    /// domain will adopt that list later than a starting host waits for: if the
+    /// voters had just started as well, no host could report the earlier voters to
+    /// it (docs/design/home-leases.md, what cannot hold).
     fn start(&mut self, host: usize) {
         let limit = self.exchange.now + COLD_MARGIN;
         let mut pending = self.due.iter();
@@ -184,8 +187,8 @@
         self.publish();
     }
 
-    /// A host that the list has dropped is taken away after a while; only then
-    /// may the next be dropped.
+    /// Removes a host that the newest list no longer contains, once it is due. Only
+    /// then may the list drop another host.
     fn remove_dropped(&mut self) {
         if let Some((host, by)) = self.dropped
             && (self.exchange.now >= by || !self.exchange.is_up(host))
@@ -235,10 +238,10 @@
     Ok(run)
 }
 
-/// Hosts crash and come back knowing nothing, are paused and wake late, lose
-/// each other in one direction or both, learn of lists of hosts seconds apart,
-/// and their messages are lost, doubled and held up. Callers would see a
-/// request run twice if two hosts held a shard at once. Nobody ever does.
+/// Guards against two hosts that hold a shard at the same time, so that a request
+/// of a caller runs twice. Hosts crash and restart without state, are paused, are
+/// cut off from each other in one or both directions, and adopt lists of hosts
+/// seconds apart; their messages are lost, duplicated and delayed.
 #[test]
 fn no_two_hosts_hold_a_shard_in_any_step() {
     let seeds: Vec<u64> = (0..300).collect();
@@ -268,12 +271,13 @@
     );
     assert!(
         held * 4 > steps,
-        "the storm must leave leases to check: {held} of {steps}"
+        "too few leases to check under these faults: {held} of {steps}"
     );
 }
 
-/// The same fleet in calm: all shards are held within a few leases, a crashed
-/// home is followed by another, and a healed cut leaves one home each.
+/// Guards against shards that stay without a home. All shards are held a few leases
+/// after the start, another host replaces a crashed home, and after a network cut
+/// ends each shard has exactly one home.
 #[test]
 fn shards_find_a_home_again_after_crash_and_cut() {
     for seed in 0..20 {
@@ -303,8 +307,9 @@
     }
 }
 
-/// A failure domain of two hosts is cut off from everything else; it has to go
-/// on serving what it can, and does, without the witness that it lost.
+/// Guards against a failure domain that stops serving when it is cut off. A domain
+/// of two hosts loses its witness in another domain, and must keep its homes without
+/// it.
 #[test]
 fn a_domain_that_is_cut_off_keeps_its_homes() {
     let mut exchange = Exchange::new(3, HOSTS, 8);
@@ -323,9 +328,9 @@
     assert!(exchange.all_held(DomainId::from_name("b"), 8));
 }
 
-/// A host is paused for longer than a lease and wakes with its old beliefs. It
-/// holds nothing until others grant it anew, and for one lease it promises
-/// nothing itself, since it cannot know what it missed.
+/// Guards against a host that is paused for longer than a lease and then uses its
+/// outdated state. It must hold nothing until other hosts grant it leases again, and
+/// must grant nothing itself for one lease, because it does not know what it missed.
 #[test]
 fn a_host_that_slept_holds_and_promises_nothing_at_first() {
     let mut exchange = Exchange::new(9, HOSTS, 8);
@@ -358,11 +363,12 @@
     assert!((0..8).any(|index| exchange.holders(ShardId { domain, index }) == [0]));
 }
 
-/// A host is added to a domain of two. The old homes hand shards over to it as soon as it
-/// asks, a tenth of a second after its start; but it had not yet heard that nobody counts
-/// on earlier voters any more, and may not begin to hold before. Nobody else asks for
-/// these shards, so that it never hears it, and they have no home for four seconds:
-/// requests of open sessions are called unknown.
+/// Guards against shards without a home after a host was added to a domain of two. The old
+/// homes handed shards over as soon as the new host requested them, a tenth of a second
+/// after its start. The new host could not acquire the leases yet: it did not know that no
+/// lease relied on earlier voters. It would have learned this from requests of other hosts
+/// for these shards, but there were none after the hand-over. The shards had no home for
+/// four seconds, and requests of open sessions were answered as unknown.
 #[test]
 fn a_host_that_is_added_leaves_no_shard_without_a_home() {
     let (domain, mut longest) = (DomainId::from_name("a"), (0, 0));
@@ -377,7 +383,7 @@
         }
         let listed = [0, 1, 2, 5, 6];
         let version = exchange.publish(&listed, &[]);
-        // The platform tells each host when its turn comes.
+        // Each host learns of the list from the platform at its own time.
         let mut random = SmallRng::seed_from_u64(seed);
         let mut turns: Vec<(u64, usize)> = listed
             .iter()
--- a/crates/cardamomwinch_coordination/tests/homes_releases.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_releases.rs
@@ -1,5 +1,5 @@
-//! A released lease goes to the successor that the release names, and to nobody
-//! else before the grant of the former holder has run out.
+//! A released lease goes to the successor that the release names, and to no other
+//! host before the grant of the former holder has expired.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::net;
@@ -20,7 +20,7 @@
 const BEGIN: Timestamp = Timestamp::new(1_000_000_000_000);
 const HOSTS: [&str; 4] = ["kut-1", "kut-2", "kut-3", "kut-4"];
 const MOMENT: time::Duration = time::Duration::from_millis(50);
-/// The hosts of the stories: the voter is none of them.
+/// The hosts in the tests. The voter holds no shard.
 const HOME: usize = 0;
 const SUCCESSOR: usize = 1;
 const THIRD: usize = 2;
@@ -55,7 +55,7 @@
     }
 }
 
-/// One voter, asked about one shard.
+/// One voter, which decides requests for one shard.
 struct VoterBench {
     voter: VoterTable,
     hosts: HostTable,
@@ -106,7 +106,7 @@
         self.now = self.now.after(by);
     }
 
-    /// Whether the voter grants the shard to a candidate that goes by `list`.
+    /// Whether the voter grants the shard to a candidate with the list `list`.
     fn grants_by(&mut self, list: u64, candidate: CandidateLife, round: u32) -> bool {
         let request = LeaseRequest {
             round: LeaseRound(round),
@@ -127,7 +127,7 @@
         self.grants_by(self.hosts.version.get(), candidate, round)
     }
 
-    /// `holder` gives the shard up to `successor`, which had come to `known`.
+    /// `holder` releases the shard to `successor`, whose last round was `known`.
     fn release(&mut self, holder: CandidateLife, round: u32, successor: CandidateLife, known: u32) {
         let release = LeaseRelease {
             round: LeaseRound(round),
@@ -143,11 +143,12 @@
     }
 }
 
-/// A home hands over and is held up before its word reaches the successor; a
-/// third host, which an earlier hand-over was meant for, asks the voters first.
-/// It would take itself to know all requests and run one of them again.
-/// Cause: a release freed the shard for anybody. Mistake `ReleasedToAnybody` of
-/// the specification.
+/// Guards against a request that runs twice after a hand-over. A home releases a
+/// shard, and its commit reaches the successor late. A third host, which received
+/// the records of an earlier hand-over, requests the lease first. It would assume
+/// that its records are complete and run a request again. This happened when a
+/// release freed the shard for any host: mistake `ReleasedToAnybody` of the
+/// specification.
 #[test]
 fn released_shard_is_granted_to_the_named_successor_alone() {
     let mut bench = VoterBench::new();
@@ -158,7 +159,7 @@
     assert!(!bench.grants(life(HOME, 1), 3), "granted to the old home");
     assert!(
         !bench.grants(life(SUCCESSOR, 2), 1),
-        "granted to a new life"
+        "granted to a new incarnation"
     );
     bench.pass(bench.limits.home_lease);
     assert!(bench.grants(life(THIRD, 1), 2), "the old grant has run out");
@@ -176,26 +177,27 @@
     assert!(!bench.grants(life(THIRD, 1), 1), "a whole lease is granted");
 }
 
-/// A home hands over to one host, gets the shard back, and hands it over again.
-/// A release that the present successor sent in its earlier time as home was
-/// held up and arrives now: it would give the shard to a host that knows nothing
-/// of what was run since. The round that the successor had come to when it
-/// acknowledged tells that release from later ones.
+/// Guards against a delayed release. A home hands a shard over to one host, gets it
+/// back, and hands it over to the same host again. A release that the successor sent
+/// when it was home before arrives only now, and would pass the shard to a host that
+/// lacks the records since then. The round that the successor names in its
+/// acknowledgement distinguishes that release from later ones.
 #[test]
 fn release_from_before_the_hand_over_does_not_pass_the_shard_on() {
     let mut bench = VoterBench::new();
     assert!(bench.grants(life(HOME, 1), 1));
     bench.release(life(HOME, 1), 2, life(SUCCESSOR, 1), 7);
     bench.release(life(SUCCESSOR, 1), 7, life(THIRD, 1), 0);
-    assert!(!bench.grants(life(THIRD, 1), 1), "by a release of before");
+    assert!(!bench.grants(life(THIRD, 1), 1), "by the delayed release");
     assert!(bench.grants(life(SUCCESSOR, 1), 8));
     bench.release(life(SUCCESSOR, 1), 9, life(THIRD, 1), 1);
-    assert!(bench.grants(life(THIRD, 1), 2), "by a release of now");
+    assert!(bench.grants(life(THIRD, 1), 2), "by the new release");
 }
 
-/// The hosts of the domain change between a hand-over and the successor's
-/// request. A successor that has not heard of the change counts on voters that
-/// may not be a majority any more: it is a new holder like any other.
+/// Guards against a successor that relies on outdated voters. The hosts of the
+/// domain change between a hand-over and the request of the successor. A successor
+/// that does not know the new list counts a majority that may no longer be one, so
+/// the voter must check it like any new holder.
 #[test]
 fn successor_with_an_earlier_list_is_refused() {
     let mut bench = VoterBench::new();
@@ -209,8 +211,9 @@
     assert!(bench.grants_by(2, life(SUCCESSOR, 1), 2));
 }
 
-/// A host that is handed a shard names in its acknowledgement the last round
-/// that it has used, so that the home can name it to the voters.
+/// Guards against an acknowledgement without the last round of the successor. The
+/// home passes this round on to the voters, which need it to recognise delayed
+/// releases.
 #[test]
 fn acknowledgement_names_the_last_round() {
     let (hosts, membership) = (hosts(1), PeerMembership::default());
@@ -259,13 +262,14 @@
             _ => {}
         }
     }
-    assert!(last > LeaseRound(0), "it has asked before");
+    assert!(last > LeaseRound(0), "the host has sent requests");
     assert_eq!(acknowledged, Some(last));
 }
 
-/// A successor restarts when it has acknowledged half of a hand-over. Its new
-/// life acknowledges the other half; were the lease given up now, nobody would
-/// know the first half. Only the life that began may end it.
+/// Guards against records lost when a successor restarts during a hand-over. It has
+/// acknowledged the first half; its new incarnation acknowledges the second half. If
+/// the home gave up the lease now, no host would have the first half. Only the
+/// incarnation that acknowledged first may complete the hand-over.
 #[test]
 fn two_lives_of_a_successor_do_not_complete_a_hand_over() {
     let shard = ShardId {
@@ -298,7 +302,7 @@
     let now = BEGIN.after(MOMENT);
     assert!(table.take_receipt(now, successor, receipt(0, 4)).is_none());
     let other = table.take_receipt(now, life(SUCCESSOR, 2), receipt(1, 1));
-    assert!(other.is_none(), "completed by another life");
+    assert!(other.is_none(), "completed by another incarnation");
     let ready = table.take_receipt(now, successor, receipt(1, 5)).unwrap();
     let acknowledged = ready.acknowledged_by().unwrap();
     assert_eq!(acknowledged.incarnation, successor.incarnation);
