--- a/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
@@ -19,7 +19,7 @@
 /// The interval at which releases are repeated.
 const RELEASE_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// How long releases are repeated.
-const RELEASE_LIMIT: time::Duration = time::Duration::from_millis(350);
+const RELEASE_DURATION: time::Duration = time::Duration::from_millis(350);
 
 /// The receiver of a release, and the successor that the release names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
         chunk: HandOverChunk,
         out: &mut Vec<HomeAction>,
     ) {
-        self.outgoing.take_chunk(now, chunk, out);
+        self.outgoing.send_chunk(now, chunk, out);
     }
 
     /// Records that the traffic thread has imported a chunk. After the last chunk,
@@ -44,11 +44,11 @@
     pub fn take_imported(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         report: TakeOverReport,
         out: &mut Vec<HomeAction>,
     ) {
-        let imported = self.incoming.note_imported(report);
+        let imported = self.incoming.record_import(report);
         let Some(ImportedHandOver {
             commit,
             records_since,
@@ -59,7 +59,7 @@
         // A third host can acquire the shard and let its lease expire no earlier
         // than one lease after the release. From then on, records may be missing
         // here.
-        let limits = world.limits;
+        let limits = context.limits;
         let valid_until = commit
             .released
             .after(limits.home_lease)
@@ -71,33 +71,35 @@
         };
         let shard = report.hand_over.shard;
         self.leases.inherit(shard, inherited);
-        self.request(now, world, &[shard], out);
+        self.request(now, context, &[shard], out);
     }
 
     /// Requests shards that were handed over to this host again without waiting
     /// for the next round: the release may reach the voters after the first
     /// request.
-    pub(super) fn ask_for_inherited(
+    pub(super) fn request_inherited(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let shards: Vec<ShardId> = self.leases.inherited(now).collect();
-        self.request(now, world, &shards, out);
+        self.request(now, context, &shards, out);
     }
 
     pub(super) fn begin_hand_overs(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
-        let leaving = world.is_stopping() || !world.may_hold();
-        let candidates = self.holders.candidates(now, world, world.identity.domain);
+        let leaving = context.is_stopping() || !context.may_hold();
+        let candidates = self
+            .holders
+            .candidates(now, context, context.identity.domain);
         let others: Vec<HostId> = candidates
             .into_iter()
-            .filter(|host| *host != world.identity.host)
+            .filter(|host| *host != context.identity.host)
             .filter(|host| !self.outgoing.is_avoided(now, *host))
             .collect();
         let held: Vec<ShardId> = self.leases.held(now).collect();
@@ -107,10 +109,10 @@
             }
             let successor = match leaving {
                 true => ranking::best(&others, shard),
-                false => self.better_claimant(now, world, &others, shard),
+                false => self.better_claimant(now, context, &others, shard),
             };
             if let Some(successor) = successor {
-                let lease = world.limits.home_lease;
+                let lease = context.limits.home_lease;
                 self.outgoing.begin(now, shard, successor, lease, out);
             }
         }
@@ -129,15 +131,16 @@
     pub(super) fn better_claimant(
         &self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         others: &[HostId],
         shard: ShardId,
     ) -> Option<HostId> {
         let claim = self.claims.get(&shard)?;
-        let recent = now.since(claim.heard) < world.limits.home_lease;
-        let own = world.identity.host;
+        let recent = now.since(claim.last_request) < context.limits.home_lease;
+        let own = context.identity.host;
         let better = ranking::best(&[own, claim.host], shard) == Some(claim.host);
-        let waited = now.since(claim.since) >= homes::ADOPTION_BOUND + world.limits.home_lease;
+        let waited =
+            now.since(claim.first_request) >= homes::MAX_ADOPTION_TIME + context.limits.home_lease;
         let can_begin = claim.settled || waited;
         let fit = recent && better && can_begin && others.contains(&claim.host);
         fit.then_some(claim.host)
@@ -150,7 +153,7 @@
     pub(super) fn commit(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         ready: OutgoingHandOver,
         out: &mut Vec<HomeAction>,
     ) {
@@ -172,7 +175,7 @@
             records_since: lease.records_since,
         };
         self.outgoing.commit(now, ready.successor, commit, out);
-        let until = now.after(world.limits.home_lease);
+        let until = now.after(context.limits.home_lease);
         let shards: ShardSet = std::iter::once(shard.index).collect();
         let (domain, count) = (shard.domain, self.shard_count);
         self.holders
@@ -183,40 +186,42 @@
             successor,
         };
         self.releases.insert(shard, sent);
-        self.send_releases(now, world, &[shard], out);
+        self.send_releases(now, context, &[shard], out);
     }
 
     pub(super) fn send_releases(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         shards: &[ShardId],
         out: &mut Vec<HomeAction>,
     ) {
         self.next_release = now.after(RELEASE_INTERVAL);
-        let mut told: SortedVector<ReleaseRoute, ShardSet> = SortedVector::new();
+        let mut receivers: SortedVector<ReleaseRoute, ShardSet> = SortedVector::new();
         for shard in shards {
             let Some(SentRelease { successor, .. }) = self.releases.get(shard).copied() else {
                 continue;
             };
             for voter in self.leases.voters(*shard) {
                 let route = ReleaseRoute { voter, successor };
-                told.get_or_insert_with(route, ShardSet::default)
+                receivers
+                    .get_or_insert_with(route, ShardSet::default)
                     .insert(shard.index);
             }
         }
-        if told.is_empty() {
+        if receivers.is_empty() {
             return;
         }
         let round = self.leases.next_round();
-        for (route, shards) in told.iter() {
+        for (route, shards) in receivers.iter() {
             let release = LeaseRelease {
                 round,
                 successor: route.successor,
                 shards: shards.clone(),
             };
-            if route.voter == world.identity.host {
-                self.voters.release(world, world.life(), &release);
+            if route.voter == context.identity.host {
+                self.voters
+                    .release(context, context.own_incarnation(), &release);
                 continue;
             }
             out.push(HomeAction::Send {
@@ -231,22 +236,22 @@
     pub(super) fn repeat_releases(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         self.releases
-            .retain(|_, sent| now.since(sent.released) < RELEASE_LIMIT);
+            .retain(|_, sent| now.since(sent.released) < RELEASE_DURATION);
         if now < self.next_release {
             return;
         }
         let shards: Vec<ShardId> = self.releases.keys().copied().collect();
-        self.send_releases(now, world, &shards, out);
+        self.send_releases(now, context, &shards, out);
     }
 
     pub(super) fn finish_stop(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let Some(stop_by) = self.stop_by else {
@@ -261,7 +266,7 @@
         let empty = self.leases.held(now).next().is_none() && self.outgoing.is_idle();
         if !self.drained && (empty || now >= stop_by) {
             self.drained = true;
-            self.announce_stop(now, world, out);
+            self.announce_stop(now, context, out);
             out.push(HomeAction::Publish);
             out.push(HomeAction::Drained);
         }
--- a/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
@@ -17,16 +17,16 @@
 use crate::control::homes::HomeAction;
 
 /// A hand-over that is not committed and imported within this time is dropped.
-const PUT_BY_FOR: time::Duration = time::Duration::from_secs(2);
+const BUFFER_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// The most chunks buffered at the same time, of all hand-overs together.
-const CHUNKS_AT_ONCE: usize = 512;
+const MAX_BUFFERED_CHUNKS: usize = 512;
 
 #[derive(Debug)]
 struct IncomingHandOver {
     id: HandOverId,
     holder: HostId,
     total: u16,
-    since: Timestamp,
+    begun: Timestamp,
     chunks: SortedVector<u16, HandOverChunk>,
     committed: Option<HandOverCommit>,
     to_import: Vec<u16>,
@@ -52,12 +52,12 @@
 impl IncomingTable {
     /// Whether `shard` is being handed over to this host, which must not request
     /// its lease yet.
-    pub fn awaits(&self, shard: ShardId) -> bool {
+    pub fn is_receiving(&self, shard: ShardId) -> bool {
         self.shards.contains_key(&shard)
     }
 
     /// Buffers a chunk and acknowledges it; `round` is this host's last round.
-    pub fn take_chunk(
+    pub fn handle_chunk(
         &mut self,
         now: Timestamp,
         sender: HostId,
@@ -72,7 +72,7 @@
             return;
         }
         let held: usize = self.shards.values().map(|known| known.chunks.len()).sum();
-        if held >= CHUNKS_AT_ONCE {
+        if held >= MAX_BUFFERED_CHUNKS {
             return;
         }
         let known = self.shards.get(&id.shard);
@@ -103,7 +103,7 @@
 
     /// Handles the commit of a hand-over: confirms it, and passes the chunks to the
     /// traffic thread if all of them are here.
-    pub fn take_commit(
+    pub fn handle_commit(
         &mut self,
         sender: HostId,
         commit: HandOverCommit,
@@ -133,7 +133,7 @@
 
     /// Records that the traffic thread has imported a chunk. Returns the hand-over
     /// if it was the last chunk.
-    pub fn note_imported(&mut self, report: TakeOverReport) -> Option<ImportedHandOver> {
+    pub fn record_import(&mut self, report: TakeOverReport) -> Option<ImportedHandOver> {
         let id = report.hand_over;
         let known = self.shards.get_mut(&id.shard)?;
         let commit = known.committed.filter(|commit| commit.hand_over == id)?;
@@ -157,11 +157,11 @@
     /// Drops hand-overs that were not committed and imported in time.
     pub fn advance(&mut self, now: Timestamp) {
         self.shards
-            .retain(|_, known| now.since(known.since) < PUT_BY_FOR);
+            .retain(|_, known| now.since(known.begun) < BUFFER_TIMEOUT);
     }
 
     /// Drops all incoming hand-overs.
-    pub fn break_off(&mut self) {
+    pub fn abort_all(&mut self) {
         self.shards.clear();
     }
 }
@@ -171,7 +171,7 @@
         id: chunk.hand_over,
         holder,
         total: chunk.total,
-        since: now,
+        begun: now,
         chunks: SortedVector::new(),
         committed: None,
         to_import: Vec::new(),
--- a/crates/cardamomwinch_coordination/src/control/homes/leases.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/leases.rs
@@ -10,21 +10,21 @@
 };
 
 use crate::control::homes::HomeWorld;
-use crate::control::homes::eras::{HeldGrant, VoterEras};
+use crate::control::homes::voter_sets::{ReceivedGrant, VoterSets};
 use crate::snapshot::HomeLease;
 
 /// Request rounds whose answers still count.
-const OPEN_ROUNDS: usize = 8;
+const MAX_OPEN_ROUNDS: usize = 8;
 
 /// The state of this host as a candidate for one shard of its failure domain.
 #[derive(Debug, Default)]
 struct CandidateShard {
-    eras: VoterEras,
+    voter_sets: VoterSets,
     /// Whether earlier voters may exist that this incarnation does not know.
-    unsure: bool,
-    grants: Vec<HeldGrant>,
+    may_miss_voters: bool,
+    grants: Vec<ReceivedGrant>,
     /// Answers to requests up to this round are ignored.
-    ignored_through: LeaseRound,
+    ignored_up_to: LeaseRound,
     lease: Option<HomeLease>,
     inherited: Option<InheritedRecords>,
 }
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy)]
 struct OpenRound {
     round: LeaseRound,
-    counts_until: Timestamp,
+    valid_until: Timestamp,
 }
 
 /// The leases of this host, and its requests for them.
@@ -53,31 +53,31 @@
     last_round: LeaseRound,
     open_rounds: Vec<OpenRound>,
     first_list: HostListVersion,
-    sure_from: Timestamp,
+    own_list_suffices_from: Timestamp,
 }
 
 impl LeaseTable {
-    /// Until `sure_from` this host acquires no lease on a shard whose earlier
+    /// Until `until` this host acquires no lease on a shard whose earlier
     /// voters it may not know. After that it relies on its own list.
-    pub fn be_unsure_until(&mut self, sure_from: Timestamp) {
-        self.sure_from = sure_from;
+    pub fn wait_for_earlier_voters(&mut self, until: Timestamp) {
+        self.own_list_suffices_from = until;
     }
 
     /// Applies a newly adopted list of hosts, or a new number of shards.
-    pub fn adopt_hosts(&mut self, world: &HomeWorld<'_>) {
+    pub fn adopt_hosts(&mut self, context: &HomeWorld<'_>) {
         let first = self.first_list == HostListVersion::ZERO;
         if first {
-            self.first_list = world.hosts.version;
+            self.first_list = context.hosts.version;
         }
-        let count = world.limits.shards_per_domain;
+        let count = context.limits.shards_per_domain;
         self.shards.retain(|shard, _| shard.index < count);
         for index in 0..count {
-            let domain = world.identity.domain;
+            let domain = context.identity.domain;
             let shard = ShardId { domain, index };
             let state = self
                 .shards
-                .get_or_insert_with(shard, || fresh(world.hosts, shard));
-            state.eras.adopt_hosts(world.hosts, shard);
+                .get_or_insert_with(shard, || new_candidate(context.hosts, shard));
+            state.voter_sets.adopt_hosts(context.hosts, shard);
         }
     }
 
@@ -104,7 +104,7 @@
     pub fn voters(&self, shard: ShardId) -> Vec<HostId> {
         let state = self.shards.get(&shard);
         let mut voters: Vec<HostId> =
-            state.map_or_else(Vec::new, |state| state.eras.voters().collect());
+            state.map_or_else(Vec::new, |state| state.voter_sets.voters().collect());
         voters.sort_unstable();
         voters.dedup();
         voters
@@ -113,14 +113,11 @@
     /// Opens a request round whose grants run from `now`.
     pub fn open_round(&mut self, now: Timestamp, limits: &ConfigurationLimits) -> LeaseRound {
         let round = self.next_round();
-        let counts_until = now.after(limits.home_lease).before(limits.clock_skew);
-        if self.open_rounds.len() == OPEN_ROUNDS {
+        let valid_until = now.after(limits.home_lease).before(limits.clock_skew);
+        if self.open_rounds.len() == MAX_OPEN_ROUNDS {
             self.open_rounds.remove(0);
         }
-        self.open_rounds.push(OpenRound {
-            round,
-            counts_until,
-        });
+        self.open_rounds.push(OpenRound { round, valid_until });
         round
     }
 
@@ -139,7 +136,7 @@
     pub fn request(
         &self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         round: LeaseRound,
         wanted: &[ShardId],
     ) -> LeaseRequest {
@@ -147,10 +144,10 @@
         let unsettled = |shard: &ShardId| !self.is_settled(*shard);
         LeaseRequest {
             round,
-            lease_millis: world.limits.home_lease.as_millis() as u32,
-            host_list: world.hosts.version,
-            shard_count: world.limits.shards_per_domain,
-            stopping: world.is_stopping(),
+            lease_millis: context.limits.home_lease.as_millis() as u32,
+            host_list: context.hosts.version,
+            shard_count: context.limits.shards_per_domain,
+            stopping: context.is_stopping(),
             wanted: shard_set(wanted, |_| true),
             held: shard_set(wanted, held),
             unsettled: shard_set(wanted, unsettled),
@@ -159,31 +156,31 @@
 
     fn is_settled(&self, shard: ShardId) -> bool {
         let state = self.shards.get(&shard);
-        state.is_some_and(|state| state.eras.are_settled() && !state.unsure)
+        state.is_some_and(|state| state.voter_sets.are_settled() && !state.may_miss_voters)
     }
 
     /// Drops earlier voters that the request of another host reports as no longer
     /// relevant.
-    pub fn learn_settled(&mut self, request: &LeaseRequest) {
+    pub fn drop_settled_voters(&mut self, request: &LeaseRequest) {
         let first = self.first_list;
         for (shard, state) in self.shards.iter_mut() {
             let index = shard.index;
             if !request.wanted.contains(index) || request.unsettled.contains(index) {
                 continue;
             }
-            state.eras.settle(request.host_list);
+            state.voter_sets.drop_replaced_by(request.host_list);
             if request.host_list >= first {
-                state.unsure = false;
+                state.may_miss_voters = false;
             }
         }
     }
 
     /// Records the grants of `voter`. Returns the shards that this host begins to
     /// hold.
-    pub fn take_grant(
+    pub fn handle_grant(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         voter: HostId,
         grant: &LeaseGrant,
     ) -> Vec<ShardId> {
@@ -192,23 +189,23 @@
         let Some(open) = open.copied().find(|open| open.round == grant.round) else {
             return begun;
         };
-        let sure = now >= self.sure_from;
+        let own_list_suffices = now >= self.own_list_suffices_from;
         for (shard, state) in self.shards.iter_mut() {
-            if state.unsure {
+            if state.may_miss_voters {
                 for earlier in &grant.earlier {
-                    state.eras.learn_earlier(earlier, world.hosts, *shard);
+                    state.voter_sets.add_earlier(earlier, context.hosts, *shard);
                 }
             }
-            if !grant.granted.contains(shard.index) || grant.round <= state.ignored_through {
+            if !grant.granted.contains(shard.index) || grant.round <= state.ignored_up_to {
                 continue;
             }
-            state.note(HeldGrant {
+            state.record_grant(ReceivedGrant {
                 voter,
-                until: open.counts_until,
+                until: open.valid_until,
                 host_list: grant.host_list,
             });
-            let may_begin = sure || !state.unsure;
-            if state.renew(now, world.limits.clock_skew, may_begin) {
+            let may_begin = own_list_suffices || !state.may_miss_voters;
+            if state.renew(now, context.limits.clock_skew, may_begin) {
                 begun.push(*shard);
             }
         }
@@ -250,7 +247,7 @@
             state.lease = None;
             state.grants.clear();
             state.inherited = None;
-            state.ignored_through = last_round;
+            state.ignored_up_to = last_round;
         }
     }
 
@@ -268,17 +265,17 @@
     kept.map(|shard| shard.index).collect()
 }
 
-fn fresh(hosts: &HostTable, shard: ShardId) -> CandidateShard {
+fn new_candidate(hosts: &HostTable, shard: ShardId) -> CandidateShard {
     let mut state = CandidateShard {
-        unsure: true,
+        may_miss_voters: true,
         ..CandidateShard::default()
     };
-    state.eras.adopt_hosts(hosts, shard);
+    state.voter_sets.adopt_hosts(hosts, shard);
     state
 }
 
 impl CandidateShard {
-    fn note(&mut self, grant: HeldGrant) {
+    fn record_grant(&mut self, grant: ReceivedGrant) {
         let known = self
             .grants
             .iter_mut()
@@ -299,11 +296,11 @@
             Some(lease) => HomeLease {
                 held_until: lease
                     .held_until
-                    .max(self.eras.extendable_until(&self.grants)),
+                    .max(self.voter_sets.extendable_until(&self.grants)),
                 ..lease
             },
             None => HomeLease {
-                held_until: self.eras.acquirable_until(&self.grants),
+                held_until: self.voter_sets.acquirable_until(&self.grants),
                 records_since: self.records_since(now, skew),
             },
         };
@@ -312,11 +309,11 @@
             return false;
         }
         self.lease = Some(lease);
-        self.eras.settle_by(now, &self.grants);
+        self.voter_sets.drop_replaced(now, &self.grants);
         let begun = running.is_none();
         if begun {
             self.inherited = None;
-            self.unsure = false;
+            self.may_miss_voters = false;
         }
         begun
     }
--- a/crates/cardamomwinch_coordination/src/control/homes/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/mod.rs
@@ -3,15 +3,15 @@
 //! batches, and handed over on planned changes.
 //! `docs/design/home-leases.md` compares this design with alternatives.
 
-pub(crate) mod asking;
-pub mod eras;
 pub(crate) mod handing_over;
 pub mod holders;
 pub mod incoming;
 pub mod leases;
 pub mod outgoing;
 pub mod ranking;
+pub(crate) mod requesting;
 pub(crate) mod views;
+pub mod voter_sets;
 pub mod voters;
 
 use std::time;
@@ -33,18 +33,18 @@
 use crate::snapshot::{ServingPhase, ShardView};
 
 /// Renewal rounds within the duration of a lease.
-const RENEWALS_PER_LEASE: u32 = 3;
+const ROUNDS_PER_LEASE: u32 = 3;
 /// A stopping host gives up the shards that it still holds after this time.
-pub const STOP_LIMIT: time::Duration = time::Duration::from_secs(10);
+pub const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 /// Every host has adopted a new list of hosts within this time. A host that has
 /// just started waits for this time plus one lease before it relies on its own
 /// list alone: a holder that adopted the list late may still hold a lease from
 /// earlier voters until then.
-const ADOPTION_BOUND: time::Duration = time::Duration::from_secs(3);
+const MAX_ADOPTION_TIME: time::Duration = time::Duration::from_secs(3);
 
 /// The state of the control engine that decisions about homes depend on.
 #[derive(Debug, Clone, Copy)]
-pub struct HomeWorld<'w> {
+pub struct HomeWorld<'c> {
     /// The identity of this host.
     pub identity: HostIdentity,
     /// Whether this host is starting, serving or stopping.
@@ -52,11 +52,11 @@
     /// Whether a configuration is in force.
     pub adopted: bool,
     /// The limits in force.
-    pub limits: &'w ConfigurationLimits,
+    pub limits: &'c ConfigurationLimits,
     /// The list of hosts in force.
-    pub hosts: &'w HostTable,
+    pub hosts: &'c HostTable,
     /// Which hosts are reachable.
-    pub membership: &'w PeerMembership,
+    pub membership: &'c PeerMembership,
 }
 
 impl HomeWorld<'_> {
@@ -74,7 +74,7 @@
         own.is_some_and(|own| ranking::may_hold(own, self.identity.domain))
     }
 
-    fn life(&self) -> CandidateLife {
+    fn own_incarnation(&self) -> CandidateLife {
         CandidateLife {
             host: self.identity.host,
             incarnation: self.identity.incarnation,
@@ -133,9 +133,9 @@
 struct ShardClaim {
     host: HostId,
     /// When the last request arrived.
-    heard: Timestamp,
+    last_request: Timestamp,
     /// When the first request arrived after the last one of another host.
-    since: Timestamp,
+    first_request: Timestamp,
     /// Whether the host knows that no lease relies on earlier voters.
     settled: bool,
 }
@@ -166,7 +166,7 @@
     last_event: Timestamp,
     next_round: Timestamp,
     next_notice: Timestamp,
-    notices: usize,
+    notices_sent: usize,
     stop_by: Option<Timestamp>,
     drained: bool,
 }
@@ -199,77 +199,77 @@
     /// them. A pause shows as a gap between two events that is longer than a
     /// lease. The host then gives up every lease and grants nothing for the
     /// duration of a lease.
-    pub fn note_event(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
-        let lease = world.limits.home_lease;
+    pub fn note_event(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+        let lease = context.limits.home_lease;
         let slept = self.started.is_some() && now.since(self.last_event) > lease;
         if slept {
             self.leases.give_up_all();
-            self.outgoing.break_off();
-            self.incoming.break_off();
-            self.voters.stay_silent(now.after(lease));
+            self.outgoing.abort_all();
+            self.incoming.abort_all();
+            self.voters.withhold_grants_until(now.after(lease));
         }
         self.last_event = self.last_event.max(now);
-        self.note_start(now, world);
-        self.note_hosts(now, world);
+        self.note_start(now, context);
+        self.note_hosts(now, context);
     }
 
-    fn note_start(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
+    fn note_start(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
         let started = *self.started.get_or_insert(now);
-        if self.shard_count == 0 && world.adopted {
-            let lease = world.limits.home_lease;
-            self.voters.stay_silent(started.after(lease));
+        if self.shard_count == 0 && context.adopted {
+            let lease = context.limits.home_lease;
+            self.voters.withhold_grants_until(started.after(lease));
             self.leases
-                .be_unsure_until(started.after(ADOPTION_BOUND + lease));
+                .wait_for_earlier_voters(started.after(MAX_ADOPTION_TIME + lease));
         }
     }
 
-    fn note_hosts(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
-        let count = world.limits.shards_per_domain;
-        if !world.adopted || world.hosts.version == HostListVersion::ZERO {
+    fn note_hosts(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+        let count = context.limits.shards_per_domain;
+        if !context.adopted || context.hosts.version == HostListVersion::ZERO {
             return;
         }
-        if self.host_list == world.hosts.version && self.shard_count == count {
+        if self.host_list == context.hosts.version && self.shard_count == count {
             return;
         }
-        self.host_list = world.hosts.version;
+        self.host_list = context.hosts.version;
         self.shard_count = count;
-        self.voters.adopt_hosts(world.hosts);
-        self.leases.adopt_hosts(world);
+        self.voters.adopt_hosts(context.hosts);
+        self.leases.adopt_hosts(context);
         self.next_round = now;
     }
 
     /// Begins to hand over all shards, because this host stops.
     pub fn stop(&mut self, now: Timestamp) {
         if self.stop_by.is_none() {
-            self.stop_by = Some(now.after(STOP_LIMIT));
+            self.stop_by = Some(now.after(STOP_TIMEOUT));
             self.next_round = now;
         }
     }
 
     /// Renews leases, repeats messages, and begins, aborts or finishes hand-overs
     /// that are due at `now`.
-    pub fn advance(&mut self, now: Timestamp, world: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
+    pub fn advance(&mut self, now: Timestamp, context: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
         if self.shard_count > 0 {
             self.outgoing.advance(now, out);
             self.incoming.advance(now);
-            self.repeat_releases(now, world, out);
-            self.ask_for_inherited(now, world, out);
+            self.repeat_releases(now, context, out);
+            self.request_inherited(now, context, out);
             if now >= self.next_round {
-                let interval = world.limits.home_lease / RENEWALS_PER_LEASE;
+                let interval = context.limits.home_lease / ROUNDS_PER_LEASE;
                 self.next_round = now.after(interval);
-                self.ask(now, world, out);
+                self.request_round(now, context, out);
             }
-            self.begin_hand_overs(now, world, out);
-            self.send_notice(now, world, out);
+            self.begin_hand_overs(now, context, out);
+            self.send_notice(now, context, out);
         }
-        self.finish_stop(now, world, out);
+        self.finish_stop(now, context, out);
     }
 
     /// Handles a message from another host.
     pub fn take(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         sender: CandidateLife,
         message: &HomeMessage,
         out: &mut Vec<HomeAction>,
@@ -279,17 +279,19 @@
         }
         let host = sender.host;
         match message {
-            HomeMessage::Request(request) => self.take_request(now, world, sender, request, out),
-            HomeMessage::Grant(grant) => self.take_grant(now, world, host, grant, out),
-            HomeMessage::Release(release) => self.voters.release(world, sender, release),
+            HomeMessage::Request(request) => {
+                self.handle_request(now, context, sender, request, out);
+            }
+            HomeMessage::Grant(grant) => self.handle_grant(now, context, host, grant, out),
+            HomeMessage::Release(release) => self.voters.release(context, sender, release),
             HomeMessage::Holders(notice) => {
-                if self.holders.take_notice(now, world, host, notice) && notice.stopped {
+                if self.holders.handle_notice(now, context, host, notice) && notice.stopped {
                     out.push(HomeAction::Publish);
                 }
             }
             HomeMessage::HandOver(chunk) => {
-                let own = chunk.hand_over.shard.domain == world.identity.domain;
-                if own && world.is_serving() && world.may_hold() {
+                let own = chunk.hand_over.shard.domain == context.identity.domain;
+                if own && context.is_serving() && context.may_hold() {
                     // The sender was the home after any earlier hand-over, so
                     // the records of that hand-over are no longer complete.
                     self.leases.forget_inherited_before(chunk.hand_over);
@@ -298,16 +300,16 @@
                     self.releases.remove(&chunk.hand_over.shard);
                     let round = self.leases.last_round();
                     self.incoming
-                        .take_chunk(now, host, chunk.clone(), round, out);
+                        .handle_chunk(now, host, chunk.clone(), round, out);
                 }
             }
             HomeMessage::Received(receipt) => {
-                if let Some(ready) = self.outgoing.take_receipt(now, sender, *receipt) {
-                    self.commit(now, world, ready, out);
+                if let Some(ready) = self.outgoing.handle_receipt(now, sender, *receipt) {
+                    self.commit(now, context, ready, out);
                 }
             }
-            HomeMessage::Commit(commit) => self.incoming.take_commit(host, *commit, out),
-            HomeMessage::Committed(id) => self.outgoing.confirm(host, *id),
+            HomeMessage::Commit(commit) => self.incoming.handle_commit(host, *commit, out),
+            HomeMessage::Committed(id) => self.outgoing.handle_confirmation(host, *id),
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
@@ -18,16 +18,16 @@
 use crate::control::homes::voters::CandidateLife;
 
 /// A hand-over whose chunks are not all acknowledged within this time is aborted.
-pub const HAND_OVER_LIMIT: time::Duration = time::Duration::from_millis(500);
+pub const HAND_OVER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 /// Chunks and commits that were not acknowledged are sent again after this time.
 const RESEND_AFTER: time::Duration = time::Duration::from_millis(100);
 /// A host that did not acknowledge a hand-over is not chosen as successor for
 /// this long.
-const AVOID_FOR: time::Duration = time::Duration::from_secs(1);
+const AVOID_DURATION: time::Duration = time::Duration::from_secs(1);
 /// An unconfirmed commit is repeated for this long.
-const COMMIT_LIMIT: time::Duration = time::Duration::from_secs(2);
+const COMMIT_DURATION: time::Duration = time::Duration::from_secs(2);
 /// The most outgoing hand-overs at the same time.
-pub const HAND_OVERS_AT_ONCE: usize = 8;
+pub const MAX_CONCURRENT_HAND_OVERS: usize = 8;
 
 #[derive(Debug)]
 struct OutgoingChunk {
@@ -44,7 +44,7 @@
     /// The successor.
     pub successor: HostId,
     /// The incarnation of the successor that acknowledges, and its last round.
-    life: Option<LeaseSuccessor>,
+    acknowledged_by: Option<LeaseSuccessor>,
     chunks: SortedVector<u16, OutgoingChunk>,
     total: Option<u16>,
 }
@@ -61,9 +61,9 @@
     /// Guards against a successor that restarts during the hand-over: it has lost
     /// the chunks of its earlier incarnation, so the hand-over would seem complete
     /// although it is not. It times out instead.
-    fn note_life(&mut self, sender: CandidateLife, receipt: ChunkReceipt) -> bool {
+    fn record_receipt(&mut self, sender: CandidateLife, receipt: ChunkReceipt) -> bool {
         let incarnation = sender.incarnation;
-        let known = self.life.unwrap_or(LeaseSuccessor {
+        let known = self.acknowledged_by.unwrap_or(LeaseSuccessor {
             host: sender.host,
             incarnation,
             round: receipt.round,
@@ -72,17 +72,17 @@
             return false;
         }
         let round = known.round.max(receipt.round);
-        self.life = Some(LeaseSuccessor { round, ..known });
+        self.acknowledged_by = Some(LeaseSuccessor { round, ..known });
         true
     }
 
     /// The incarnation of the successor that has acknowledged, if any.
     pub fn acknowledged_by(&self) -> Option<LeaseSuccessor> {
-        self.life
+        self.acknowledged_by
     }
 
     fn is_overdue(&self, now: Timestamp) -> bool {
-        now.since(self.id.begun) >= HAND_OVER_LIMIT
+        now.since(self.id.begun) >= HAND_OVER_TIMEOUT
     }
 }
 
@@ -109,7 +109,7 @@
 
     /// Whether a hand-over of `shard` may begin.
     pub fn may_begin(&self, shard: ShardId) -> bool {
-        self.running.len() < HAND_OVERS_AT_ONCE && !self.running.contains_key(&shard)
+        self.running.len() < MAX_CONCURRENT_HAND_OVERS && !self.running.contains_key(&shard)
     }
 
     /// Whether `host` recently failed to acknowledge a hand-over.
@@ -135,19 +135,19 @@
         let hand_over = OutgoingHandOver {
             id,
             successor,
-            life: None,
+            acknowledged_by: None,
             chunks: SortedVector::new(),
             total: None,
         };
         self.running.insert(shard, hand_over);
         out.push(HomeAction::ReleaseShard {
             hand_over: id,
-            frozen_until: now.after(HAND_OVER_LIMIT + lease),
+            frozen_until: now.after(HAND_OVER_TIMEOUT + lease),
         });
     }
 
     /// Sends a chunk that the traffic thread has exported to the successor.
-    pub fn take_chunk(&mut self, now: Timestamp, chunk: HandOverChunk, out: &mut Vec<HomeAction>) {
+    pub fn send_chunk(&mut self, now: Timestamp, chunk: HandOverChunk, out: &mut Vec<HomeAction>) {
         let running = self.running.get_mut(&chunk.hand_over.shard);
         let Some(hand_over) = running.filter(|running| running.id == chunk.hand_over) else {
             return;
@@ -169,7 +169,7 @@
 
     /// Handles an acknowledgement. Returns the hand-over if this was the last
     /// missing one and the hand-over has not timed out.
-    pub fn take_receipt(
+    pub fn handle_receipt(
         &mut self,
         now: Timestamp,
         sender: CandidateLife,
@@ -177,7 +177,7 @@
     ) -> Option<OutgoingHandOver> {
         let shard = receipt.hand_over.shard;
         let running = self.running.get_mut(&shard)?;
-        if running.id != receipt.hand_over || !running.note_life(sender, receipt) {
+        if running.id != receipt.hand_over || !running.record_receipt(sender, receipt) {
             return None;
         }
         running.chunks.get_mut(&receipt.position)?.received = true;
@@ -206,7 +206,7 @@
     }
 
     /// Handles the confirmation of a commit.
-    pub fn confirm(&mut self, sender: HostId, id: HandOverId) {
+    pub fn handle_confirmation(&mut self, sender: HostId, id: HandOverId) {
         self.commits.retain(|shard, sent| {
             *shard != id.shard || sent.successor != sender || sent.commit.hand_over != id
         });
@@ -219,7 +219,7 @@
         self.running.retain(|_, running| {
             let overdue = running.is_overdue(now);
             if overdue {
-                avoided.insert(running.successor, now.after(AVOID_FOR));
+                avoided.insert(running.successor, now.after(AVOID_DURATION));
                 let shard = running.id.shard;
                 out.push(HomeAction::ThawShard { shard });
             }
@@ -238,7 +238,7 @@
             }
         }
         self.commits
-            .retain(|_, sent| now.since(sent.commit.released) < COMMIT_LIMIT);
+            .retain(|_, sent| now.since(sent.commit.released) < COMMIT_DURATION);
         for (_, sent) in self.commits.iter_mut() {
             if now.since(sent.sent) >= RESEND_AFTER {
                 sent.sent = now;
@@ -251,7 +251,7 @@
     }
 
     /// Aborts all running hand-overs.
-    pub fn break_off(&mut self) {
+    pub fn abort_all(&mut self) {
         self.running.clear();
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/homes/asking.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/requesting.rs
@@ -7,15 +7,15 @@
 use crate::control::homes::{HomeAction, HomeTable, HomeWorld, ShardClaim, ranking};
 
 impl HomeTable {
-    pub(super) fn take_request(
+    pub(super) fn handle_request(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         sender: CandidateLife,
         request: &LeaseRequest,
         out: &mut Vec<HomeAction>,
     ) {
-        let Some(grant) = self.voters.decide(now, world, sender, request) else {
+        let Some(grant) = self.voters.decide(now, context, sender, request) else {
             return;
         };
         let host = sender.host;
@@ -23,16 +23,16 @@
             host,
             message: HomeMessage::Grant(grant),
         });
-        let domain = world.hosts.get(host).map(|entry| entry.domain);
-        if domain != Some(world.identity.domain) || request.shard_count != self.shard_count {
+        let domain = context.hosts.get(host).map(|entry| entry.domain);
+        if domain != Some(context.identity.domain) || request.shard_count != self.shard_count {
             return;
         }
-        let until = now.after(world.limits.home_lease);
-        self.holders.note_stopping(host, request.stopping, until);
+        let until = now.after(context.limits.home_lease);
+        self.holders.record_stopping(host, request.stopping, until);
         let (held, count) = (&request.held, request.shard_count);
-        let domain = world.identity.domain;
+        let domain = context.identity.domain;
         self.holders.learn(host, domain, held, count, until);
-        self.leases.learn_settled(request);
+        self.leases.drop_settled_voters(request);
         let wanted = request
             .wanted
             .iter(count)
@@ -43,51 +43,58 @@
             let earlier = earlier.filter(|claim| claim.host == host);
             let claim = ShardClaim {
                 host,
-                heard: now,
-                since: earlier.map_or(now, |claim| claim.since),
+                last_request: now,
+                first_request: earlier.map_or(now, |claim| claim.first_request),
                 settled: !request.unsettled.contains(index),
             };
             self.claims.insert(shard, claim);
         }
     }
 
-    pub(super) fn take_grant(
+    pub(super) fn handle_grant(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         voter: HostId,
         grant: &LeaseGrant,
         out: &mut Vec<HomeAction>,
     ) {
-        let begun = self.leases.take_grant(now, world, voter, grant);
+        let begun = self.leases.handle_grant(now, context, voter, grant);
         if begun.is_empty() {
             return;
         }
-        let home = world.identity.host;
+        let home = context.identity.host;
         let changes = begun.into_iter();
         out.extend(changes.map(|shard| HomeAction::HomeChanged { shard, home }));
         out.push(HomeAction::Publish);
     }
 
     /// Requests leases on the shards that this host holds or is preferred for.
-    pub(super) fn ask(&mut self, now: Timestamp, world: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
-        let candidates = self.holders.candidates(now, world, world.identity.domain);
+    pub(super) fn request_round(
+        &mut self,
+        now: Timestamp,
+        context: &HomeWorld<'_>,
+        out: &mut Vec<HomeAction>,
+    ) {
+        let candidates = self
+            .holders
+            .candidates(now, context, context.identity.domain);
         let shards: Vec<ShardId> = self.leases.shards().collect();
         let wanted: Vec<ShardId> = shards
             .into_iter()
             .filter(|shard| {
                 let held = self.leases.lease(now, *shard).is_some();
-                let best = ranking::best(&candidates, *shard) == Some(world.identity.host);
-                held || (best && !self.incoming.awaits(*shard))
+                let best = ranking::best(&candidates, *shard) == Some(context.identity.host);
+                held || (best && !self.incoming.is_receiving(*shard))
             })
             .collect();
-        self.request(now, world, &wanted, out);
+        self.request(now, context, &wanted, out);
     }
 
     pub(super) fn request(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         wanted: &[ShardId],
         out: &mut Vec<HomeAction>,
     ) {
@@ -97,18 +104,18 @@
         self.releases.retain(|shard, _| !wanted.contains(shard));
         let mut asked: SortedVector<HostId, Vec<ShardId>> = SortedVector::new();
         for shard in wanted {
-            let holder = self.holders.learnt(now, world, *shard);
+            let holder = self.holders.learned(now, context, *shard);
             let mut hosts = self.leases.voters(*shard);
             hosts.extend(holder.filter(|holder| !hosts.contains(holder)));
             for host in hosts {
                 asked.get_or_insert_with(host, Vec::new).push(*shard);
             }
         }
-        let round = self.leases.open_round(now, world.limits);
+        let round = self.leases.open_round(now, context.limits);
         for (host, shards) in asked.iter() {
-            let request = self.leases.request(now, world, round, shards);
-            if *host == world.identity.host {
-                self.vote_for_self(now, world, &request, out);
+            let request = self.leases.request(now, context, round, shards);
+            if *host == context.identity.host {
+                self.vote_for_self(now, context, &request, out);
                 continue;
             }
             out.push(HomeAction::Send {
@@ -121,13 +128,15 @@
     pub(super) fn vote_for_self(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         request: &LeaseRequest,
         out: &mut Vec<HomeAction>,
     ) {
-        let grant = self.voters.decide(now, world, world.life(), request);
+        let grant = self
+            .voters
+            .decide(now, context, context.own_incarnation(), request);
         if let Some(grant) = grant {
-            self.take_grant(now, world, world.identity.host, &grant, out);
+            self.handle_grant(now, context, context.identity.host, &grant, out);
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/homes/views.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/views.rs
@@ -17,15 +17,15 @@
     pub(super) fn send_notice(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         if now < self.next_notice {
             return;
         }
         self.next_notice = now.after(NOTICE_INTERVAL);
-        let domain = world.identity.domain;
-        let hosts = world.hosts.hosts.values();
+        let domain = context.identity.domain;
+        let hosts = context.hosts.hosts.values();
         let others: Vec<HostId> = hosts
             .filter(|entry| entry.domain != domain)
             .map(|entry| entry.id)
@@ -33,16 +33,16 @@
         if others.is_empty() {
             return;
         }
-        self.notices = self.notices.wrapping_add(1);
+        self.notices_sent = self.notices_sent.wrapping_add(1);
         out.push(HomeAction::Send {
-            host: others[self.notices % others.len()],
-            message: HomeMessage::Holders(self.notice(now, world)),
+            host: others[self.notices_sent % others.len()],
+            message: HomeMessage::Holders(self.notice(now, context)),
         });
     }
 
-    fn notice(&self, now: Timestamp, world: &HomeWorld<'_>) -> HolderNotice {
+    fn notice(&self, now: Timestamp, context: &HomeWorld<'_>) -> HolderNotice {
         HolderNotice {
-            domain: world.identity.domain,
+            domain: context.identity.domain,
             shard_count: self.shard_count,
             held: self.leases.held(now).map(|shard| shard.index).collect(),
             stopped: self.drained,
@@ -59,16 +59,16 @@
     pub(super) fn announce_stop(
         &self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
-        let domain = world.identity.domain;
-        let notice = self.notice(now, world);
-        let hosts = world.hosts.hosts.values();
+        let domain = context.identity.domain;
+        let notice = self.notice(now, context);
+        let hosts = context.hosts.hosts.values();
         let others = hosts
             .filter(|entry| entry.domain != domain)
             .map(|entry| entry.id)
-            .filter(|host| world.membership.is_reachable(now, *host));
+            .filter(|host| context.membership.is_reachable(now, *host));
         out.extend(others.map(|host| HomeAction::Send {
             host,
             message: HomeMessage::Holders(notice.clone()),
@@ -76,13 +76,13 @@
     }
 
     /// Recomputes the homes for a snapshot.
-    pub fn refresh(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
+    pub fn refresh(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
         let mut views = SortedVector::new();
-        for domain in domains(world.hosts) {
-            let forecast = self.holders.forecast(now, world, domain).to_vec();
-            for (index, expected) in (0..).zip(forecast) {
+        for domain in domains(context.hosts) {
+            let by_shard = self.holders.expected_holders(now, context, domain).to_vec();
+            for (index, expected) in (0..).zip(by_shard) {
                 let shard = ShardId { domain, index };
-                views.insert(shard, self.view(now, world, shard, expected));
+                views.insert(shard, self.view(now, context, shard, expected));
             }
         }
         self.views = views;
@@ -91,14 +91,14 @@
     pub(super) fn view(
         &self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         shard: ShardId,
         expected: Option<HostId>,
     ) -> ShardView {
         let lease = self.leases.lease(now, shard);
         let home = match lease {
-            Some(_) => Some(world.identity.host),
-            None => self.holders.learnt(now, world, shard).or(expected),
+            Some(_) => Some(context.identity.host),
+            None => self.holders.learned(now, context, shard).or(expected),
         };
         ShardView { home, lease }
     }
--- a/crates/cardamomwinch_coordination/src/control/homes/eras.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/voter_sets.rs
@@ -16,7 +16,7 @@
 
 /// The grant of one voter to this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldGrant {
+pub struct ReceivedGrant {
     /// The voter.
     pub voter: HostId,
     /// When this host stops relying on the grant, by its own clock.
@@ -30,40 +30,40 @@
 struct EarlierVoters {
     voters: Vec<HostId>,
     /// Whether all of them are needed, because their witness is unknown.
-    all: bool,
+    all_needed: bool,
     replaced_in: HostListVersion,
 }
 
 /// The current and the earlier voters of one shard.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct VoterEras {
+pub struct VoterSets {
     earlier: Vec<EarlierVoters>,
-    present: Vec<HostId>,
+    current: Vec<HostId>,
 }
 
-impl VoterEras {
+impl VoterSets {
     /// Replaces the current voters by those of a newly adopted list, and keeps
     /// the former ones as earlier voters.
     pub fn adopt_hosts(&mut self, hosts: &HostTable, shard: ShardId) {
         let voters = ranking::voters(hosts, shard);
-        if voters != self.present {
-            let replaced = std::mem::replace(&mut self.present, voters);
+        if voters != self.current {
+            let replaced = std::mem::replace(&mut self.current, voters);
             self.earlier.push(EarlierVoters {
                 voters: replaced,
-                all: false,
+                all_needed: false,
                 replaced_in: hosts.version,
             });
         }
-        for era in &mut self.earlier {
-            era.voters.retain(|voter| hosts.get(*voter).is_some());
+        for set in &mut self.earlier {
+            set.voters.retain(|voter| hosts.get(*voter).is_some());
         }
-        self.earlier.retain(|era| !era.voters.is_empty());
+        self.earlier.retain(|set| !set.voters.is_empty());
     }
 
     /// Adds the earlier hosts of the domain that a voter has reported. If there
     /// are fewer than three, all of them are needed: a holder may rely on any one
     /// of them together with a witness that is unknown to this host.
-    pub fn learn_earlier(&mut self, earlier: &EarlierHosts, hosts: &HostTable, shard: ShardId) {
+    pub fn add_earlier(&mut self, earlier: &EarlierHosts, hosts: &HostTable, shard: ShardId) {
         if earlier.replaced_in > hosts.version {
             return;
         }
@@ -71,19 +71,19 @@
         voters.truncate(VOTER_COUNT);
         voters.sort_unstable();
         voters.retain(|voter| hosts.get(*voter).is_some());
-        let known = self.earlier.iter().any(|era| era.voters == voters);
-        if voters.is_empty() || voters == self.present || known {
+        let known = self.earlier.iter().any(|set| set.voters == voters);
+        if voters.is_empty() || voters == self.current || known {
             return;
         }
-        let era = EarlierVoters {
-            all: earlier.hosts.len() < VOTER_COUNT,
+        let set = EarlierVoters {
+            all_needed: earlier.hosts.len() < VOTER_COUNT,
             voters,
             replaced_in: earlier.replaced_in,
         };
         let position = self
             .earlier
-            .partition_point(|known| known.replaced_in <= era.replaced_in);
-        self.earlier.insert(position, era);
+            .partition_point(|known| known.replaced_in <= set.replaced_in);
+        self.earlier.insert(position, set);
     }
 
     /// Whether only the current voters count.
@@ -93,52 +93,53 @@
 
     /// Drops the earlier voters that `host_list` or an older list replaced,
     /// because another host has reported that they no longer count.
-    pub fn settle(&mut self, host_list: HostListVersion) {
-        self.earlier.retain(|era| era.replaced_in > host_list);
+    pub fn drop_replaced_by(&mut self, host_list: HostListVersion) {
+        self.earlier.retain(|set| set.replaced_in > host_list);
     }
 
     /// All voters, earlier and current. A host may occur more than once.
     pub fn voters(&self) -> impl Iterator<Item = HostId> {
-        let earlier = self.earlier.iter().flat_map(|era| &era.voters);
-        earlier.chain(&self.present).copied()
+        let earlier = self.earlier.iter().flat_map(|set| &set.voters);
+        earlier.chain(&self.current).copied()
     }
 
     /// Until when `grants` suffice to acquire the lease. This takes a majority of
     /// every set of voters, since another host may hold the lease with any of
     /// them.
-    pub fn acquirable_until(&self, grants: &[HeldGrant]) -> Timestamp {
-        let earlier = self.earlier.iter().map(|era| era.granted_until(grants));
-        let ends = earlier.chain([majority_until(&self.present, grants)]);
+    pub fn acquirable_until(&self, grants: &[ReceivedGrant]) -> Timestamp {
+        let earlier = self.earlier.iter().map(|set| set.granted_until(grants));
+        let ends = earlier.chain([majority_until(&self.current, grants)]);
         ends.min().unwrap_or(Timestamp::ZERO)
     }
 
     /// Until when `grants` suffice to extend a running lease. This takes a
     /// majority of the oldest voters that still count. No other host can have
     /// acquired the lease meanwhile, because that takes their majority too.
-    pub fn extendable_until(&self, grants: &[HeldGrant]) -> Timestamp {
+    pub fn extendable_until(&self, grants: &[ReceivedGrant]) -> Timestamp {
         self.granted_until(0, grants)
     }
 
     /// Until when the earlier voters at `position`, or the current ones if there
     /// are none at `position`, have granted the shard.
-    fn granted_until(&self, position: usize, grants: &[HeldGrant]) -> Timestamp {
+    fn granted_until(&self, position: usize, grants: &[ReceivedGrant]) -> Timestamp {
         match self.earlier.get(position) {
-            Some(era) => era.granted_until(grants),
-            None => majority_until(&self.present, grants),
+            Some(set) => set.granted_until(grants),
+            None => majority_until(&self.current, grants),
         }
     }
 
     /// Drops each oldest set of earlier voters that has granted the shard under
     /// the list that replaced it, provided that the next set has granted the shard
     /// as well.
-    pub fn settle_by(&mut self, now: Timestamp, grants: &[HeldGrant]) {
+    pub fn drop_replaced(&mut self, now: Timestamp, grants: &[ReceivedGrant]) {
         while let Some(oldest) = self.earlier.first() {
-            let moved: Vec<HeldGrant> = grants
+            let updated: Vec<ReceivedGrant> = grants
                 .iter()
                 .copied()
                 .filter(|grant| grant.host_list >= oldest.replaced_in)
                 .collect();
-            let settled = now < oldest.granted_until(&moved) && now < self.granted_until(1, grants);
+            let settled =
+                now < oldest.granted_until(&updated) && now < self.granted_until(1, grants);
             if !settled {
                 return;
             }
@@ -148,8 +149,8 @@
 }
 
 impl EarlierVoters {
-    fn granted_until(&self, grants: &[HeldGrant]) -> Timestamp {
-        let needed = match self.all {
+    fn granted_until(&self, grants: &[ReceivedGrant]) -> Timestamp {
+        let needed = match self.all_needed {
             true => self.voters.len(),
             false => ranking::majority(self.voters.len()),
         };
@@ -158,11 +159,11 @@
 }
 
 /// Until when a majority of `voters` has granted the shard.
-fn majority_until(voters: &[HostId], grants: &[HeldGrant]) -> Timestamp {
+fn majority_until(voters: &[HostId], grants: &[ReceivedGrant]) -> Timestamp {
     granted_until(voters, ranking::majority(voters.len()), grants)
 }
 
-fn granted_until(voters: &[HostId], needed: usize, grants: &[HeldGrant]) -> Timestamp {
+fn granted_until(voters: &[HostId], needed: usize, grants: &[ReceivedGrant]) -> Timestamp {
     let mut ends: Vec<Timestamp> = voters
         .iter()
         .filter_map(|voter| grants.iter().find(|grant| grant.voter == *voter))
--- a/crates/cardamomwinch_coordination/src/control/homes/voters.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/voters.rs
@@ -37,7 +37,7 @@
 use crate::control::homes::ranking::{self, VOTER_COUNT};
 
 /// The longest duration of a grant, whatever the request asks for.
-const LONGEST_GRANT: time::Duration = time::Duration::from_secs(60);
+const MAX_GRANT_DURATION: time::Duration = time::Duration::from_secs(60);
 
 /// One incarnation of a host: the time from one start of its process to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -70,12 +70,12 @@
     pool: Vec<HostId>,
     /// The hosts of the domain itself.
     own: Vec<HostId>,
-    changed: HostListVersion,
+    changed_in: HostListVersion,
     earlier: Vec<EarlierHosts>,
 }
 
 /// Earlier lists of hosts that are kept for each domain.
-const EARLIER_LIMIT: usize = 8;
+const MAX_EARLIER_LISTS: usize = 8;
 
 impl DomainHosts {
     fn replace(&mut self, pool: Vec<HostId>, own: Vec<HostId>, hosts: &HostTable) {
@@ -83,7 +83,7 @@
             let replaced_in = hosts.version;
             let replaced = std::mem::replace(&mut self.own, own);
             self.pool = pool;
-            self.changed = replaced_in;
+            self.changed_in = replaced_in;
             self.earlier.retain(|earlier| earlier.hosts != replaced);
             self.earlier.push(EarlierHosts {
                 hosts: replaced,
@@ -94,7 +94,7 @@
             earlier.hosts.retain(|host| hosts.get(*host).is_some());
         }
         self.earlier.retain(|earlier| !earlier.hosts.is_empty());
-        let excess = self.earlier.len().saturating_sub(EARLIER_LIMIT);
+        let excess = self.earlier.len().saturating_sub(MAX_EARLIER_LISTS);
         self.earlier.drain(..excess);
     }
 }
@@ -103,9 +103,9 @@
 #[derive(Debug, Default)]
 pub struct VoterTable {
     grants: SortedVector<ShardId, VoterGrant>,
-    lives: SortedVector<HostId, Incarnation>,
+    incarnations: SortedVector<HostId, Incarnation>,
     domains: SortedVector<DomainId, DomainHosts>,
-    silent_until: Timestamp,
+    withheld_until: Timestamp,
 }
 
 impl VoterTable {
@@ -115,8 +115,8 @@
     }
 
     /// Withholds all grants until `until`.
-    pub fn stay_silent(&mut self, until: Timestamp) {
-        self.silent_until = self.silent_until.max(until);
+    pub fn withhold_grants_until(&mut self, until: Timestamp) {
+        self.withheld_until = self.withheld_until.max(until);
     }
 
     /// Records in which failure domains a newly adopted list changes the voters.
@@ -137,7 +137,7 @@
             let known = self.domains.get_or_insert_with(domain, || DomainHosts {
                 pool: Vec::new(),
                 own: Vec::new(),
-                changed,
+                changed_in: changed,
                 earlier: Vec::new(),
             });
             known.replace(pool, own, hosts);
@@ -149,29 +149,29 @@
     pub fn decide(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         candidate: CandidateLife,
         request: &LeaseRequest,
     ) -> Option<LeaseGrant> {
-        if !self.is_latest_life(candidate) {
+        if !self.is_latest_incarnation(candidate) {
             return None;
         }
         let mut grant = LeaseGrant {
             round: request.round,
-            host_list: world.hosts.version,
+            host_list: context.hosts.version,
             granted: ShardSet::default(),
             earlier: Vec::new(),
         };
-        let entry = world.hosts.get(candidate.host)?;
-        let limits = world.limits;
-        if now < self.silent_until || request.shard_count != limits.shards_per_domain {
+        let entry = context.hosts.get(candidate.host)?;
+        let limits = context.limits;
+        if now < self.withheld_until || request.shard_count != limits.shards_per_domain {
             return Some(grant);
         }
         let domain = entry.domain;
         let asked = time::Duration::from_millis(request.lease_millis.into());
-        let until = now.after(asked.min(LONGEST_GRANT));
+        let until = now.after(asked.min(MAX_GRANT_DURATION));
         let known = self.domains.get(&domain);
-        let changed = known.map(|known| known.changed);
+        let changed = known.map(|known| known.changed_in);
         if !request.unsettled.is_empty() {
             grant.earlier = known.map_or_else(Vec::new, |known| known.earlier.clone());
         }
@@ -204,17 +204,17 @@
     /// Their expiry does not change.
     pub fn release(
         &mut self,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         candidate: CandidateLife,
         release: &LeaseRelease,
     ) {
-        let Some(entry) = world.hosts.get(candidate.host) else {
+        let Some(entry) = context.hosts.get(candidate.host) else {
             return;
         };
-        if !self.is_latest_life(candidate) {
+        if !self.is_latest_incarnation(candidate) {
             return;
         }
-        for index in release.shards.iter(world.limits.shards_per_domain) {
+        for index in release.shards.iter(context.limits.shards_per_domain) {
             let domain = entry.domain;
             let shard = ShardId { domain, index };
             let Some(held) = self.grants.get_mut(&shard) else {
@@ -231,10 +231,10 @@
 
     /// Whether `candidate` is the latest known incarnation of its host. Messages
     /// of an earlier incarnation may arrive after a restart.
-    fn is_latest_life(&mut self, candidate: CandidateLife) -> bool {
+    fn is_latest_incarnation(&mut self, candidate: CandidateLife) -> bool {
         let incarnation = candidate.incarnation;
         let known = self
-            .lives
+            .incarnations
             .get_or_insert_with(candidate.host, || incarnation);
         *known = incarnation.max(*known);
         *known == incarnation
--- a/crates/cardamomwinch_coordination/tests/homes_common/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_common/mod.rs
@@ -15,7 +15,7 @@
 /// The time at which every simulation begins, in microseconds.
 pub const BEGIN: u64 = 1_000_000_000;
 /// The clocks of hosts differ from that of the network by at most half of this.
-const SKEW_MICROS: i64 = 100_000;
+const MAX_SKEW_MICROS: i64 = 100_000;
 /// UDP and IP headers, counted with each message.
 pub const HEADER_BYTES: usize = 28;
 
@@ -38,7 +38,7 @@
 
 /// A host in a published list.
 #[derive(Clone)]
-pub struct Listed {
+pub struct ListedHost {
     pub name: String,
     pub domain: String,
     pub leaving: bool,
@@ -63,12 +63,12 @@
 }
 
 /// A datagram from a host to a backend server or a caller.
-pub enum Outside {
+pub enum OutgoingDatagram {
     ToBackend { host: usize, bytes: Vec<u8> },
     ToCaller { host: usize, bytes: Vec<u8> },
 }
 
-pub struct Exchange {
+pub struct SimulatedNetwork {
     pub now: u64,
     pub rng: SmallRng,
     pub hosts: Vec<Host>,
@@ -79,15 +79,15 @@
     pub root: String,
     pub fragment: String,
     /// Published lists, from version one.
-    pub lists: Vec<Vec<Listed>>,
-    pub outside: Vec<Outside>,
+    pub lists: Vec<Vec<ListedHost>>,
+    pub outgoing: Vec<OutgoingDatagram>,
     pub keys: AuthenticationKeys,
     pub tick: u64,
     /// Whether traffic engines receive ticks.
     pub traffic: bool,
     /// Whether the bytes of control messages are counted.
     pub counting: bool,
-    wire: BTreeMap<(u64, u64), (usize, Packet)>,
+    in_flight: BTreeMap<(u64, u64), (usize, Packet)>,
     sequence: u64,
 }
 
@@ -95,7 +95,7 @@
     format!("127.0.0.1:{}", 10_000 + host * 10 + role)
 }
 
-impl Exchange {
+impl SimulatedNetwork {
     pub fn new(seed: u64, hosts: &[(&str, &str)], shards: u16) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let hosts: Vec<Host> = hosts
@@ -104,7 +104,7 @@
                 name: (*name).to_owned(),
                 id: HostId::from_name(name),
                 domain: (*domain).to_owned(),
-                offset: rng.random_range(-SKEW_MICROS / 2..=SKEW_MICROS / 2),
+                offset: rng.random_range(-MAX_SKEW_MICROS / 2..=MAX_SKEW_MICROS / 2),
                 engine: None,
                 paused_until: 0,
                 next_tick: 0,
@@ -124,19 +124,19 @@
             ),
             fragment: r#"{"team": "t", "services": {}, "presets": {}}"#.to_owned(),
             lists: Vec::new(),
-            outside: Vec::new(),
+            outgoing: Vec::new(),
             keys: AuthenticationKeys::new(SecretKey::new([7; 32]), None),
             tick: 100_000,
             traffic: false,
             counting: false,
-            wire: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
         }
     }
 
     /// Publishes a list of these hosts and returns its version.
     pub fn publish(&mut self, listed: &[usize], leaving: &[usize]) -> u64 {
-        let list = listed.iter().map(|index| Listed {
+        let list = listed.iter().map(|index| ListedHost {
             name: self.hosts[*index].name.clone(),
             domain: self.hosts[*index].domain.clone(),
             leaving: leaving.contains(index),
@@ -201,9 +201,9 @@
         self.hosts[host].drained = false;
         self.hosts[host].next_tick = self.now + self.rng.random_range(0..self.tick);
         self.control(host, ControlEvent::Start);
-        self.learn_list(host, version);
-        self.learn(host, PlatformKey::Root, 1, self.root.clone());
-        self.learn(
+        self.deliver_list(host, version);
+        self.deliver_document(host, PlatformKey::Root, 1, self.root.clone());
+        self.deliver_document(
             host,
             PlatformKey::Team("t".to_owned()),
             1,
@@ -219,12 +219,12 @@
         self.hosts[host].engine.is_some()
     }
 
-    pub fn learn_list(&mut self, host: usize, version: u64) {
+    pub fn deliver_list(&mut self, host: usize, version: u64) {
         let text = self.list_text(version);
-        self.learn(host, PlatformKey::Hosts, version, text);
+        self.deliver_document(host, PlatformKey::Hosts, version, text);
     }
 
-    pub fn learn(&mut self, host: usize, key: PlatformKey, revision: u64, text: String) {
+    pub fn deliver_document(&mut self, host: usize, key: PlatformKey, revision: u64, text: String) {
         let request = PlatformRequest {
             key,
             after: None,
@@ -259,7 +259,7 @@
         let encoded = |value: &dyn Fn(&mut [u8]) -> Vec<u8>| value(&mut [0; 8192]);
         match effect {
             HostEffect::Control(ControlEffect::ToPeer { host, envelope, .. }) => {
-                self.count(from, &envelope);
+                self.count_bytes(from, &envelope);
                 let to = self.index(host);
                 if self.peer_cuts.contains(&(from, to)) {
                     return;
@@ -279,17 +279,19 @@
             }
             HostEffect::Traffic(TrafficEffect::ToBackend { datagram, .. }) => {
                 let bytes = encoded(&|buffer| codec::encode(&datagram, buffer).unwrap().to_vec());
-                self.outside.push(Outside::ToBackend { host: from, bytes });
+                self.outgoing
+                    .push(OutgoingDatagram::ToBackend { host: from, bytes });
             }
             HostEffect::Traffic(TrafficEffect::ToCaller(reply)) => {
                 let bytes = encoded(&|buffer| codec::encode(&reply, buffer).unwrap().to_vec());
-                self.outside.push(Outside::ToCaller { host: from, bytes });
+                self.outgoing
+                    .push(OutgoingDatagram::ToCaller { host: from, bytes });
             }
             _ => {}
         }
     }
 
-    fn count(&mut self, from: usize, envelope: &PeerEnvelope) {
+    fn count_bytes(&mut self, from: usize, envelope: &PeerEnvelope) {
         if !self.counting {
             return;
         }
@@ -315,7 +317,7 @@
         for _ in 0..copies {
             let due = self.now + self.rng.random_range(0..=self.faults.delay);
             self.sequence += 1;
-            self.wire.insert((due, self.sequence), (to, packet()));
+            self.in_flight.insert((due, self.sequence), (to, packet()));
         }
     }
 
@@ -325,10 +327,10 @@
     }
 
     /// Advances the time to `self.now + micros`, event by event.
-    pub fn pass(&mut self, micros: u64) {
+    pub fn advance(&mut self, micros: u64) {
         let end = self.now + micros;
         loop {
-            let packet = self.wire.first_key_value().map(|(key, _)| key.0);
+            let packet = self.in_flight.first_key_value().map(|(key, _)| key.0);
             let ticks = self.hosts.iter().filter(|host| host.engine.is_some());
             let tick = ticks
                 .map(|host| host.next_tick.max(host.paused_until))
@@ -345,7 +347,7 @@
     }
 
     fn deliver_due(&mut self) {
-        while let Some(entry) = self.wire.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
@@ -354,7 +356,8 @@
             let paused_until = self.hosts[to].paused_until;
             if self.now < paused_until {
                 // The message waits in the socket of the paused process.
-                self.wire.insert((paused_until, sequence), (to, packet));
+                self.in_flight
+                    .insert((paused_until, sequence), (to, packet));
                 continue;
             }
             match packet {
--- a/crates/cardamomwinch_coordination/tests/homes_cost.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_cost.rs
@@ -5,7 +5,7 @@
 
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_state::prelude::*;
-use homes_common::Exchange;
+use homes_common::SimulatedNetwork;
 
 const NINE: &[(&str, &str)] = &[
     ("bud-angyal-1", "bud-angyal"),
@@ -22,18 +22,18 @@
 /// Bytes per second that a host may send for leases, headers included.
 const BUDGET: usize = 700;
 
-fn settled(seed: u64) -> Exchange {
-    let mut exchange = Exchange::new(seed, NINE, SHARDS);
+fn settled(seed: u64) -> SimulatedNetwork {
+    let mut network = SimulatedNetwork::new(seed, NINE, SHARDS);
     let all: Vec<usize> = (0..NINE.len()).collect();
-    exchange.publish(&all, &[]);
+    network.publish(&all, &[]);
     for host in all {
-        exchange.start(host, 1);
+        network.start(host, 1);
     }
-    exchange.pass(10_000_000);
+    network.advance(10_000_000);
     for (_, domain) in NINE {
-        assert!(exchange.all_held(DomainId::from_name(domain), SHARDS));
+        assert!(network.all_held(DomainId::from_name(domain), SHARDS));
     }
-    exchange
+    network
 }
 
 /// Guards against lease messages that take bandwidth from the traffic of callers,
@@ -41,12 +41,12 @@
 /// the budget.
 #[test]
 fn leases_cost_no_more_than_their_budget() {
-    let mut exchange = settled(1);
-    exchange.counting = true;
+    let mut network = settled(1);
+    network.counting = true;
     let seconds = 60;
-    exchange.pass(seconds as u64 * 1_000_000);
+    network.advance(seconds as u64 * 1_000_000);
     let mut most = 0;
-    for host in &exchange.hosts {
+    for host in &network.hosts {
         let (messages, bytes) = host.sent["homes"];
         println!(
             "{}: {:.1} messages/s, {} B/s for homes",
@@ -65,34 +65,34 @@
 #[test]
 fn a_stop_hands_over_every_shard_and_a_start_gets_them_back() {
     for seed in 0..10 {
-        let mut exchange = settled(seed);
+        let mut network = settled(seed);
         let domain = DomainId::from_name("bud-angyal");
         let shards: Vec<ShardId> = (0..SHARDS).map(|index| ShardId { domain, index }).collect();
         let held: Vec<ShardId> = shards
             .iter()
             .copied()
-            .filter(|shard| exchange.holders(*shard) == [0])
+            .filter(|shard| network.holders(*shard) == [0])
             .collect();
         assert!(!held.is_empty());
-        let since = |exchange: &Exchange, host: usize, shard: ShardId| {
-            let snapshot = exchange.hosts[host].engine.as_ref().unwrap().snapshot();
+        let since = |network: &SimulatedNetwork, host: usize, shard: ShardId| {
+            let snapshot = network.hosts[host].engine.as_ref().unwrap().snapshot();
             snapshot
-                .lease_at(shard, exchange.local(host))
+                .lease_at(shard, network.local(host))
                 .unwrap()
                 .records_since
         };
         let before: Vec<Timestamp> = held
             .iter()
-            .map(|shard| since(&exchange, 0, *shard))
+            .map(|shard| since(&network, 0, *shard))
             .collect();
-        let stopped = exchange.now;
-        exchange.control(0, ControlEvent::Stop);
+        let stopped = network.now;
+        network.control(0, ControlEvent::Stop);
         let mut longest_gap = 0;
         let mut gaps = vec![0_u64; shards.len()];
-        while !exchange.hosts[0].drained {
-            exchange.pass(1_000);
+        while !network.hosts[0].drained {
+            network.advance(1_000);
             for (gap, shard) in gaps.iter_mut().zip(&shards) {
-                *gap = if exchange.holders(*shard).is_empty() {
+                *gap = if network.holders(*shard).is_empty() {
                     *gap + 1
                 } else {
                     0
@@ -100,28 +100,28 @@
                 longest_gap = longest_gap.max(*gap);
             }
             assert!(
-                exchange.now < stopped + 10_000_000,
+                network.now < stopped + 10_000_000,
                 "seed {seed}: not drained in time"
             );
         }
-        let took = (exchange.now - stopped) / 1_000;
-        exchange.crash(0);
-        exchange.pass(500_000);
+        let took = (network.now - stopped) / 1_000;
+        network.crash(0);
+        network.advance(500_000);
         for (shard, since_before) in held.iter().zip(before) {
-            let holders = exchange.holders(*shard);
+            let holders = network.holders(*shard);
             assert_eq!(holders.len(), 1, "seed {seed}: {shard}");
-            let since = since(&exchange, holders[0], *shard);
+            let since = since(&network, holders[0], *shard);
             assert_eq!(since, since_before, "seed {seed}: {shard} lost its records");
         }
         println!(
             "seed {seed}: {} shards handed over in {took} ms, longest without a home {longest_gap} ms",
             held.len()
         );
-        exchange.start(0, 1);
-        exchange.pass(10_000_000);
+        network.start(0, 1);
+        network.advance(10_000_000);
         for shard in held {
             assert_eq!(
-                exchange.holders(shard),
+                network.holders(shard),
                 [0],
                 "seed {seed}: {shard} was not handed back"
             );
--- a/crates/cardamomwinch_coordination/tests/homes_leases.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_leases.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 use cardamomwinch_state::prelude::*;
-use homes_common::{Exchange, Faults};
+use homes_common::{Faults, SimulatedNetwork};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -22,23 +22,23 @@
     ("b2", "b"),
 ];
 /// The hosts of the domain whose shards are checked.
-const OWN: std::ops::Range<usize> = 0..5;
+const DOMAIN_HOSTS: std::ops::Range<usize> = 0..5;
 const SHARDS: u16 = 2;
 const STEP: u64 = 25_000;
 /// A host that has just started relies on its own list only after all running
 /// hosts have adopted it. This takes 3 s, less the difference of two clocks; the
 /// host waits for one lease more.
-const COLD_MARGIN: u64 = 2_900_000;
+const MAX_LIST_LAG: u64 = 2_900_000;
 
 /// The totals of a run.
 #[derive(Debug, Default, Clone, Copy)]
-struct Run {
+struct RunTotals {
     held_steps: usize,
     changes: usize,
 }
 
-struct Storm {
-    exchange: Exchange,
+struct FaultSimulation {
+    network: SimulatedNetwork,
     listed: Vec<usize>,
     known: Vec<u64>,
     due: Vec<(u64, usize, u64)>,
@@ -46,15 +46,15 @@
     dropped: Option<(usize, u64)>,
 }
 
-impl Storm {
+impl FaultSimulation {
     fn new(seed: u64) -> Self {
-        let mut exchange = Exchange::new(seed, HOSTS, SHARDS);
+        let mut network = SimulatedNetwork::new(seed, HOSTS, SHARDS);
         let listed = vec![0, 1, 2, 5, 6];
-        exchange.publish(&listed, &[]);
+        network.publish(&listed, &[]);
         for host in &listed {
-            exchange.start(*host, 1);
+            network.start(*host, 1);
         }
-        exchange.faults = Faults {
+        network.faults = Faults {
             loss: 0.05,
             doubled: 0.1,
             delay: if seed.is_multiple_of(3) {
@@ -64,7 +64,7 @@
             },
         };
         Self {
-            exchange,
+            network,
             listed,
             known: vec![1; HOSTS.len()],
             due: Vec::new(),
@@ -73,7 +73,7 @@
     }
 
     fn version(&self) -> u64 {
-        self.exchange.lists.len() as u64
+        self.network.lists.len() as u64
     }
 
     fn publish(&mut self) {
@@ -81,63 +81,63 @@
             .listed
             .iter()
             .copied()
-            .filter(|_| self.exchange.rng.random_bool(0.1))
+            .filter(|_| self.network.rng.random_bool(0.1))
             .collect();
-        let version = self.exchange.publish(&self.listed, &leaving);
+        let version = self.network.publish(&self.listed, &leaving);
         for host in 0..HOSTS.len() {
             // Most hosts learn of it within 3 s. Some are cut off from the
             // platform and learn of it later.
-            let longest = if self.exchange.rng.random_bool(0.2) {
+            let longest = if self.network.rng.random_bool(0.2) {
                 12_000_000
             } else {
                 3_000_000
             };
-            let lag = self.exchange.rng.random_range(0..longest);
-            self.due.push((self.exchange.now + lag, host, version));
+            let lag = self.network.rng.random_range(0..longest);
+            self.due.push((self.network.now + lag, host, version));
         }
     }
 
-    fn learn_due(&mut self) {
-        let now = self.exchange.now;
+    fn deliver_due_lists(&mut self) {
+        let now = self.network.now;
         let (due, later) = std::mem::take(&mut self.due)
             .into_iter()
             .partition(|entry: &(u64, usize, u64)| entry.0 <= now);
         self.due = later;
         let due: Vec<(u64, usize, u64)> = due;
         for (at, host, version) in due {
-            if now < self.exchange.hosts[host].paused_until {
+            if now < self.network.hosts[host].paused_until {
                 self.due.push((at, host, version));
                 continue;
             }
             self.known[host] = self.known[host].max(version);
-            if self.exchange.is_up(host) {
-                self.exchange.learn_list(host, version);
+            if self.network.is_up(host) {
+                self.network.deliver_list(host, version);
             }
         }
     }
 
-    fn trouble(&mut self) {
-        let host = self.exchange.rng.random_range(0..HOSTS.len());
-        match self.exchange.rng.random_range(0..100) {
-            0..10 => self.exchange.crash(host),
-            10..20 if self.exchange.is_up(host) && self.listed.contains(&host) => {
-                self.exchange.crash(host);
+    fn inject_fault(&mut self) {
+        let host = self.network.rng.random_range(0..HOSTS.len());
+        match self.network.rng.random_range(0..100) {
+            0..10 => self.network.crash(host),
+            10..20 if self.network.is_up(host) && self.listed.contains(&host) => {
+                self.network.crash(host);
                 self.start(host);
             }
             20..45 => self.start_one(),
             45..60 => {
-                let length = self.exchange.rng.random_range(100_000..6_000_000);
-                self.exchange.pause(host, length);
+                let length = self.network.rng.random_range(100_000..6_000_000);
+                self.network.pause(host, length);
             }
             60..78 => {
-                let other = self.exchange.rng.random_range(0..HOSTS.len());
-                if self.exchange.rng.random_bool(0.5) {
-                    self.exchange.cuts.insert((host, other));
+                let other = self.network.rng.random_range(0..HOSTS.len());
+                if self.network.rng.random_bool(0.5) {
+                    self.network.cuts.insert((host, other));
                 } else {
-                    self.exchange.cut(host, other);
+                    self.network.cut(host, other);
                 }
             }
-            78..90 => self.exchange.cuts.clear(),
+            78..90 => self.network.cuts.clear(),
             90..100 => self.change_list(),
             _ => {}
         }
@@ -145,8 +145,8 @@
 
     fn start_one(&mut self) {
         let down = self.listed.iter().copied();
-        let down: Vec<usize> = down.filter(|host| !self.exchange.is_up(*host)).collect();
-        if let Some(host) = down.choose(&mut self.exchange.rng).copied() {
+        let down: Vec<usize> = down.filter(|host| !self.network.is_up(*host)).collect();
+        if let Some(host) = down.choose(&mut self.network.rng).copied() {
             self.start(host);
         }
     }
@@ -156,13 +156,13 @@
     /// voters had just started as well, no host could report the earlier voters to
     /// it (docs/design/home-leases.md, what cannot hold).
     fn start(&mut self, host: usize) {
-        let limit = self.exchange.now + COLD_MARGIN;
+        let limit = self.network.now + MAX_LIST_LAG;
         let mut pending = self.due.iter();
-        if pending.any(|(at, host, _)| *at > limit && self.exchange.is_up(*host)) {
+        if pending.any(|(at, host, _)| *at > limit && self.network.is_up(*host)) {
             return;
         }
         self.known[host] = self.version();
-        self.exchange.start(host, self.version());
+        self.network.start(host, self.version());
     }
 
     fn change_list(&mut self) {
@@ -173,15 +173,15 @@
             .listed
             .iter()
             .copied()
-            .filter(|host| OWN.contains(host))
+            .filter(|host| DOMAIN_HOSTS.contains(host))
             .collect();
-        let absent: Vec<usize> = OWN.filter(|host| !own.contains(host)).collect();
-        let remove = own.len() > 1 && (absent.is_empty() || self.exchange.rng.random_bool(0.5));
+        let absent: Vec<usize> = DOMAIN_HOSTS.filter(|host| !own.contains(host)).collect();
+        let remove = own.len() > 1 && (absent.is_empty() || self.network.rng.random_bool(0.5));
         if remove {
-            let host = *own.choose(&mut self.exchange.rng).unwrap();
+            let host = *own.choose(&mut self.network.rng).unwrap();
             self.listed.retain(|listed| *listed != host);
-            self.dropped = Some((host, self.exchange.now + 15_000_000));
-        } else if let Some(host) = absent.choose(&mut self.exchange.rng).copied() {
+            self.dropped = Some((host, self.network.now + 15_000_000));
+        } else if let Some(host) = absent.choose(&mut self.network.rng).copied() {
             self.listed.push(host);
         }
         self.publish();
@@ -191,27 +191,27 @@
     /// then may the list drop another host.
     fn remove_dropped(&mut self) {
         if let Some((host, by)) = self.dropped
-            && (self.exchange.now >= by || !self.exchange.is_up(host))
+            && (self.network.now >= by || !self.network.is_up(host))
         {
-            self.exchange.crash(host);
+            self.network.crash(host);
             self.dropped = None;
         }
     }
 
     fn step(&mut self) -> Result<usize, String> {
-        if self.exchange.rng.random_bool(0.04) {
-            self.trouble();
+        if self.network.rng.random_bool(0.04) {
+            self.inject_fault();
         }
         self.remove_dropped();
-        self.learn_due();
-        self.exchange.pass(STEP);
+        self.deliver_due_lists();
+        self.network.advance(STEP);
         let mut held = 0;
         for index in 0..SHARDS {
             let shard = ShardId {
                 domain: DomainId::from_name("a"),
                 index,
             };
-            let holders = self.exchange.holders(shard);
+            let holders = self.network.holders(shard);
             if holders.len() > 1 {
                 let names: Vec<&str> = holders.iter().map(|host| HOSTS[*host].0).collect();
                 let lists: Vec<u64> = holders.iter().map(|host| self.known[*host]).collect();
@@ -225,16 +225,16 @@
     }
 }
 
-fn storm(seed: u64, steps: usize) -> Result<Run, String> {
-    let mut storm = Storm::new(seed);
-    let mut run = Run::default();
+fn run_with_faults(seed: u64, steps: usize) -> Result<RunTotals, String> {
+    let mut simulation = FaultSimulation::new(seed);
+    let mut run = RunTotals::default();
     for step in 0..steps {
-        let held = storm
+        let held = simulation
             .step()
             .map_err(|problem| format!("seed {seed}, step {step}: {problem}"))?;
         run.held_steps += held;
     }
-    run.changes = storm.exchange.lists.len();
+    run.changes = simulation.network.lists.len();
     Ok(run)
 }
 
@@ -246,14 +246,14 @@
 fn no_two_hosts_hold_a_shard_in_any_step() {
     let seeds: Vec<u64> = (0..300).collect();
     let parts: Vec<&[u64]> = seeds.chunks(100).collect();
-    let runs: Vec<Run> = thread::scope(|scope| {
+    let runs: Vec<RunTotals> = thread::scope(|scope| {
         let handles: Vec<_> = parts
             .iter()
             .map(|part| {
                 scope.spawn(|| {
                     part.iter()
-                        .map(|seed| storm(*seed, 2_000))
-                        .collect::<Result<Vec<Run>, String>>()
+                        .map(|seed| run_with_faults(*seed, 2_000))
+                        .collect::<Result<Vec<RunTotals>, String>>()
                 })
             })
             .collect();
@@ -281,28 +281,28 @@
 #[test]
 fn shards_find_a_home_again_after_crash_and_cut() {
     for seed in 0..20 {
-        let mut exchange = Exchange::new(seed, HOSTS, 8);
-        exchange.publish(&[0, 1, 2, 5, 6], &[]);
+        let mut network = SimulatedNetwork::new(seed, HOSTS, 8);
+        network.publish(&[0, 1, 2, 5, 6], &[]);
         for host in [0, 1, 2, 5, 6] {
-            exchange.start(host, 1);
+            network.start(host, 1);
         }
         let (a, b) = (DomainId::from_name("a"), DomainId::from_name("b"));
-        exchange.pass(6_000_000);
+        network.advance(6_000_000);
         assert!(
-            exchange.all_held(a, 8) && exchange.all_held(b, 8),
+            network.all_held(a, 8) && network.all_held(b, 8),
             "seed {seed}: after the start"
         );
-        exchange.crash(0);
-        exchange.pass(6_000_000);
-        assert!(exchange.all_held(a, 8), "seed {seed}: after a crash");
-        exchange.cut(1, 2);
-        exchange.pass(6_000_000);
-        exchange.cuts.clear();
-        exchange.start(0, 1);
-        exchange.pass(10_000_000);
+        network.crash(0);
+        network.advance(6_000_000);
+        assert!(network.all_held(a, 8), "seed {seed}: after a crash");
+        network.cut(1, 2);
+        network.advance(6_000_000);
+        network.cuts.clear();
+        network.start(0, 1);
+        network.advance(10_000_000);
         for index in 0..8 {
             let shard = ShardId { domain: a, index };
-            assert_eq!(exchange.holders(shard).len(), 1, "seed {seed}: healed");
+            assert_eq!(network.holders(shard).len(), 1, "seed {seed}: healed");
         }
     }
 }
@@ -312,42 +312,42 @@
 /// it.
 #[test]
 fn a_domain_that_is_cut_off_keeps_its_homes() {
-    let mut exchange = Exchange::new(3, HOSTS, 8);
-    exchange.publish(&[0, 1, 5, 6], &[]);
+    let mut network = SimulatedNetwork::new(3, HOSTS, 8);
+    network.publish(&[0, 1, 5, 6], &[]);
     for host in [0, 1, 5, 6] {
-        exchange.start(host, 1);
+        network.start(host, 1);
     }
-    exchange.pass(6_000_000);
+    network.advance(6_000_000);
     for inside in [0, 1] {
         for outside in [5, 6] {
-            exchange.cut(inside, outside);
+            network.cut(inside, outside);
         }
     }
-    exchange.pass(20_000_000);
-    assert!(exchange.all_held(DomainId::from_name("a"), 8));
-    assert!(exchange.all_held(DomainId::from_name("b"), 8));
+    network.advance(20_000_000);
+    assert!(network.all_held(DomainId::from_name("a"), 8));
+    assert!(network.all_held(DomainId::from_name("b"), 8));
 }
 
 /// Guards against a host that is paused for longer than a lease and then uses its
 /// outdated state. It must hold nothing until other hosts grant it leases again, and
 /// must grant nothing itself for one lease, because it does not know what it missed.
 #[test]
-fn a_host_that_slept_holds_and_promises_nothing_at_first() {
-    let mut exchange = Exchange::new(9, HOSTS, 8);
-    exchange.publish(&[0, 1, 2, 5, 6], &[]);
+fn a_host_that_was_paused_holds_and_grants_nothing_at_first() {
+    let mut network = SimulatedNetwork::new(9, HOSTS, 8);
+    network.publish(&[0, 1, 2, 5, 6], &[]);
     for host in [0, 1, 2, 5, 6] {
-        exchange.start(host, 1);
+        network.start(host, 1);
     }
-    exchange.pass(6_000_000);
-    exchange.pause(0, 5_000_000);
-    exchange.pass(5_050_000);
-    let engine = exchange.hosts[0].engine.as_ref().unwrap();
-    let held = engine.control().homes().leases().held(exchange.local(0));
+    network.advance(6_000_000);
+    network.pause(0, 5_000_000);
+    network.advance(5_050_000);
+    let engine = network.hosts[0].engine.as_ref().unwrap();
+    let held = engine.control().homes().leases().held(network.local(0));
     assert_eq!(held.count(), 0);
     for _ in 0..14 {
-        exchange.pass(100_000);
-        let now = exchange.local(0);
-        let engine = exchange.hosts[0].engine.as_ref().unwrap();
+        network.advance(100_000);
+        let now = network.local(0);
+        let engine = network.hosts[0].engine.as_ref().unwrap();
         let homes = engine.control().homes();
         assert!(
             homes
@@ -357,10 +357,10 @@
                 .all(|grant| grant.until <= now)
         );
     }
-    exchange.pass(8_000_000);
+    network.advance(8_000_000);
     let domain = DomainId::from_name("a");
-    assert!(exchange.all_held(domain, 8));
-    assert!((0..8).any(|index| exchange.holders(ShardId { domain, index }) == [0]));
+    assert!(network.all_held(domain, 8));
+    assert!((0..8).any(|index| network.holders(ShardId { domain, index }) == [0]));
 }
 
 /// Guards against shards without a home after a host was added to a domain of two. The old
@@ -373,16 +373,16 @@
 fn a_host_that_is_added_leaves_no_shard_without_a_home() {
     let (domain, mut longest) = (DomainId::from_name("a"), (0, 0));
     for seed in 0..200 {
-        let mut exchange = Exchange::new(seed, HOSTS, 8);
-        exchange.publish(&[0, 1, 5, 6], &[]);
+        let mut network = SimulatedNetwork::new(seed, HOSTS, 8);
+        network.publish(&[0, 1, 5, 6], &[]);
         for host in [0, 1, 5, 6] {
-            exchange.start(host, 1);
+            network.start(host, 1);
         }
-        while !exchange.all_held(domain, 8) {
-            exchange.pass(25_000);
+        while !network.all_held(domain, 8) {
+            network.advance(25_000);
         }
         let listed = [0, 1, 2, 5, 6];
-        let version = exchange.publish(&listed, &[]);
+        let version = network.publish(&listed, &[]);
         // Each host learns of the list from the platform at its own time.
         let mut random = SmallRng::seed_from_u64(seed);
         let mut turns: Vec<(u64, usize)> = listed
@@ -394,13 +394,13 @@
         for step in 0..320 {
             while let Some((_, host)) = turns.pop_if(|(turn, _)| 24 - *turn <= step) {
                 if host == 2 {
-                    exchange.start(2, version);
+                    network.start(2, version);
                 } else {
-                    exchange.learn_list(host, version);
+                    network.deliver_list(host, version);
                 }
             }
-            exchange.pass(25_000);
-            homeless = if exchange.all_held(domain, 8) {
+            network.advance(25_000);
+            homeless = if network.all_held(domain, 8) {
                 0
             } else {
                 homeless + 25
--- a/crates/cardamomwinch_coordination/tests/homes_releases.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_releases.rs
@@ -30,7 +30,7 @@
     DomainId::from_name("kut")
 }
 
-fn life(index: usize, incarnation: u64) -> CandidateLife {
+fn incarnation_of(index: usize, incarnation: u64) -> CandidateLife {
     let host = HostId::from_name(HOSTS[index]);
     CandidateLife::new(host, Incarnation::new(incarnation))
 }
@@ -64,18 +64,18 @@
     now: Timestamp,
 }
 
-fn world<'w>(
+fn context<'c>(
     index: usize,
-    hosts: &'w HostTable,
-    limits: &'w ConfigurationLimits,
-    membership: &'w PeerMembership,
-) -> HomeWorld<'w> {
-    let life = life(index, 1);
+    hosts: &'c HostTable,
+    limits: &'c ConfigurationLimits,
+    membership: &'c PeerMembership,
+) -> HomeWorld<'c> {
+    let own = incarnation_of(index, 1);
     HomeWorld {
         identity: HostIdentity {
-            host: life.host,
+            host: own.host,
             domain: domain(),
-            incarnation: life.incarnation,
+            incarnation: own.incarnation,
         },
         phase: ServingPhase::Serving,
         adopted: true,
@@ -118,8 +118,8 @@
             held: ShardSet::default(),
             unsettled: ShardSet::default(),
         };
-        let world = world(VOTER, &self.hosts, &self.limits, &self.membership);
-        let answer = self.voter.decide(self.now, &world, candidate, &request);
+        let context = context(VOTER, &self.hosts, &self.limits, &self.membership);
+        let answer = self.voter.decide(self.now, &context, candidate, &request);
         answer.is_some_and(|answer| answer.granted.contains(0))
     }
 
@@ -138,8 +138,8 @@
             },
             shards: [0].into_iter().collect(),
         };
-        let world = world(VOTER, &self.hosts, &self.limits, &self.membership);
-        self.voter.release(&world, holder, &release);
+        let context = context(VOTER, &self.hosts, &self.limits, &self.membership);
+        self.voter.release(&context, holder, &release);
     }
 }
 
@@ -152,29 +152,41 @@
 #[test]
 fn released_shard_is_granted_to_the_named_successor_alone() {
     let mut bench = VoterBench::new();
-    assert!(bench.grants(life(HOME, 1), 1));
+    assert!(bench.grants(incarnation_of(HOME, 1), 1));
     bench.pass(MOMENT);
-    bench.release(life(HOME, 1), 2, life(SUCCESSOR, 1), 0);
-    assert!(!bench.grants(life(THIRD, 1), 1), "granted to a third host");
-    assert!(!bench.grants(life(HOME, 1), 3), "granted to the old home");
+    bench.release(incarnation_of(HOME, 1), 2, incarnation_of(SUCCESSOR, 1), 0);
     assert!(
-        !bench.grants(life(SUCCESSOR, 2), 1),
+        !bench.grants(incarnation_of(THIRD, 1), 1),
+        "granted to a third host"
+    );
+    assert!(
+        !bench.grants(incarnation_of(HOME, 1), 3),
+        "granted to the old home"
+    );
+    assert!(
+        !bench.grants(incarnation_of(SUCCESSOR, 2), 1),
         "granted to a new incarnation"
     );
     bench.pass(bench.limits.home_lease);
-    assert!(bench.grants(life(THIRD, 1), 2), "the old grant has run out");
+    assert!(
+        bench.grants(incarnation_of(THIRD, 1), 2),
+        "the old grant has run out"
+    );
 
     let mut bench = VoterBench::new();
-    assert!(bench.grants(life(HOME, 1), 1));
+    assert!(bench.grants(incarnation_of(HOME, 1), 1));
     bench.pass(MOMENT);
-    assert!(!bench.grants(life(SUCCESSOR, 1), 1));
-    bench.release(life(HOME, 1), 2, life(SUCCESSOR, 1), 1);
+    assert!(!bench.grants(incarnation_of(SUCCESSOR, 1), 1));
+    bench.release(incarnation_of(HOME, 1), 2, incarnation_of(SUCCESSOR, 1), 1);
     assert!(
-        bench.grants(life(SUCCESSOR, 1), 2),
+        bench.grants(incarnation_of(SUCCESSOR, 1), 2),
         "granted to the successor"
     );
     bench.pass(bench.limits.home_lease - MOMENT);
-    assert!(!bench.grants(life(THIRD, 1), 1), "a whole lease is granted");
+    assert!(
+        !bench.grants(incarnation_of(THIRD, 1), 1),
+        "a whole lease is granted"
+    );
 }
 
 /// Guards against a delayed release. A home hands a shard over to one host, gets it
@@ -185,13 +197,19 @@
 #[test]
 fn release_from_before_the_hand_over_does_not_pass_the_shard_on() {
     let mut bench = VoterBench::new();
-    assert!(bench.grants(life(HOME, 1), 1));
-    bench.release(life(HOME, 1), 2, life(SUCCESSOR, 1), 7);
-    bench.release(life(SUCCESSOR, 1), 7, life(THIRD, 1), 0);
-    assert!(!bench.grants(life(THIRD, 1), 1), "by the delayed release");
-    assert!(bench.grants(life(SUCCESSOR, 1), 8));
-    bench.release(life(SUCCESSOR, 1), 9, life(THIRD, 1), 1);
-    assert!(bench.grants(life(THIRD, 1), 2), "by the new release");
+    assert!(bench.grants(incarnation_of(HOME, 1), 1));
+    bench.release(incarnation_of(HOME, 1), 2, incarnation_of(SUCCESSOR, 1), 7);
+    bench.release(incarnation_of(SUCCESSOR, 1), 7, incarnation_of(THIRD, 1), 0);
+    assert!(
+        !bench.grants(incarnation_of(THIRD, 1), 1),
+        "by the delayed release"
+    );
+    assert!(bench.grants(incarnation_of(SUCCESSOR, 1), 8));
+    bench.release(incarnation_of(SUCCESSOR, 1), 9, incarnation_of(THIRD, 1), 1);
+    assert!(
+        bench.grants(incarnation_of(THIRD, 1), 2),
+        "by the new release"
+    );
 }
 
 /// Guards against a successor that relies on outdated voters. The hosts of the
@@ -201,14 +219,14 @@
 #[test]
 fn successor_with_an_earlier_list_is_refused() {
     let mut bench = VoterBench::new();
-    assert!(bench.grants(life(HOME, 1), 1));
-    bench.release(life(HOME, 1), 2, life(SUCCESSOR, 1), 0);
+    assert!(bench.grants(incarnation_of(HOME, 1), 1));
+    bench.release(incarnation_of(HOME, 1), 2, incarnation_of(SUCCESSOR, 1), 0);
     let mut changed = hosts(2);
-    changed.hosts.remove(&life(THIRD, 1).host);
+    changed.hosts.remove(&incarnation_of(THIRD, 1).host);
     bench.voter.adopt_hosts(&changed);
     bench.hosts = changed;
-    assert!(!bench.grants_by(1, life(SUCCESSOR, 1), 1));
-    assert!(bench.grants_by(2, life(SUCCESSOR, 1), 2));
+    assert!(!bench.grants_by(1, incarnation_of(SUCCESSOR, 1), 1));
+    assert!(bench.grants_by(2, incarnation_of(SUCCESSOR, 1), 2));
 }
 
 /// Guards against an acknowledgement without the last round of the successor. The
@@ -221,11 +239,11 @@
         shards_per_domain: 1,
         ..ConfigurationLimits::default()
     };
-    let world = world(SUCCESSOR, &hosts, &limits, &membership);
+    let context = context(SUCCESSOR, &hosts, &limits, &membership);
     let (mut table, mut out, mut now) = (HomeTable::default(), Vec::new(), BEGIN);
     for _ in 0..200 {
-        table.note_event(now, &world);
-        table.advance(now, &world, &mut out);
+        table.note_event(now, &context);
+        table.advance(now, &context, &mut out);
         now = now.after(MOMENT);
     }
     let shard = ShardId {
@@ -239,11 +257,11 @@
         records_since: None,
         items: Vec::new(),
     };
-    table.note_event(now, &world);
+    table.note_event(now, &context);
     table.take(
         now,
-        &world,
-        life(HOME, 1),
+        &context,
+        incarnation_of(HOME, 1),
         &HomeMessage::HandOver(chunk),
         &mut out,
     );
@@ -271,7 +289,7 @@
 /// the home gave up the lease now, no host would have the first half. Only the
 /// incarnation that acknowledged first may complete the hand-over.
 #[test]
-fn two_lives_of_a_successor_do_not_complete_a_hand_over() {
+fn two_incarnations_of_a_successor_do_not_complete_a_hand_over() {
     let shard = ShardId {
         domain: domain(),
         index: 0,
@@ -280,7 +298,7 @@
         shard,
         begun: BEGIN,
     };
-    let successor = life(SUCCESSOR, 1);
+    let successor = incarnation_of(SUCCESSOR, 1);
     let limits = ConfigurationLimits::default();
     let (mut table, mut out) = (OutgoingTable::default(), Vec::new());
     table.begin(BEGIN, shard, successor.host, limits.home_lease, &mut out);
@@ -292,7 +310,7 @@
             records_since: None,
             items: Vec::new(),
         };
-        table.take_chunk(BEGIN, chunk, &mut out);
+        table.send_chunk(BEGIN, chunk, &mut out);
     }
     let receipt = |position, round| ChunkReceipt {
         hand_over,
@@ -300,10 +318,14 @@
         round: LeaseRound(round),
     };
     let now = BEGIN.after(MOMENT);
-    assert!(table.take_receipt(now, successor, receipt(0, 4)).is_none());
-    let other = table.take_receipt(now, life(SUCCESSOR, 2), receipt(1, 1));
+    assert!(
+        table
+            .handle_receipt(now, successor, receipt(0, 4))
+            .is_none()
+    );
+    let other = table.handle_receipt(now, incarnation_of(SUCCESSOR, 2), receipt(1, 1));
     assert!(other.is_none(), "completed by another incarnation");
-    let ready = table.take_receipt(now, successor, receipt(1, 5)).unwrap();
+    let ready = table.handle_receipt(now, successor, receipt(1, 5)).unwrap();
     let acknowledged = ready.acknowledged_by().unwrap();
     assert_eq!(acknowledged.incarnation, successor.incarnation);
     assert_eq!(acknowledged.round, LeaseRound(5));
--- a/crates/cardamomwinch_model/tests/conformance_homes.rs
+++ b/crates/cardamomwinch_model/tests/conformance_homes.rs
@@ -140,7 +140,7 @@
         let mut voter = VoterTable::default();
         voter.adopt_hosts(hosts);
         let muted_until = BEGIN.after(limits.home_lease);
-        voter.stay_silent(muted_until);
+        voter.withhold_grants_until(muted_until);
         Self {
             voter,
             now: BEGIN,
