--- a/crates/cardamomwinch_coordination/src/control/adoption/accepted.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/accepted.rs
@@ -1,7 +1,8 @@
-//! What a host has accepted, as a join-semilattice: merging the states of two
-//! hosts takes the newer of each part. Merging is commutative, associative and
-//! idempotent and lowers nothing, so hosts that exchange their states in any
-//! order, however often, end with the same one.
+//! The accepted state of a host, which is a join-semilattice: merging the states
+//! of two hosts keeps the newer version of each part. Merging is commutative,
+//! associative and idempotent, and never replaces a part by an older one. Hosts
+//! that exchange their states in any order and any number of times therefore end
+//! with the same state.
 
 use std::cmp;
 use std::sync;
@@ -17,25 +18,25 @@
 use crate::control::adoption::document::{self, HeldFragment, HeldRoot};
 use crate::control::adoption::host_lists::HostLists;
 
-/// Fragments of a team kept after they were in force. The second one serves
-/// where two hosts accepted, each for itself, fragments of two teams that clash.
+/// Accepted fragments that are kept for each team. The second one is used if two
+/// hosts have independently accepted fragments of two teams that conflict.
 pub const ACCEPTED_KEPT: usize = 2;
 
-/// Fragments of more bytes than this together are not put into one offer: it
-/// has to pass as one message, into which it is escaped once more.
+/// The most bytes of fragments in one offer. An offer is sent as one message, in
+/// which its text is escaped once more.
 pub const OFFER_LIMIT: usize = 1536 * 1024;
 
 /// The fragments of one team.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct TeamFragments {
-    /// The newest one seen, whether or not it can be in force.
+    /// The newest published fragment, whether or not it can be in force.
     pub newest: Option<HeldFragment>,
-    /// The last ones that were in force somewhere, newest first.
+    /// The last fragments that were in force on any host, newest first.
     pub accepted: Vec<HeldFragment>,
 }
 
 impl TeamFragments {
-    /// Notes a fragment that was published.
+    /// Records a fragment that was published.
     pub fn note(&mut self, fragment: &HeldFragment) {
         let newest = self.newest.as_ref().map(|newest| newest.stamp);
         if newest < Some(fragment.stamp) {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Notes a fragment that was in force.
+    /// Records a fragment that was in force.
     pub fn accept(&mut self, fragment: &HeldFragment) {
         self.note(fragment);
         if self.accepted.contains(fragment) {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Everything accepted.
+/// The documents that a host has accepted.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct AcceptedState {
     /// The root document.
@@ -113,26 +114,26 @@
         ConfigurationVersion::new(self.root_stamp().revision)
     }
 
-    /// Takes `root` where it is newer.
+    /// Replaces the root document if `root` is newer.
     pub fn raise_root(&mut self, root: HeldRoot) {
         if root.stamp > self.root_stamp() {
             self.root = Some(sync::Arc::new(root));
         }
     }
 
-    /// The fragments of `team`, to be raised.
+    /// The fragments of `team`, created empty if there are none.
     pub fn team_mut(&mut self, team: &str) -> &mut TeamFragments {
         self.teams
             .get_or_insert_with(team.to_owned(), TeamFragments::default)
     }
 
-    /// The revision of the newest fragment of `team`; zero where there is none.
+    /// The revision of the newest fragment of `team`; zero if there is none.
     pub fn newest_revision(&self, team: &String) -> u64 {
         let team = self.teams.get(team);
         team.map_or(0, |team| team.newest_stamp().revision)
     }
 
-    /// Takes the newer of each part of `other`.
+    /// Replaces each part that is newer in `other`.
     pub fn merge(&mut self, other: &Self) {
         if other.root_stamp() > self.root_stamp() {
             self.root.clone_from(&other.root);
@@ -143,7 +144,7 @@
         self.hosts.merge(&other.hosts);
     }
 
-    /// Names everything held.
+    /// The stamps of all documents.
     pub fn known(&self) -> KnownDocuments {
         let teams = self.teams.iter().map(|(name, team)| team.known(name));
         KnownDocuments {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Names everything held in a few bytes.
+    /// A digest of the stamps of all documents.
     pub fn digest(&self) -> ConfigurationDigest {
         let mut bytes = Vec::new();
         push_stamp(&mut bytes, self.root_stamp());
@@ -174,7 +175,8 @@
         }
     }
 
-    /// What a host that holds `known`, and asked for it at `asked`, lacks.
+    /// The offer to a host that holds `known`: the documents that it lacks. `asked`
+    /// is the time at which that host sent its query, by its own clock.
     pub fn difference(
         &self,
         known: &KnownDocuments,
@@ -195,8 +197,8 @@
             digest: self.digest(),
             complete,
             confirmed,
-            // The root document comes last, so that it never comes into force
-            // while fragments that it lists are still to come.
+            // The root document is sent last, so that it never comes into force
+            // before the fragments that it lists have arrived.
             root: newer_root
                 .filter(|_| complete)
                 .map(|root| root.published.clone()),
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Whether a host that holds `known` holds something that is lacking here.
+    /// Whether a host that holds `known` has a document that is missing here.
     pub fn lacks(&self, known: &KnownDocuments) -> bool {
         let team_lacks = |theirs: &KnownTeam| {
             let Some(own) = self.teams.get(&theirs.team) else {
@@ -221,13 +223,15 @@
     }
 }
 
-/// Whether a host that has accepted `held`, newest first, would keep `stamp`.
+/// Whether a host that has accepted the fragments `held`, newest first, would keep
+/// one with `stamp`.
 fn would_accept(held: &[DocumentStamp], stamp: DocumentStamp) -> bool {
     let displaces = held.len() < ACCEPTED_KEPT || held.last() < Some(&stamp);
     displaces && !held.contains(&stamp)
 }
 
-/// How many of the first `fragments` fit into one offer; one always does.
+/// How many of `fragments`, in order, fit into one offer. The first one always
+/// counts as fitting.
 fn fitting_count(fragments: &[FragmentOffer]) -> usize {
     let sizes = fragments.iter().scan(0, |total, offer| {
         *total += offer.document.text.len();
--- a/crates/cardamomwinch_coordination/src/control/adoption/calls.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/calls.rs
@@ -1,5 +1,5 @@
-//! The calls of this host to the platform: which ones run, and when a call
-//! that failed may be made again.
+//! The calls of this host to the platform: which ones are running, and when a call
+//! that failed may be repeated.
 
 use std::time;
 
@@ -9,13 +9,13 @@
 
 use crate::control::event::{PlatformKey, PlatformRequest};
 
-/// The rest after a first failure, before jitter.
+/// The backoff after a first failure, before jitter.
 const FIRST_REST: time::Duration = time::Duration::from_millis(250);
-/// A call without an outcome for this long after its wait is given up.
+/// A call is given up if it has no outcome this long after its wait has ended.
 const LOST_AFTER: time::Duration = time::Duration::from_secs(10);
 
-/// A call; a read and a watch of one key run apart, so that a host that woke
-/// can ask anew while its old watch still hangs.
+/// Identifies a call. A read and a watch of the same key are separate calls, so that
+/// a host that resumes after a pause can read while its old watch still hangs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct CallName {
     key: PlatformKey,
@@ -35,11 +35,11 @@
 struct CallRecord {
     failures: u32,
     started: Timestamp,
-    /// While it runs: when it is given up. While it rests: when that is over.
+    /// While the call runs: when it is given up. During backoff: when that ends.
     until: Timestamp,
 }
 
-/// All calls, and the randomness of their rests.
+/// All calls, and the random source of their backoff.
 #[derive(Debug)]
 pub(crate) struct PlatformCalls {
     calls: SortedVector<CallName, CallRecord>,
@@ -47,7 +47,7 @@
 }
 
 impl PlatformCalls {
-    /// Creates an empty set whose rests follow from `seed`.
+    /// Creates an empty set; `seed` determines the backoff.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             calls: SortedVector::new(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether `request` may be made now; notes that it runs where it may.
+    /// Returns whether `request` may be made now, and if so records that it runs.
     pub(crate) fn try_start(&mut self, now: Timestamp, request: &PlatformRequest) -> bool {
         let name = CallName::of(request);
         let record = self.calls.get_or_insert_with(name, CallRecord::default);
@@ -67,21 +67,22 @@
         true
     }
 
-    /// When `request` was made last.
+    /// When `request` was last made.
     pub(crate) fn started(&self, request: &PlatformRequest) -> Option<Timestamp> {
         let record = self.calls.get(&CallName::of(request));
         record.map(|record| record.started)
     }
 
-    /// Notes that `request` was answered.
+    /// Records that `request` was answered.
     pub(crate) fn succeed(&mut self, request: &PlatformRequest) {
         self.calls.remove(&CallName::of(request));
     }
 
-    /// Notes that `request` is to rest: it failed, or its answer was of no use.
+    /// Defers `request`, because it failed or its answer was not useful.
     ///
-    /// Guards against a herd when the platform comes back: rests grow up to
-    /// `longest`, and each host draws its own between half and all of it.
+    /// Guards against a burst of simultaneous calls when the platform recovers: the
+    /// backoff doubles up to `longest`, and each host draws its own between half of
+    /// it and all of it.
     pub(crate) fn rest(
         &mut self,
         now: Timestamp,
--- a/crates/cardamomwinch_coordination/src/control/adoption/confirmation.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/confirmation.rs
@@ -1,28 +1,30 @@
-//! Whether what this host holds was compared with others. A host that starts
-//! compares before it serves; one that slept does so before it serves again.
+//! Whether the state of this host was compared with peers or the platform. A host
+//! that starts does so before it serves, and a host that was paused before it
+//! serves again.
 
 use std::time;
 
 use cardamomwinch_state::prelude::{HostId, Timestamp};
 
-/// How long a host that starts waits for peers or the platform before it does
-/// with the other alone. A platform that answers first may be stale, while the
-/// peers' answer is on its way.
+/// How long a starting host waits for both peers and the platform before the answer
+/// of one of them suffices. The platform may answer first but be stale, while
+/// answers of peers are still on their way.
 pub(crate) const START_WAIT: time::Duration = time::Duration::from_millis(1000);
-/// After this long the answer of a peer that has not compared its own state
-/// counts as well: a domain that slept as a whole and is cut off serves on.
+/// After this time the answer of a peer that has not compared its own state counts
+/// as well. Without this, a domain whose hosts were all paused at once and that is
+/// cut off would never serve again.
 pub(crate) const UNCONFIRMED_WAIT: time::Duration = time::Duration::from_secs(3);
-/// Answers of peers after which a host that starts waits for no more.
+/// A starting host waits for no more peers after this many answers.
 const ENOUGH_ANSWERS: usize = 3;
 
-/// Why a comparison is made.
+/// The reason for a comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Occasion {
     Start,
     Wake,
 }
 
-/// An answer of a peer.
+/// The answer of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PeerAnswer {
     host: HostId,
@@ -34,7 +36,7 @@
 pub(crate) struct StateConfirmation {
     occasion: Occasion,
     begun: Timestamp,
-    /// When the first list of hosts came, so that peers could be asked.
+    /// When this host received its first list of hosts and could query peers.
     peers_known: Option<Timestamp>,
     answers: Vec<PeerAnswer>,
     root_read: bool,
@@ -43,7 +45,7 @@
 }
 
 impl StateConfirmation {
-    /// The comparison of a host that starts.
+    /// The comparison of a starting host.
     pub(crate) fn starting() -> Self {
         Self::begin(Timestamp::ZERO, Occasion::Start)
     }
@@ -68,13 +70,13 @@
         }
     }
 
-    /// Notes when the process started.
+    /// Records when the process started.
     pub(crate) fn note_start(&mut self, now: Timestamp) {
         self.begun = now;
     }
 
-    /// Starts over because the host slept. One that had not finished its
-    /// first comparison begins that one again.
+    /// Starts over because the host was paused. A host that had not finished the
+    /// comparison of its start begins that one again.
     pub(crate) fn note_sleep(&mut self, now: Timestamp) {
         let occasion = if self.done {
             Occasion::Wake
@@ -89,8 +91,8 @@
         self.done
     }
 
-    /// Whether the comparison after a sleep runs: the platform is then asked
-    /// only where peers leave the question open.
+    /// Whether to read the platform for this comparison. After a pause, peers get
+    /// some time to answer first.
     pub(crate) fn asks_platform(&self, now: Timestamp) -> bool {
         let patience = match self.occasion {
             Occasion::Start => time::Duration::ZERO,
@@ -104,31 +106,30 @@
         self.root_read
     }
 
-    /// Whether the platform's list of hosts was read since.
+    /// Whether the platform's list of hosts was read since the comparison began.
     pub(crate) fn has_read_hosts(&self) -> bool {
         self.hosts_read
     }
 
-    /// Notes that the platform's root document is not older than the own one.
+    /// Records that the platform's root document is not older than this host's.
     pub(crate) fn note_root(&mut self) {
         self.root_read = true;
     }
 
-    /// Notes that the platform's list of hosts is not older than the own one.
+    /// Records that the platform's list of hosts is not older than this host's.
     pub(crate) fn note_hosts(&mut self) {
         self.hosts_read = true;
     }
 
-    /// Whether something that was asked for at `asked` belongs to this
-    /// comparison.
+    /// Whether an answer to a query sent at `asked` counts for this comparison.
     ///
-    /// Guards against an answer that waited while the host slept: it is read
-    /// first on waking, but says what was true before.
+    /// Guards against an answer that arrived during a pause: the host reads it first
+    /// when it resumes, but its content is from before the pause.
     pub(crate) fn covers(&self, asked: Timestamp) -> bool {
         asked >= self.begun
     }
 
-    /// Notes the offer of `host`, and whether its state was compared.
+    /// Records the answer of `host`, and whether it has compared its own state.
     pub(crate) fn note_answer(&mut self, host: HostId, confirmed: bool) {
         let known = self.answers.iter_mut().find(|answer| answer.host == host);
         match known {
@@ -142,9 +143,10 @@
         self.answers.iter().any(|answer| answer.host == host)
     }
 
-    /// Decides anew, where `peers` other hosts are listed; `None` before any
-    /// list is held. `behind` tells that something newer is known and not yet in
-    /// force; a host that wakes waits for it, unless it never comes.
+    /// Decides whether the comparison is complete. `peers` is the number of other
+    /// listed hosts, or `None` before there is a list. `behind` means that a newer
+    /// root document is known and not yet in force; after a pause the host waits for
+    /// it, but not longer than [`UNCONFIRMED_WAIT`].
     pub(crate) fn decide(&mut self, now: Timestamp, peers: Option<usize>, behind: bool) {
         if let Some(peers) = peers.filter(|_| !self.done) {
             self.peers_known.get_or_insert(now);
--- a/crates/cardamomwinch_coordination/src/control/adoption/document.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/document.rs
@@ -1,5 +1,5 @@
-//! Documents as this host holds them: the published text, what was read from
-//! it, and the stamp that orders it.
+//! Documents as this host holds them: the published text, its parsed content, and
+//! the stamp that orders it.
 
 use std::sync;
 
@@ -24,16 +24,16 @@
 /// A root document without errors.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldRoot {
-    /// Orders it.
+    /// Orders root documents.
     pub stamp: DocumentStamp,
-    /// As it was published.
+    /// The published text.
     pub published: PublishedText,
-    /// What it says.
+    /// The parsed document.
     pub document: RootDocument,
 }
 
 impl HeldRoot {
-    /// Reads a published root document.
+    /// Parses a published root document.
     ///
     /// # Errors
     /// Reports every error of the document.
@@ -50,16 +50,16 @@
 /// A fragment of a team, with or without errors. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct HeldFragment {
-    /// Orders it among the fragments of its team.
+    /// Orders the fragments of a team.
     pub stamp: DocumentStamp,
-    /// As it was published.
+    /// The published text.
     pub published: sync::Arc<PublishedText>,
-    /// What it says, or what is wrong with it.
+    /// The parsed fragment, or its errors.
     pub content: sync::Arc<Result<TeamFragment, CheckReport>>,
 }
 
 impl HeldFragment {
-    /// Reads a published fragment of `team`.
+    /// Parses a published fragment of `team`.
     pub fn read(team: &str, published: PublishedText) -> Self {
         let content = TeamFragment::parse(&format!("teams/{team}"), &published.text);
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether it has no error of its own.
+    /// Whether the fragment was parsed without errors.
     pub fn is_well_formed(&self) -> bool {
         self.content.is_ok()
     }
--- a/crates/cardamomwinch_coordination/src/control/adoption/earlier.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/earlier.rs
@@ -1,18 +1,18 @@
-//! Whether this host, having started, still lacks the earlier lookup tables
-//! that a peer keeps.
+//! The request of a starting host for the earlier lookup tables that its peers
+//! keep.
 
 use std::time;
 
 use cardamomwinch_protocol::peer::earlier_tables::EarlierTables;
 use cardamomwinch_state::prelude::{ConfigurationVersion, Timestamp};
 
-/// Nobody is asked any more this long after the start: whoever could answer has
-/// adopted by then what is in force here.
+/// The host stops asking this long after its start: by then every peer that could
+/// answer has adopted the configuration in force here.
 const WISH_LIFE: time::Duration = time::Duration::from_secs(10);
-/// Some peer is asked again after this time.
+/// The interval between queries to a random peer.
 const ASK_INTERVAL: time::Duration = time::Duration::from_millis(1000);
 
-/// The wish for earlier tables. Closed before the start.
+/// The request for earlier tables; not open before the start.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct EarlierWish {
     until: Timestamp,
@@ -20,18 +20,18 @@
 }
 
 impl EarlierWish {
-    /// Notes when the process started.
+    /// Opens the request when the process starts.
     pub(crate) fn note_start(&mut self, now: Timestamp) {
         self.until = now.after(WISH_LIFE);
     }
 
-    /// Whether earlier tables are still wanted.
+    /// Whether earlier tables are still missing.
     pub(crate) fn is_open(&self, now: Timestamp) -> bool {
         now < self.until
     }
 
-    /// Whether to ask some peer now; notes that it is asked where so. A first
-    /// answer may be lost, or come from a peer that is behind.
+    /// Returns whether to query a peer now, and if so records the query. Queries are
+    /// repeated because an answer may be lost, or come from an outdated peer.
     pub(crate) fn try_ask(&mut self, now: Timestamp) -> bool {
         let due = self.is_open(now) && now >= self.next_ask;
         if due {
@@ -40,10 +40,11 @@
         due
     }
 
-    /// Notes what a peer has sent, while `version` is in force here.
+    /// Handles the tables of a peer while `version` is in force here.
     ///
-    /// Guards against a gap: a peer that is behind does not send the servers
-    /// that have left the configuration since, so that another answer is needed.
+    /// Guards against missing servers: the tables of an outdated peer lack the
+    /// backend servers that were removed from the configuration since, so another
+    /// answer is needed.
     pub(crate) fn note(&mut self, version: ConfigurationVersion, tables: &EarlierTables) {
         let newest = tables.generations.first().map(|held| held.version);
         if newest >= Some(version) {
--- a/crates/cardamomwinch_coordination/src/control/adoption/effect.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/effect.rs
@@ -1,4 +1,4 @@
-//! What adoption wants done by the control engine that it belongs to.
+//! Effects that adoption requests from its control engine.
 
 use std::net;
 
@@ -11,33 +11,34 @@
 use crate::control::event::PlatformRequest;
 use crate::counter::Counter;
 
-/// Something that adoption wants done.
+/// An effect for the control engine to carry out.
 #[derive(Debug, Clone)]
 pub enum AdoptionEffect {
     /// Call the platform.
     Call(PlatformRequest),
     /// Send a message to another host.
     Tell {
-        /// The host.
+        /// The receiver.
         host: HostId,
-        /// Where it takes control messages, if no list of hosts says so yet.
+        /// The address for control messages, if the receiver is not in the list of
+        /// hosts yet.
         address: Option<net::SocketAddr>,
         /// The message.
         message: ConfigurationMessage,
     },
     /// Send the earlier lookup tables to a host that started.
     TellEarlier {
-        /// The host.
+        /// The host that started.
         host: HostId,
     },
-    /// Take earlier lookup tables in.
+    /// Apply the earlier lookup tables of a peer.
     Earlier(EarlierTables),
-    /// Count something.
+    /// Increment a counter.
     Count(Counter),
     /// Log that a document was refused.
     Refused(RefusedDocument),
-    /// Take a configuration into force.
+    /// Put a configuration in force.
     InForce(Box<Resolution>),
-    /// A newer list of hosts is in force.
+    /// Report that a newer list of hosts is in force.
     Hosts,
 }
--- a/crates/cardamomwinch_coordination/src/control/adoption/exchange.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/exchange.rs
@@ -1,4 +1,5 @@
-//! Whom to ask for what is lacking, and whom to tell of what is new.
+//! Which peers to query for newer documents, and which peers to announce new
+//! documents to.
 
 use std::time;
 
@@ -11,23 +12,24 @@
 use crate::control::adoption::confirmation::StateConfirmation;
 use crate::identity::HostIdentity;
 
-/// Another peer is asked where one does not answer within this time. Questions
-/// and answers get lost, and the last host of a fleet is the one that loses
-/// several in a row; a difference that takes longer to send may come twice.
+/// A peer that does not answer within this time is replaced by another one. Queries
+/// and answers get lost, and the last host of a fleet to adopt a change is one that
+/// loses several in a row. A difference that takes longer to send may arrive twice.
 const ASK_TIMEOUT: time::Duration = time::Duration::from_millis(100);
-/// Peers kept that seem to hold something newer.
+/// The most remembered peers that may hold something newer.
 const AHEAD_LIMIT: usize = 4;
-/// Random hosts told in each round, besides the successors in the first.
+/// Random hosts to announce to in each round, in addition to the successors in the
+/// first round.
 const ROUND_PEERS: usize = 2;
-/// The rests before each round of telling: a lost message is made good by the
-/// next round, and the last gap by the digests in heartbeats.
+/// The delay before each round of announcements. The next round makes up for lost
+/// messages, and the digests in heartbeats for those of the last round.
 const ROUND_RESTS: [time::Duration; 3] = [
     time::Duration::ZERO,
     time::Duration::from_millis(250),
     time::Duration::from_millis(500),
 ];
-/// How often a listed host that is not reachable is greeted: it may be one
-/// that starts, and knows no other host.
+/// The interval of announcements to unreachable listed hosts: such a host may be
+/// starting, and know no other host yet.
 const GREETING_INTERVAL: time::Duration = time::Duration::from_millis(1000);
 
 #[derive(Debug, Clone, Copy)]
@@ -48,7 +50,7 @@
     due: Timestamp,
 }
 
-/// The exchange with peers.
+/// The state of the exchange of documents with peers.
 #[derive(Debug)]
 pub(crate) struct PeerExchange {
     random: SmallRng,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Notes that `host` seems to hold something newer.
+    /// Records that `host` may hold something newer.
     pub(crate) fn note_ahead(&mut self, host: HostId, digest: ConfigurationDigest) {
         self.ahead.retain(|peer| peer.host != host);
         self.ahead.push(AheadPeer { host, digest });
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Notes that `host` has answered.
+    /// Records that `host` has answered.
     pub(crate) fn note_answer(&mut self, host: HostId) {
         self.ahead.retain(|peer| peer.host != host);
         if self.asked.is_some_and(|asked| asked.host == host) {
@@ -88,8 +90,8 @@
         }
     }
 
-    /// The peer to ask now. Only one is asked at a time, so that a large
-    /// difference is not sent by many at once.
+    /// The peer to query now. Only one is queried at a time, so that a large
+    /// difference is not sent by several peers at once.
     pub(crate) fn next_ask(
         &mut self,
         now: Timestamp,
@@ -116,7 +118,7 @@
         self.asked.is_some_and(|asked| now < asked.until)
     }
 
-    /// Notes that `host` is asked, unless an answer of another is awaited.
+    /// Records a query to `host`. Returns `false` if another query is unanswered.
     pub(crate) fn try_ask(&mut self, now: Timestamp, host: HostId) -> bool {
         if self.is_asking(now) {
             return false;
@@ -126,8 +128,9 @@
         true
     }
 
-    /// Some peer that has not answered since the comparison began: of the own
-    /// domain and of the others in turn, as either side may be cut off.
+    /// A random peer that has not answered since the comparison began. Hosts of the
+    /// own domain and of other domains are equally likely, because either group may
+    /// be cut off.
     fn unanswered(
         &mut self,
         identity: HostIdentity,
@@ -155,17 +158,17 @@
         (count > 0).then(|| &hosts[self.random.random_range(0..count)])
     }
 
-    /// Begins to tell others of something new.
+    /// Begins to announce new documents.
     pub(crate) fn begin_spread(&mut self, now: Timestamp) {
         self.spread = Some(SpreadRound { next: 0, due: now });
     }
 
-    /// Tells no more of what was new.
+    /// Ends the rounds of announcements.
     pub(crate) fn end_spread(&mut self) {
         self.spread = None;
     }
 
-    /// The hosts to tell now.
+    /// The hosts to send an announcement to now.
     pub(crate) fn due_announcements(
         &mut self,
         now: Timestamp,
@@ -194,7 +197,7 @@
         told
     }
 
-    /// Some other host that is listed.
+    /// A random listed host other than this one.
     pub(crate) fn random_host(
         &mut self,
         identity: HostIdentity,
@@ -211,7 +214,8 @@
         successor(identity.host, hosts, |_| true)
     }
 
-    /// The host to greet now, if any: of the own domain and of all in turn.
+    /// The unreachable host to send an announcement to now, if any. It is chosen
+    /// alternately from the own domain and from all domains.
     pub(crate) fn due_greeting<R: PeerReachability>(
         &mut self,
         now: Timestamp,
@@ -238,8 +242,9 @@
     }
 }
 
-/// The next host in the order of identifiers, which runs in a ring. That every
-/// host is the successor of another bounds how far telling by chance can miss one.
+/// The next host by identifier, the first one after the last. Every host is the
+/// successor of another, so random choice alone cannot leave a host without an
+/// announcement.
 fn successor(
     host: HostId,
     hosts: &HostTable,
@@ -252,8 +257,8 @@
     found.filter(|found| *found != host)
 }
 
-/// Whether a host with digest `theirs` may hold something newer than one with
-/// `own`. The hash does not tell which of two is ahead.
+/// Whether a host with the digest `theirs` may hold something newer than one with
+/// `own`. If only the hashes differ, either of the two may be ahead.
 pub(crate) fn may_be_ahead(theirs: ConfigurationDigest, own: ConfigurationDigest) -> bool {
     let behind = theirs.version < own.version && theirs.host_list <= own.host_list
         || theirs.version <= own.version && theirs.host_list < own.host_list;
--- a/crates/cardamomwinch_coordination/src/control/adoption/host_lists.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/host_lists.rs
@@ -1,6 +1,6 @@
-//! The list of hosts in force and a few earlier ones, so that a host that is
-//! one list behind is sent the changes only: the whole list of a large fleet
-//! is hundreds of kilobytes, and most changes concern one host.
+//! The list of hosts in force and a few earlier ones. A host with one of the earlier
+//! lists is sent only the changes: the whole list of a large fleet is hundreds of
+//! kilobytes, and most changes concern one host.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -14,18 +14,18 @@
 /// Earlier lists that are kept.
 const EARLIER_KEPT: usize = 4;
 
-/// A list with its stamp. The hash is over the hosts, not over the text, so
-/// that a list that was put together from changes has the same stamp.
+/// A list with its stamp. The hash covers the hosts rather than the published text,
+/// so that a list assembled from changes has the same stamp.
 #[derive(Debug, Default, Clone)]
 pub struct HeldHosts {
-    /// Orders it.
+    /// Orders lists.
     pub stamp: DocumentStamp,
     /// The list.
     pub table: sync::Arc<HostTable>,
 }
 
 impl HeldHosts {
-    /// Stamps `table`.
+    /// Computes the stamp of `table`.
     pub fn new(table: HostTable) -> Self {
         let mut listing = String::new();
         for host in table.hosts.values() {
@@ -58,7 +58,8 @@
     earlier: VecDeque<HeldHosts>,
 }
 
-/// Earlier lists only save bytes; they are no part of what is accepted.
+/// Ignores the earlier lists: they only save bytes and are not part of the accepted
+/// state.
 impl PartialEq for HostLists {
     fn eq(&self, other: &Self) -> bool {
         self.current.stamp == other.current.stamp
@@ -68,7 +69,7 @@
 impl Eq for HostLists {}
 
 impl HostLists {
-    /// Orders the list in force; the lowest stamp before there is one.
+    /// The stamp of the list in force; the lowest before there is one.
     pub fn stamp(&self) -> DocumentStamp {
         self.current.stamp
     }
@@ -78,7 +79,7 @@
         &self.current.table
     }
 
-    /// Takes `hosts` where it is newer; whether it was.
+    /// Replaces the list in force if `hosts` is newer. Returns whether it was.
     pub fn raise(&mut self, hosts: HeldHosts) -> bool {
         if hosts.stamp <= self.current.stamp {
             return false;
@@ -89,13 +90,13 @@
         true
     }
 
-    /// Takes the newer list.
+    /// Replaces the list in force if that of `other` is newer.
     pub fn merge(&mut self, other: &Self) {
         self.raise(other.current.clone());
     }
 
-    /// What a host with the list `known` lacks, as changes where that list is
-    /// still kept.
+    /// The offer to a host with the list `known`: the changes if that list is still
+    /// kept, else the whole list. `None` if `known` is not older.
     pub fn offer(&self, known: DocumentStamp) -> Option<HostListOffer> {
         if known >= self.current.stamp {
             return None;
@@ -117,8 +118,8 @@
         })
     }
 
-    /// Puts the offered list together; `None` where it is not newer or does
-    /// not fit what is held here, so that it has to be asked for again.
+    /// Assembles the offered list. Returns `None` if it is not newer, or if its
+    /// changes do not apply to the list in force and it must be queried again.
     pub fn read(&self, offer: &HostListOffer) -> Option<HeldHosts> {
         if offer.stamp <= self.current.stamp {
             return None;
--- a/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
@@ -1,13 +1,14 @@
-//! Adopts configuration: what the platform publishes and what peers hold is
-//! merged into a state that only rises, and what is in force follows from that
-//! state alone.
+//! Adopts configuration. Documents from the platform and from peers are merged
+//! into an accepted state whose parts are only ever replaced by newer ones. The
+//! configuration in force follows from that state alone.
 //!
-//! - [`accepted`] is the state, [`selection`] what is in force by it.
-//! - `readers` says who reads the platform, `calls` when, `pending` what a root
-//!   document still waits for.
-//! - `exchange` says whom to ask and whom to tell.
-//! - `confirmation` says whether the state was compared with others since the
-//!   host started or slept.
+//! - [`accepted`] is the state, [`selection`] derives the configuration in force
+//!   from it.
+//! - `readers` decides which hosts read the platform, `calls` when they do, and
+//!   `pending` holds a root document until its fragments were read.
+//! - `exchange` decides which peers to query and to announce changes to.
+//! - `confirmation` tracks whether the state was compared with peers or the
+//!   platform since the host started or was last paused.
 
 pub mod accepted;
 mod calls;
@@ -47,9 +48,9 @@
 use crate::counter::Counter;
 use crate::identity::HostIdentity;
 
-/// Says which hosts answer.
+/// The reachability of other hosts.
 pub trait PeerReachability {
-    /// Whether `host` was heard of lately.
+    /// Whether `host` is considered reachable at `now`.
     fn is_reachable(&self, now: Timestamp, host: HostId) -> bool;
 }
 
@@ -59,23 +60,24 @@
     }
 }
 
-/// What was in force when it was last chosen.
+/// The documents that the last selection put in force.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 struct ChosenStamps {
     root: DocumentStamp,
     fragments: Vec<(String, DocumentStamp)>,
 }
 
-/// What this host has accepted, and what it is still reading. Effects are
-/// pushed to the vector that each call is given.
+/// The configuration that this host has accepted, and the documents that it is
+/// still reading. Each call pushes its effects to the vector that it is given.
 #[derive(Debug)]
 pub struct ConfigurationAdoption {
     identity: HostIdentity,
     state: AcceptedState,
-    /// Parts of a difference that is too large for one message. They are taken
-    /// into `state` with the last part, so that no mixture comes into force.
+    /// Parts of a difference that is too large for one message. They are merged
+    /// into `state` together with the last part, so that no mixture of old and new
+    /// fragments comes into force.
     staged: AcceptedState,
-    /// Follows from `state`; kept because every heartbeat carries it.
+    /// The digest of `state`, cached because every heartbeat carries it.
     digest: ConfigurationDigest,
     chosen: ChosenStamps,
     /// The documents of teams that are refused under the root document in force.
@@ -92,8 +94,8 @@
 }
 
 impl ConfigurationAdoption {
-    /// Creates the state of a host that has just started. Its delays and
-    /// choices by chance follow from its identity alone.
+    /// Creates the state of a host that has just started. The identity of the host
+    /// is the seed of its random delays and choices.
     pub fn new(identity: HostIdentity) -> Self {
         let seed = flow::mix(identity.host.get() ^ flow::mix(identity.incarnation.get()));
         let state = AcceptedState::default();
@@ -115,9 +117,8 @@
         }
     }
 
-    /// Creates the state of a host that has held `state` for a while and has
-    /// compared it with others; for programs that drive fleets without starting
-    /// each host.
+    /// Creates the state of a host that has accepted `state` and compared it with
+    /// peers, for programs that simulate fleets without starting each host.
     pub fn resume(identity: HostIdentity, now: Timestamp, state: AcceptedState) -> Self {
         let mut adoption = Self::new(identity);
         adoption.confirmation = StateConfirmation::settled();
@@ -127,7 +128,7 @@
         adoption
     }
 
-    /// The version in force; zero before the first.
+    /// The version in force; zero before there is one.
     pub fn version(&self) -> ConfigurationVersion {
         self.state.version()
     }
@@ -137,52 +138,52 @@
         self.state.hosts.table()
     }
 
-    /// The list of hosts in force, to be shared.
+    /// The list of hosts in force, as a shared pointer.
     pub fn shared_hosts(&self) -> &sync::Arc<HostTable> {
         self.state.hosts.table()
     }
 
-    /// Everything accepted.
+    /// The accepted state.
     pub fn state(&self) -> &AcceptedState {
         &self.state
     }
 
-    /// What this host tells others about what it has accepted.
+    /// The digest of the accepted state, which this host sends to peers.
     pub fn digest(&self) -> ConfigurationDigest {
         self.digest
     }
 
-    /// Whether this host has compared what it holds with peers or the platform
-    /// since it started or last slept. It must not serve before.
+    /// Whether this host has compared its state with peers or the platform since
+    /// it started or was last paused. Until then it must not serve.
     pub fn is_confirmed(&self) -> bool {
         self.confirmation.is_done()
     }
 
-    /// Whether this host reads the platform at present.
+    /// Whether this host currently reads the platform.
     pub fn is_reader<R: PeerReachability>(&self, now: Timestamp, peers: &R) -> bool {
         let rank = self.ranking.reader_rank(now, self.identity, peers);
         self.confirmation.is_done() && rank.is_some()
     }
 
-    /// Published documents that are not in force, and why.
+    /// Published documents that are not in force, with the reasons.
     pub fn refused(&self) -> Vec<RefusedDocument> {
         let shared = self.refused_root.iter().chain(&self.refused_hosts);
         shared.chain(&self.refused).cloned().collect()
     }
 
-    /// The process has started.
+    /// Handles the start of the process.
     pub fn start(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         self.confirmation.note_start(now);
         self.earlier.note_start(now);
         self.call_both(now, effects);
     }
 
-    /// The process slept, or the control thread hung, until now.
+    /// Handles the end of a pause of the process or of the control thread.
     pub fn note_sleep(&mut self, now: Timestamp) {
         self.confirmation.note_sleep(now);
     }
 
-    /// Time has passed.
+    /// Does what is due at `now`.
     pub fn tick<R: PeerReachability>(
         &mut self,
         now: Timestamp,
@@ -209,8 +210,8 @@
             listed - usize::from(own)
         });
         let confirmed = self.confirmation.is_done();
-        // A newer root document that waits for its fragments is known but not in
-        // force: what is in force is old until then.
+        // A newer root document is known, but not in force until its fragments
+        // were read. Until then the configuration in force is outdated.
         let behind = self.pending.is_some();
         self.confirmation.decide(now, peers, behind);
         if self.confirmation.is_done() && !confirmed {
@@ -284,7 +285,7 @@
         });
     }
 
-    /// A peer has said what it has accepted.
+    /// Handles the digest of a peer's accepted state.
     pub fn note_digest(
         &mut self,
         now: Timestamp,
@@ -298,9 +299,9 @@
         }
     }
 
-    /// A peer has sent a message about configuration. Every message is safe to
-    /// take twice, late and from a host that the own list does not name yet,
-    /// since merging can only raise the state.
+    /// Handles a message from a peer about configuration. Because merging only
+    /// replaces documents by newer ones, a message may arrive twice, late, or from a
+    /// host that is not in this host's list yet.
     pub fn take_message(
         &mut self,
         now: Timestamp,
@@ -323,7 +324,7 @@
                 known,
                 wants_earlier,
             } => {
-                // A host that has compared nothing itself may lack them too.
+                // A host that has not compared its own state may lack them too.
                 if *wants_earlier && self.confirmation.is_done() {
                     effects.push(AdoptionEffect::TellEarlier { host: sender });
                 }
@@ -355,8 +356,8 @@
             message: ConfigurationMessage::Offer(offer),
         });
         if self.state.lacks(known) {
-            // Its digest is not known; one that differs from the own one is
-            // enough for it to be asked.
+            // The digest of the sender is unknown. Any digest that differs from
+            // this host's makes this host query the sender.
             let digest = ConfigurationDigest {
                 hash: !self.digest.hash,
                 ..self.digest
@@ -413,8 +414,8 @@
         self.ask_peers(now, effects);
     }
 
-    /// Drops the root document that is being read where a peer's is as new;
-    /// the fragments that were read for it are kept.
+    /// Drops the pending root document if a peer has offered one that is as new.
+    /// The fragments that were read for it are kept.
     fn drop_overtaken(&mut self, raised: &mut AcceptedState) {
         let revision = raised.root_stamp().revision;
         let overtaken = self
@@ -425,7 +426,8 @@
         }
     }
 
-    /// Takes `raised` as the state, and whatever follows from it into force.
+    /// Replaces the state by `raised`, and puts the configuration that follows from
+    /// it in force.
     fn raise(&mut self, now: Timestamp, raised: AcceptedState, effects: &mut Vec<AdoptionEffect>) {
         let earlier = self.digest;
         let earlier_hosts = self.state.hosts.stamp();
--- a/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
@@ -1,5 +1,5 @@
-//! A root document on its way into force. It comes into force as a whole,
-//! once every fragment that it lists was read, or is known not to be had.
+//! A root document that is not in force yet. It comes into force as a whole, once
+//! every fragment that it lists was read or is known to be unavailable.
 
 use std::time;
 
@@ -8,11 +8,11 @@
 use crate::control::adoption::accepted::AcceptedState;
 use crate::control::adoption::document::{HeldFragment, HeldRoot};
 
-/// A root document does not wait longer for fragments whose teams have an
-/// earlier one: the platform may fail between two reads.
+/// How long a root document waits for fragments of teams that have an earlier
+/// fragment: the platform may fail between two reads.
 const PENDING_LIMIT: time::Duration = time::Duration::from_millis(1500);
-/// A host that has nothing older waits this long for the fragments of single
-/// teams while it was given those of others; then only the former are missing.
+/// How long a root document waits for fragments of teams that have none, if it has
+/// received those of other teams. Then only the missing teams are not in force.
 const STARTER_LIMIT: time::Duration = time::Duration::from_secs(5);
 
 /// The root document and the fragments read for it so far.
@@ -20,7 +20,8 @@
 pub(crate) struct PendingRoot {
     root: HeldRoot,
     begun: Timestamp,
-    /// Fragments are read from this point on, unless a peer offers them before.
+    /// Fragments are read from the platform from this time on, unless a peer offers
+    /// them before.
     reads_from: Timestamp,
     fragments: Vec<(String, HeldFragment)>,
     unavailable: Vec<String>,
@@ -42,7 +43,7 @@
         self.root.stamp.revision
     }
 
-    /// Keeps what was read for an earlier root document.
+    /// Takes over the fragments that were read for an earlier root document.
     pub(crate) fn inherit(&mut self, earlier: Self) {
         self.fragments = earlier.fragments;
     }
@@ -52,7 +53,8 @@
         self.root.document.teams.get(team).copied()
     }
 
-    /// Notes a fragment. One that is older than listed is all there is to be had.
+    /// Records a fragment that was read. If it is older than listed, the listed one
+    /// is unavailable.
     pub(crate) fn note(&mut self, team: String, fragment: HeldFragment) {
         let revision = FragmentRevision::new(fragment.stamp.revision);
         if self.listed(&team).is_some_and(|listed| revision < listed) {
@@ -61,7 +63,7 @@
         self.fragments.push((team, fragment));
     }
 
-    /// Notes that the platform has no fragment of `team`.
+    /// Records that the platform has no fragment of `team`.
     pub(crate) fn note_missing(&mut self, team: String) {
         self.unavailable.push(team);
     }
@@ -98,8 +100,8 @@
         })
     }
 
-    /// Raises `state` by what was read; by the root document, too, where
-    /// `with_root` holds.
+    /// Merges the fragments that were read into `state`, and the root document too
+    /// if `with_root` is set.
     pub(crate) fn raise(self, state: &mut AcceptedState, with_root: bool) {
         for (team, fragment) in &self.fragments {
             state.team_mut(team).note(fragment);
--- a/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
@@ -1,4 +1,4 @@
-//! The part of adoption that reads the platform.
+//! Reading documents from the platform.
 
 use std::time;
 
@@ -15,24 +15,24 @@
 use crate::control::event::{PlatformAnswer, PlatformKey, PlatformOutcome, PlatformRequest};
 use crate::counter::Counter;
 
-/// How long a watch waits at the platform. One whose connection was cut
-/// without a word is noticed no sooner.
+/// How long a watch waits at the platform. A connection that is cut off without
+/// being closed is detected only after this time.
 const WATCH_WAIT: time::Duration = time::Duration::from_secs(10);
-/// The longest rest of a reader: readers are few, and a change that is
-/// published right after an outage is to be seen within it.
+/// The longest backoff of a reader. There are few readers, and a change that is
+/// published right after an outage must be seen within this time.
 const READER_REST: time::Duration = time::Duration::from_secs(2);
-/// The longest rest of a host that starts: the whole fleet may start at once.
+/// The longest backoff of a starting host: the whole fleet may start at once.
 const STARTER_REST: time::Duration = time::Duration::from_secs(8);
-/// How much later than those of another failure domain a reader fetches
-/// fragments: by then a peer has usually offered them.
+/// The delay with which the readers of each further failure domain fetch fragments:
+/// by then a peer has usually offered them.
 const DOMAIN_STAGGER: time::Duration = time::Duration::from_millis(20);
-/// How much later than the first reader of its domain another fetches fragments.
+/// The delay with which each further reader of a domain fetches fragments.
 const RANK_STAGGER: time::Duration = time::Duration::from_millis(250);
-/// Fragments are never fetched later than this after the root document.
+/// The longest delay between reading a root document and fetching its fragments.
 const LONGEST_STAGGER: time::Duration = time::Duration::from_millis(750);
 
 impl ConfigurationAdoption {
-    /// Reads both documents that name no team.
+    /// Reads the two documents that belong to no team.
     pub(super) fn call_both(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         for key in [PlatformKey::Root, PlatformKey::Hosts] {
             self.call(now, read(key), effects);
@@ -84,8 +84,8 @@
     }
 
     /// The teams whose fragments are to be read: those that the pending root
-    /// document waits for, else, by readers, those of which the platform gave
-    /// less than the root document in force lists.
+    /// document waits for. If there is none, readers read those whose newest fragment
+    /// is older than the root document in force lists.
     fn wanted_teams(&self, now: Timestamp, reads: bool) -> Vec<String> {
         if let Some(pending) = &self.pending {
             return pending.wanted(now, &self.state).cloned().collect();
@@ -101,7 +101,7 @@
         behind.map(|(team, _)| team.clone()).collect()
     }
 
-    /// Takes the outcome of a call.
+    /// Handles the outcome of a call.
     pub fn take_platform<R: PeerReachability>(
         &mut self,
         now: Timestamp,
@@ -160,13 +160,13 @@
                 PlatformKey::Team(_) => {}
             }
         }
-        // Guards against a platform that goes back: its older answer carries a
-        // lower revision than what is accepted.
+        // Counts answers of a platform that has gone back to older documents: their
+        // revision is lower than the accepted one.
         if published.revision < held {
             effects.push(AdoptionEffect::Count(Counter::PlatformStale));
         }
-        // Guards against a busy loop: a watch that is answered with nothing
-        // new at once, or a read that gives less than is known to exist, rests.
+        // Guards against a busy loop: backs off after a watch that returns nothing
+        // new, or a read that returns an older revision than is known to exist.
         let expected = self.expected_revision(&request).max(held);
         if published.revision < expected {
             self.rest(now, &request);
@@ -233,8 +233,8 @@
         }
     }
 
-    /// How long to leave the fetching of fragments to others. A host that
-    /// starts without being a reader leaves it to its peers at first.
+    /// How long to wait for other hosts to fetch fragments and offer them. A starting
+    /// host that is not a reader waits longest.
     fn stagger<R: PeerReachability>(
         &self,
         now: Timestamp,
@@ -266,8 +266,7 @@
         self.raise(now, raised, effects);
     }
 
-    /// Takes the pending root document into force where nothing is missing
-    /// any more.
+    /// Puts the pending root document in force if it no longer waits for fragments.
     pub(super) fn finish_pending(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         let state = &self.state;
         let complete = self
@@ -306,7 +305,7 @@
     }
 }
 
-/// The highest revision seen of a key, whether accepted or refused.
+/// The highest revision of a document, whether accepted or refused.
 fn seen(accepted: u64, refused: &Option<RefusedDocument>) -> u64 {
     let refused = refused.as_ref().map_or(0, |refused| refused.revision);
     accepted.max(refused)
--- a/crates/cardamomwinch_coordination/src/control/adoption/readers.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/readers.rs
@@ -1,7 +1,7 @@
-//! Which hosts of a failure domain read the platform. Nobody is appointed:
-//! every host ranks the listed live hosts of its domain alike, and those that
-//! find themselves among the first reachable ones read. When a reader dies,
-//! the next in rank takes over as soon as it finds the reader unreachable.
+//! Which hosts of a failure domain read the platform. There is no election: every
+//! host computes the same ranking of the listed live hosts of its domain, and reads
+//! if it is among the first reachable ones. When a reader fails, the next host in
+//! the ranking starts to read as soon as it considers the reader unreachable.
 
 use cardamomwinch_protocol::peer::configuration::DocumentStamp;
 use cardamomwinch_state::prelude::{DomainId, HostId, HostPhase, HostTable, Timestamp};
@@ -13,18 +13,18 @@
 /// Hosts of a failure domain that read the platform.
 pub const READERS_PER_DOMAIN: usize = 2;
 
-/// The ranks of one list of hosts.
+/// The ranking for one list of hosts.
 #[derive(Debug, Default)]
 pub(crate) struct ReaderRanking {
     stamp: DocumentStamp,
     ranked: Vec<HostId>,
     domains: Vec<DomainId>,
-    /// Whether the own host is on the list, live or leaving.
+    /// Whether this host is in the list, live or leaving.
     listed: bool,
 }
 
 impl ReaderRanking {
-    /// Ranks anew where the list has changed.
+    /// Recomputes the ranking if the list has changed.
     pub(crate) fn update(
         &mut self,
         identity: HostIdentity,
@@ -48,10 +48,10 @@
         self.stamp = stamp;
     }
 
-    /// The rank of this host among the reachable hosts of its domain where it
-    /// reads, from zero. A leaving host reads only where too few others can. A
-    /// host that its list does not name at all reads for itself: no peer would
-    /// tell it of a newer list.
+    /// The rank of this host among the readers of its domain, from zero; `None` if it
+    /// is not a reader. A leaving host reads only if too few other hosts can. A host
+    /// that is not in its own list reads for itself, because no peer would announce a
+    /// newer list to it.
     pub(crate) fn reader_rank<R: PeerReachability>(
         &self,
         now: Timestamp,
@@ -67,8 +67,8 @@
         own.or((first.len() < READERS_PER_DOMAIN || !self.listed).then_some(first.len()))
     }
 
-    /// The position of the own domain among all, in an order that each
-    /// `version` shuffles anew.
+    /// The position of the own domain in an order of all domains that differs for
+    /// each `version`.
     pub(crate) fn domain_position(&self, identity: HostIdentity, version: u64) -> usize {
         let score = |domain: &DomainId| rendezvous::score(domain.get(), version);
         let own = score(&identity.domain);
--- a/crates/cardamomwinch_coordination/src/control/adoption/refusal.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/refusal.rs
@@ -1,4 +1,4 @@
-//! Documents that are not in force although the platform publishes them.
+//! Documents that are published but not in force.
 
 use cardamomwinch_configuration::check::CheckReport;
 use cardamomwinch_configuration::resolve::FragmentRefusal;
@@ -11,34 +11,34 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum RefusalReason {
-    /// It has errors of its own.
+    /// The document has errors of its own.
     #[snafu(display("{report}"))]
     Malformed {
-        /// What is wrong with it.
+        /// The errors.
         report: CheckReport,
     },
-    /// It clashes with the fragment of another team.
+    /// The fragment conflicts with that of another team.
     #[snafu(display("{refusal}"))]
     Conflict {
-        /// The clash.
+        /// The conflict.
         refusal: FragmentRefusal,
     },
-    /// The root document lists a revision that the platform does not give.
-    #[snafu(display("the platform gives no fragment of revision {listed} or above"))]
+    /// The root document lists a revision that the platform does not have.
+    #[snafu(display("the platform has no fragment of revision {listed} or above"))]
     Missing {
         /// The revision that the root document lists.
         listed: FragmentRevision,
     },
 }
 
-/// A document that is not in force, and why. What was in force under its key
+/// A document that is not in force. The document that was in force under its key
 /// before stays in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RefusedDocument {
-    /// The key that holds it.
+    /// The key of the document.
     pub key: PlatformKey,
-    /// Its revision; the revision listed, where it is missing.
+    /// Its revision, or the listed revision if the document is missing.
     pub revision: u64,
-    /// Why.
+    /// Why it is refused.
     pub reason: RefusalReason,
 }
--- a/crates/cardamomwinch_coordination/src/control/adoption/selection.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/selection.rs
@@ -1,7 +1,7 @@
-//! Chooses which fragment of each team is in force under a root document: the
-//! newest that is well-formed and clashes with no other team's, else the last
-//! accepted one. The choice depends on the accepted state only, so that hosts
-//! with equal state have the same configuration in force.
+//! Selects which fragment of each team is in force under a root document: the
+//! newest one if it is well-formed and conflicts with no other team's, else the
+//! last accepted one. The selection depends only on the accepted state, so hosts
+//! with equal states have the same configuration in force.
 
 use cardamomwinch_configuration::resolve::{self, AcceptedFragment, FragmentRefusal, Resolution};
 use cardamomwinch_state::prelude::{ConfigurationVersion, FragmentRevision, SortedVector};
@@ -11,10 +11,10 @@
 use crate::control::adoption::refusal::{RefusalReason, RefusedDocument};
 use crate::control::event::PlatformKey;
 
-/// The outcome of a choice.
+/// The result of a selection.
 #[derive(Debug, Clone)]
 pub struct FragmentSelection {
-    /// What is in force.
+    /// The configuration in force.
     pub resolution: Resolution,
     /// The fragments in force by team.
     pub chosen: Vec<(String, HeldFragment)>,
@@ -22,7 +22,7 @@
     pub refused: Vec<RefusedDocument>,
 }
 
-/// The fragments of one team, and how far the choice has come.
+/// The fragments of one team, and the position of the one currently selected.
 #[derive(Debug)]
 struct TeamChoice<'s> {
     team: &'s String,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Chooses under `root` from the fragments of `state`.
+/// Selects under `root` from the fragments of `state`.
 pub fn select(root: &HeldRoot, state: &AcceptedState) -> FragmentSelection {
     let listed = &root.document.teams;
     let mut teams: SortedVector<String, TeamChoice<'_>> = listed
@@ -109,8 +109,8 @@
         .collect();
     loop {
         let resolution = resolve_current(root, &teams);
-        // Every round moves at least one team to an older fragment, so there
-        // are at most as many rounds as fragments.
+        // Every iteration moves at least one team to an older fragment, so there
+        // are at most as many iterations as fragments.
         if resolution.refused.is_empty() {
             return finish(resolution, &teams);
         }
--- a/crates/cardamomwinch_coordination/tests/adoption_lattice.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_lattice.rs
@@ -1,4 +1,4 @@
-//! Accepted state is a join-semilattice.
+//! The accepted state is a join-semilattice.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use cardamomwinch_configuration::host_list;
@@ -14,7 +14,7 @@
 const TEAMS: [&str; 3] = ["search", "vault", "news"];
 
 fn fragment(team: &str, revision: u64, variant: u64) -> HeldFragment {
-    // A variant claims one of few addresses, or is malformed.
+    // Variant 0 is malformed; the others use one of a few addresses.
     let text = match variant {
         0 => "{".to_owned(),
         _ => format!(
@@ -47,7 +47,7 @@
     HeldHosts::new(host_list::parse("hosts", &text, HostListVersion::new(revision)).unwrap())
 }
 
-/// What one published document does to a state.
+/// The effect of one published document on a state.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Root(u64, u64),
@@ -104,7 +104,7 @@
     joined
 }
 
-/// Whether `high` holds at least what `low` holds, part by part.
+/// Whether each part of `high` is at least as new as that of `low`.
 fn covers(high: &AcceptedState, low: &AcceptedState) -> bool {
     let team_covers = |(name, team): (&String, &_)| {
         let team: &cardamomwinch_coordination::control::adoption::accepted::TeamFragments = team;
@@ -130,16 +130,16 @@
             prop_assert_eq!(joined(&ab, &c), joined(&a, &joined(&b, &c)), "associative");
             prop_assert_eq!(&joined(&a, &a), &a, "idempotent");
             prop_assert_eq!(&joined(&ab, &b), &ab, "absorbing");
-            prop_assert!(covers(&ab, &a) && covers(&ab, &b), "lowers nothing");
+            prop_assert!(covers(&ab, &a) && covers(&ab, &b), "keeps newer parts");
             prop_assert_eq!(
                 ab == a,
                 ab.digest() == a.digest(),
-                "digests tell states apart"
+                "states differ exactly if their digests do"
             );
             prop_assert_eq!(
                 ab != a,
                 a.lacks(&b.known()),
-                "lacking is known by names alone"
+                "stamps suffice to find what is missing"
             );
             Ok(())
         })
@@ -163,7 +163,7 @@
             prop_assert_eq!(
                 &chosen.resolution.refused[..],
                 &[],
-                "nothing in force clashes"
+                "no conflict between fragments in force"
             );
             for (team, held) in &chosen.chosen {
                 prop_assert!(held.is_well_formed(), "{} has a malformed fragment", team);
@@ -173,7 +173,7 @@
         .unwrap();
 }
 
-/// The difference that a host is offered brings it to the joined state.
+/// A host that applies the difference offered by a peer has the joined state.
 #[test]
 fn an_offer_brings_all_that_is_lacking() {
     let states = (steps(), steps());
@@ -195,7 +195,7 @@
             }
             if let Some(hosts) = offer.hosts {
                 let hosts = own.hosts.read(&hosts);
-                prop_assert!(hosts.is_some(), "the changes fit");
+                prop_assert!(hosts.is_some(), "the changes apply");
                 own.hosts.raise(hosts.unwrap());
             }
             prop_assert_eq!(own, expected);
--- a/crates/cardamomwinch_coordination/tests/adoption_platform.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_platform.rs
@@ -1,4 +1,4 @@
-//! The platform is silent, slow, stale, or comes back.
+//! Adoption while the platform does not answer, is slow, is stale, or recovers.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod adoption_support;
@@ -19,9 +19,10 @@
     time::Duration::from_secs(count)
 }
 
-/// The platform is restored from an old copy and answers with older versions.
-/// A host that believed it went back to the preset of last week. The answers
-/// are ignored and counted, and the next newer version comes into force.
+/// Guards against older versions in force. The platform was restored from an old
+/// backup and returns older versions; a host that adopted them went back to the
+/// preset of the week before. Such answers must be ignored and counted, and the next
+/// newer version must come into force.
 #[test]
 fn an_older_answer_is_never_adopted() {
     let mut fleet = TestFleet::settled(NINE, 1);
@@ -37,7 +38,7 @@
         assert_eq!(host.snapshot.hosts.hosts.len(), 8, "at host {index}");
     }
     assert!(fleet.total(Counter::PlatformStale) > 0);
-    // Readers ask a stale platform ever more rarely.
+    // Readers back off from a stale platform.
     let from = fleet.now;
     fleet.run_for(seconds(30));
     let calls = fleet.platform.calls_since(from);
@@ -47,9 +48,10 @@
     assert!(fleet.run_until(seconds(3), |fleet| fleet.all_have("maintenance")));
 }
 
-/// The platform is silent for a minute. Nobody loses anything meanwhile. When
-/// it comes back, not everyone may ask at once, and what was published
-/// meanwhile has to come into force.
+/// Guards against effects of an outage of the platform. It does not answer for a
+/// minute, in which the configuration in force must not change. When it recovers, a
+/// burst of simultaneous calls would overload it, and the documents published
+/// meanwhile must come into force.
 #[parameterized(nine = { 3, 3 }, thirty = { 3, 10 })]
 fn a_silent_platform_changes_nothing_and_meets_no_herd(domains: usize, per_domain: usize) {
     let shape = FleetShape {
@@ -65,15 +67,16 @@
     let from = fleet.now;
     assert!(fleet.run_until(seconds(4), |fleet| fleet.all_have("peak")));
     fleet.run_for(seconds(10));
-    // Two readers a domain with two watches each, however many hosts there
-    // are: one answered and one made anew, and no more than ten seconds' renewal.
+    // Two readers per domain with two watches each, for any number of hosts. Each
+    // watch is answered once and made again, and renewed once in ten seconds.
     let calls = fleet.platform.calls_since(from);
     let readers = domains * 2;
     assert!(calls <= readers * 2 * 4, "{calls} calls");
 }
 
-/// Each answer of the platform takes half a second. A root document then comes
-/// into force as a whole after its fragments, and never before.
+/// Guards against a mixture of old and new documents. Each answer of the platform
+/// takes half a second. A root document must come into force as a whole, after its
+/// fragments were read.
 #[test]
 fn a_slow_platform_delays_but_does_not_divide() {
     let mut fleet = TestFleet::settled(NINE, 3);
@@ -97,8 +100,9 @@
     assert!(done);
 }
 
-/// The platform dies between the reading of a root document and that of its
-/// fragments. The switch of the preset must not be lost with it.
+/// Guards against a root document that never comes into force. The platform fails
+/// after a root document was read and before its fragments are. The preset must
+/// still be switched.
 #[test]
 fn a_root_document_does_not_wait_for_ever() {
     let mut fleet = TestFleet::settled(NINE, 4);
@@ -117,7 +121,8 @@
     fleet.expect_same_state();
 }
 
-/// The keys of the platform vanish. What is in force stays.
+/// Guards against lost configuration when keys disappear from the platform. The
+/// documents in force must stay.
 #[test]
 fn missing_keys_change_nothing() {
     let mut fleet = TestFleet::settled(NINE, 5);
--- a/crates/cardamomwinch_coordination/tests/adoption_refusal.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_refusal.rs
@@ -1,4 +1,4 @@
-//! Documents that cannot be in force are refused alone.
+//! A document that cannot be in force is refused without affecting the others.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod adoption_support;
@@ -42,10 +42,11 @@
     }
 }
 
-/// One team publishes a fragment with a syntax error together with another
-/// team's good one. The team's service must stay as it was and the other
-/// team's change must come into force; on every host, also on those that never
-/// read the platform themselves, the refused fragment is named.
+/// Guards against a malformed fragment that blocks other teams. One team publishes a
+/// fragment with a syntax error, another team a valid one. The service of the first
+/// team must stay unchanged, and the change of the other team must come into force.
+/// Every host must report the refused fragment, including those that do not read the
+/// platform.
 #[test]
 fn a_malformed_fragment_is_refused_alone() {
     let mut fleet = TestFleet::settled(SIX, 1);
@@ -82,9 +83,10 @@
     }
 }
 
-/// A team's newer fragment claims the address of another team. Resolving
-/// dropped the team's service altogether, though its last accepted fragment
-/// clashed with nobody: all its callers were cut off.
+/// Guards against a conflict that removes a service. The newer fragment of a team
+/// uses an address of another team. Resolution then dropped the service of the team
+/// although its last accepted fragment had no conflict, and all its callers were
+/// cut off.
 #[test]
 fn a_conflicting_fragment_leaves_the_last_accepted_one() {
     let mut fleet = TestFleet::settled(SIX, 2);
@@ -108,7 +110,7 @@
         };
         assert_eq!(refused(host), [expected]);
     }
-    // The other team gives the address up: the fragment can be in force.
+    // The other team no longer uses the address, so the fragment can be in force.
     fleet.publish_team("search", &documents::fragment("search", "desk", 7008, 9001));
     fleet.publish_root("ordinary");
     settle(&mut fleet);
@@ -120,9 +122,9 @@
     }
 }
 
-/// A host that starts afterwards knows of the last accepted fragment from its
-/// peers alone, since the platform only gives the refused one. It must come to
-/// the same outcome as the others.
+/// Guards against a starting host without the last accepted fragment. The platform
+/// only has the refused fragment, so the host must get the last accepted one from
+/// its peers and have the same configuration in force.
 #[parameterized(malformed = { "{" }, conflicting = { r#"{"team": "vault", "presets": {}, "services": {"docvault": {
     "address": "127.0.0.1:7001", "backends": {}}}}"# })]
 fn a_host_that_starts_gets_the_last_accepted_fragment_from_peers(bad: &str) {
@@ -139,8 +141,9 @@
     assert_eq!(refused(&fleet.hosts[1]), refused(&fleet.hosts[0]));
 }
 
-/// A team is new to the root document and its first fragment is bad, clashing
-/// or not there at all. Only its own services are missing.
+/// Guards against a new team that affects the others. The first fragment of a new
+/// team is malformed, conflicting or missing. Only the services of that team may be
+/// missing.
 #[parameterized(malformed = { Some("[]") }, missing = { None }, conflicting = { Some(r#"{"team": "news",
     "presets": {}, "services": {"notices": {"address": "127.0.0.1:7001", "backends": {}}}}"#) })]
 fn only_the_new_team_is_missing(text: Option<&str>) {
@@ -180,8 +183,9 @@
     }
 }
 
-/// The root document or the list of hosts is published with an error. All
-/// that was in force stays; the next good one comes into force as ever.
+/// Guards against errors in a document that concerns all teams. The root document or
+/// the list of hosts is published with an error. The documents in force must stay,
+/// and the next valid document must come into force.
 #[parameterized(root = { PlatformKey::Root }, hosts = { PlatformKey::Hosts })]
 fn a_malformed_shared_document_changes_nothing(key: PlatformKey) {
     let mut fleet = TestFleet::settled(SIX, 5);
@@ -207,9 +211,10 @@
     }
 }
 
-/// Two failure domains are cut from each other and from newer news, and accept
-/// fragments that clash with one another. When the cut heals, each team still
-/// has a service, and all hosts agree on which.
+/// Guards against different outcomes after a network cut. Two groups of hosts are cut
+/// off from each other, and in turn from the platform. They accept fragments of two
+/// teams that conflict. After the cut each team must still have a service, and all
+/// hosts must have the same configuration in force.
 #[test]
 fn clashing_fragments_of_two_sides_end_alike() {
     let mut fleet = TestFleet::settled(SIX, 6);
--- a/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
@@ -1,4 +1,4 @@
-//! A change that is published comes into force on every host.
+//! A published change comes into force on every host.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod adoption_support;
@@ -14,7 +14,7 @@
     domains: 3,
     per_domain: 3,
 };
-/// In force everywhere within this time of publishing.
+/// A change must be in force on every host this long after it is published.
 const SPREAD_LIMIT: time::Duration = time::Duration::from_secs(3);
 
 fn spread(fleet: &mut TestFleet, preset: &str) {
@@ -24,9 +24,9 @@
     }
 }
 
-/// Operators switch a preset while the network loses, delays and reorders
-/// messages. One host in nine kept the old preset for good, because the one
-/// message that would have told it was lost.
+/// Guards against a host that misses a change. A preset is switched while the network
+/// loses, delays and reorders messages. One host in nine kept the old preset forever,
+/// because the only message that announced the new one to it was lost.
 #[parameterized(calm = { 1, 0.0, 2 }, lossy = { 2, 0.05, 20 }, lossier = { 3, 0.2, 60 }, other_seed = { 4, 0.2, 60 })]
 fn a_switch_is_in_force_on_every_host(seed: u64, loss: f64, delay: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -40,9 +40,10 @@
     fleet.expect_same_state();
 }
 
-/// A reader of a failure domain is killed just when a change is published,
-/// before or after it has told anyone. Nobody else in the domain was watching,
-/// so that the domain stayed on the old preset until the next change.
+/// Guards against a change that is lost with the readers. All readers crash just after
+/// a change is published, before or after they have announced it. No other host of a
+/// domain watched the platform, so the domain kept the old preset until the next
+/// change.
 #[parameterized(at_once = { 1, 0 }, while_reading = { 2, 6 }, while_telling = { 3, 12 }, later = { 4, 40 })]
 fn a_change_survives_the_death_of_its_readers(seed: u64, after: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -60,8 +61,9 @@
     assert_eq!(fleet.readers().len(), 3, "the survivors read");
 }
 
-/// Calm lasts for a minute. If every host watched by itself, the platform's
-/// calls would grow with the fleet and eat up what all of them may make.
+/// Guards against too many calls to the platform. Nothing changes for a minute. If
+/// every host watched the platform, the calls would grow with the fleet and exceed
+/// what the platform allows for all hosts together.
 #[test]
 fn few_hosts_read_the_platform() {
     let shape = FleetShape {
@@ -77,8 +79,9 @@
     assert!(calls <= 6 * 2 * 7, "{calls} calls in a minute");
 }
 
-/// A failure domain is cut off from the platform, but not from the others. Its
-/// own readers hear nothing, so that what the others know has to reach it.
+/// Guards against a domain that misses changes. It is cut off from the platform, but
+/// not from other domains. Its own readers receive nothing, so hosts of other domains
+/// must send it the changes.
 #[test]
 fn a_domain_without_the_platform_learns_from_the_others() {
     let mut fleet = TestFleet::settled(NINE, 6);
@@ -88,9 +91,9 @@
     spread(&mut fleet, "peak");
 }
 
-/// A failure domain is cut off from the others and the platform while presets
-/// are switched twice. Once the cut heals it has to catch up, and what it
-/// still believes must not spread to the others.
+/// Guards against an outdated domain. It is cut off from the other domains and the
+/// platform while presets are switched twice. After the cut it must adopt the newest
+/// configuration, and its old one must not spread to the others.
 #[test]
 fn a_domain_that_was_cut_off_catches_up() {
     let mut fleet = TestFleet::settled(NINE, 7);
@@ -111,9 +114,10 @@
     fleet.expect_same_state();
 }
 
-/// Two operators switch presets at the same moment, and back again. Hosts see
-/// the switches in different orders and through different peers; if the last
-/// message won instead of the highest version, some would end with the first.
+/// Guards against different presets on different hosts. Operators switch presets at
+/// nearly the same time, and hosts learn of the switches in different orders and from
+/// different peers. If the last message won instead of the highest version, some
+/// hosts would keep an earlier preset.
 #[parameterized(one = { 8, 0 }, two = { 9, 3 }, three = { 10, 30 }, four = { 11, 300 })]
 fn the_last_of_two_racing_switches_wins(seed: u64, apart: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -129,8 +133,9 @@
     fleet.expect_same_state();
 }
 
-/// A host leaves the list, and another joins it. Hosts that are one list
-/// behind get the changes only, and end with the same list as all others.
+/// Guards against different lists of hosts on different hosts. A host leaves the list,
+/// and another one joins it. Hosts whose list is one version behind receive only the
+/// changes, and must end with the same list as all others.
 #[test]
 fn lists_of_hosts_spread_like_presets() {
     let mut fleet = TestFleet::settled(NINE, 12);
--- a/crates/cardamomwinch_coordination/tests/adoption_starting.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_starting.rs
@@ -1,4 +1,5 @@
-//! A host that starts, or wakes late, compares what it holds before it serves.
+//! A host that starts, or resumes after a pause, compares its state with others
+//! before it serves.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod adoption_support;
@@ -26,16 +27,16 @@
     fleet.start(host);
 }
 
-/// Runs until `host` serves, and holds that it never served another preset.
+/// Runs until `host` serves, and checks that it serves under `preset`.
 fn serves_only(fleet: &mut TestFleet, host: usize, preset: &str, limit: time::Duration) {
     let done = fleet.run_until(limit, |fleet| fleet.hosts[host].serves());
     assert!(done, "host {host} does not serve");
     assert_eq!(fleet.hosts[host].preset(), preset);
 }
 
-/// The configuration is larger than one message may be. A host that starts
-/// from peers gets it in parts, and serves once it has them all. A host that ran
-/// before never has some of the parts in force without the others.
+/// Guards against a configuration that exceeds the size of one message. A host that
+/// starts from peers receives it in parts, and must serve once it has all of them. A
+/// running host must never have some of the parts in force without the others.
 #[test]
 fn a_large_configuration_comes_in_parts() {
     let mut fleet = TestFleet::settled(NINE, 15);
@@ -63,8 +64,8 @@
     assert_eq!(services.len(), 4);
 }
 
-/// The platform is down when a host is replaced. The new one holds no list of
-/// hosts, so it cannot call anybody; its peers have to find it.
+/// Guards against a host that cannot start during an outage of the platform. It has no
+/// list of hosts and knows no peer, so its peers must contact it.
 #[parameterized(calm = { 1, 0.0 }, lossy = { 2, 0.1 })]
 fn a_host_starts_from_peers_alone(seed: u64, loss: f64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -76,9 +77,10 @@
     }
 }
 
-/// Every host is restarted after a change of servers. A fleet that holds only
-/// the version in force then looks for no flow where the earlier tables placed
-/// it, and callers without token, whose servers still hold them, are cut off.
+/// Guards against lookup tables that are lost in a rolling restart after backend
+/// servers have changed. With only the tables in force, hosts would not look for a
+/// flow on the server that an earlier table selected, and callers that echo no token
+/// would be cut off although that server still has their flow.
 #[parameterized(calm = { 21, 0.0 }, lossy = { 22, 0.1 })]
 fn a_rolling_restart_forgets_no_earlier_tables(seed: u64, loss: f64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -107,8 +109,8 @@
     }
 }
 
-/// No peer answers: the host starts from the platform alone, after it has
-/// given peers a moment to answer.
+/// Guards against a host that waits for peers forever. No peer answers; the host must
+/// start from the platform alone after a short wait for peers.
 #[test]
 fn a_host_starts_from_the_platform_alone() {
     let mut fleet = TestFleet::settled(NINE, 3);
@@ -118,7 +120,7 @@
     serves_only(&mut fleet, 4, "peak", seconds(3));
 }
 
-/// The only host of a fleet has no peer to wait for.
+/// Guards against a single host that waits for peers: the fleet has no other host.
 #[test]
 fn the_only_host_starts() {
     let shape = FleetShape {
@@ -128,7 +130,7 @@
     TestFleet::settled(shape, 4);
 }
 
-/// The whole fleet starts at once, from the platform.
+/// Guards against hosts that wait for each other when the whole fleet starts at once.
 #[test]
 fn a_whole_fleet_starts_at_once() {
     let shape = FleetShape {
@@ -139,9 +141,9 @@
     fleet.expect_same_state();
 }
 
-/// The platform is stale when a host is replaced, and answers before any peer
-/// does. Serving what the platform says for that moment sent requests to
-/// servers that had been taken out hours before.
+/// Guards against a start with outdated configuration. A stale platform answers before
+/// any peer does. A host that served the platform's version until then sent requests
+/// to backend servers that had been removed hours before.
 #[parameterized(near = { 6, 2 }, far = { 7, 60 }, lossy = { 8, 20 })]
 fn a_host_that_starts_takes_the_highest(seed: u64, delay: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -157,8 +159,9 @@
     }
 }
 
-/// The platform is ahead of all peers, for they are cut off from it. The host
-/// that starts brings the news.
+/// Guards against a change that a starting host keeps to itself. The platform is ahead
+/// of all peers, because they are cut off from it. The starting host must announce the
+/// change to them.
 #[test]
 fn a_host_that_starts_brings_what_is_newer() {
     let mut fleet = TestFleet::settled(NINE, 9);
@@ -172,9 +175,10 @@
     assert!(fleet.run_until(seconds(3), |fleet| fleet.all_have("peak")));
 }
 
-/// A host is paused for half a minute while a preset is switched. It wakes
-/// with a list of messages and its old beliefs; until it has asked, nothing
-/// that it publishes may count as fresh.
+/// Guards against a host that serves outdated configuration after a pause. It is
+/// paused for half a minute while a preset is switched, and resumes with queued
+/// messages and its old state. Until it has compared its state, no snapshot that it
+/// publishes may count as fresh.
 #[parameterized(with_peers = { 10, false, false }, peers_only = { 11, true, false }, platform_only = { 12, false, true })]
 fn a_late_waker_asks_before_it_serves(seed: u64, platform_down: bool, peers_cut: bool) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -200,8 +204,8 @@
     assert_eq!(fleet.hosts[4].count(Counter::WokeLate), 1);
 }
 
-/// A host that sleeps and then hears of nobody at all does not serve: it
-/// cannot know whose addresses are whose any more.
+/// Guards against a host that serves after a pause without an answer from any peer or
+/// the platform: addresses may have been reassigned to other servers meanwhile.
 #[test]
 fn a_late_waker_alone_stays_silent() {
     let mut fleet = TestFleet::settled(NINE, 13);
@@ -218,9 +222,10 @@
     assert!(done);
 }
 
-/// All hosts of a failure domain are paused together, and wake cut off from
-/// everything else. None of them can vouch for the others, but there is nobody
-/// better to ask: after a while the domain serves on by itself.
+/// Guards against a domain that never serves again. All its hosts are paused together
+/// and are cut off from all others when they resume. None of them has compared its
+/// state, but there is no better source: after a while they must accept the answers of
+/// each other.
 #[test]
 fn a_domain_that_slept_as_a_whole_serves_on() {
     let mut fleet = TestFleet::settled(NINE, 14);
@@ -240,9 +245,10 @@
     assert!(done, "the domain does not serve again");
 }
 
-/// A host asks a peer, and is paused before the answer is read. It wakes half
-/// a minute later, reads that answer first, and took it for news: it served a
-/// preset that had been replaced meanwhile, with everybody cut off from it.
+/// Guards against an answer from before a pause. A host queries a peer, and is paused
+/// before it reads the answer. Half a minute later it resumes and reads that answer
+/// first. It took the answer for current and, cut off from all others, served a preset
+/// that had been replaced meanwhile.
 #[parameterized(first = { 1 }, second = { 3 }, third = { 4 }, fourth = { 5 }, fifth = { 7 }, sixth = { 9 })]
 fn an_answer_from_before_the_sleep_does_not_count(after: u64) {
     for seed in 20..26 {
@@ -261,12 +267,13 @@
             let snapshot = &fleet.hosts[sleeper].snapshot;
             snapshot.made >= woken && snapshot.fresh_until > fleet.now
         });
-        assert!(!served, "seed {seed}: serves old beliefs");
+        assert!(!served, "seed {seed}: serves outdated configuration");
     }
 }
 
-/// A host is paused while it starts, with the platform's answers on their way.
-/// They are old when it wakes, and must not count as a comparison.
+/// Guards against platform answers from before a pause. A host is paused during its
+/// start while the answers are on their way. They are outdated when it resumes, and
+/// must not count as a comparison.
 #[test]
 fn a_reading_from_before_the_sleep_does_not_count() {
     for after in [1, 2, 3, 4, 6] {
--- a/crates/cardamomwinch_coordination/tests/adoption_support/documents.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/documents.rs
@@ -5,7 +5,7 @@
 use cardamomwinch_protocol::prelude::*;
 use cardamomwinch_state::prelude::*;
 
-/// How many hosts stand in how many failure domains.
+/// The number of failure domains, and of hosts in each.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetShape {
     pub domains: usize,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The list of those hosts for which `listed` holds.
+    /// The text of a list of the hosts for which `listed` is true.
     pub fn host_list(self, listed: impl Fn(usize) -> bool) -> String {
         let hosts = (0..self.count()).filter(|host| listed(*host));
         let hosts = hosts.map(|host| {
@@ -55,7 +55,7 @@
     format!("domain-{domain}")
 }
 
-/// A root document.
+/// The text of a root document.
 pub fn root(preset: &str, teams: &[(String, u64)]) -> String {
     let teams = teams
         .iter()
@@ -64,7 +64,7 @@
     format!(r#"{{"preset": "{preset}", "teams": {{{teams}}}}}"#)
 }
 
-/// A fragment with one service of one backend server.
+/// The text of a fragment with one service, which has one backend server.
 pub fn fragment(team: &str, service: &str, port: u16, backend: u16) -> String {
     format!(
         r#"{{"team": "{team}", "presets": {{}}, "services": {{"{service}": {{
@@ -73,8 +73,8 @@
     )
 }
 
-/// Holds that `envelope` passes as one message: the transport takes at most
-/// four mebibytes, in which text is escaped.
+/// Checks that `envelope` fits into one message. The transport accepts at most four
+/// mebibytes, in which text is escaped.
 pub fn expect_deliverable(envelope: &PeerEnvelope) {
     let PeerMessage::Configuration(ConfigurationMessage::Offer(offer)) = &envelope.message else {
         return;
--- a/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of control engines, a network and a platform in one deterministic
-//! run: all delays and losses follow from a seed, and time is simulated.
+//! A deterministic simulation of a fleet of control engines, a network and a
+//! platform: a seed determines all delays and losses, and time is simulated.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod documents;
@@ -79,7 +79,7 @@
     pub counts: SortedVector<Counter, u64>,
     pub refusals: Vec<RefusedDocument>,
     pub paused_until: Timestamp,
-    /// The versions that it had in force, in order.
+    /// The versions that the host had in force, in order.
     pub versions: Vec<ConfigurationVersion>,
     life: u64,
 }
@@ -106,13 +106,13 @@
     pub hosts: Vec<FleetHost>,
     pub platform: TestPlatform,
     pub now: Timestamp,
-    /// The share of messages among hosts that get lost.
+    /// The fraction of messages between hosts that get lost.
     pub loss: f64,
-    /// The longest delay of a message among hosts.
+    /// The longest delay of a message between hosts.
     pub delay: time::Duration,
     /// Whether messages from the first to the second host are cut.
     pub cut: CutRule,
-    /// Hosts that the platform does not answer.
+    /// Whether a host is cut off from the platform.
     pub platform_cut: Box<dyn Fn(usize) -> bool>,
     /// Presets that the platform has published, by version.
     pub published: SortedVector<u64, String>,
@@ -122,7 +122,7 @@
 }
 
 impl TestFleet {
-    /// Creates a fleet of which no host runs yet.
+    /// Creates a fleet whose hosts are not started yet.
     pub fn new(shape: FleetShape, seed: u64) -> Self {
         let count = shape.count();
         let hosts = (0..count).map(|host| FleetHost {
@@ -154,7 +154,7 @@
         fleet
     }
 
-    /// A fleet that has served its first configuration for a while.
+    /// Creates a fleet in which every host serves under the preset "ordinary".
     pub fn settled(shape: FleetShape, seed: u64) -> Self {
         let mut fleet = Self::new(shape, seed);
         fleet.publish_ordinary("ordinary");
@@ -166,8 +166,7 @@
         fleet
     }
 
-    /// Cuts the hosts for which `rule` holds off from the platform; their
-    /// watches hang.
+    /// Cuts off the hosts that match `rule` from the platform. Their watches hang.
     pub fn cut_platform(&mut self, rule: fn(usize) -> bool) {
         self.platform_cut = Box::new(rule);
         self.platform.drop_watches(rule);
@@ -182,7 +181,7 @@
         revision
     }
 
-    /// Publishes a root document with `preset` over the newest fragments.
+    /// Publishes a root document with `preset` that lists the newest fragments.
     pub fn publish_root(&mut self, preset: &str) -> u64 {
         let text = documents::root(preset, &self.platform.team_revisions());
         let revision = self.publish(PlatformKey::Root, &text);
@@ -205,7 +204,7 @@
         self.publish_root(preset)
     }
 
-    /// Starts a new life of `host`.
+    /// Starts a new incarnation of `host`.
     pub fn start(&mut self, host: usize) {
         let identity = self.shape.identity(host, self.now);
         let entry = &mut self.hosts[host];
@@ -219,13 +218,13 @@
         self.schedule(offset, Happening::Tick(host));
     }
 
-    /// Ends the life of `host` without a word.
+    /// Crashes `host`.
     pub fn kill(&mut self, host: usize) {
         self.hosts[host].engine = None;
         self.hosts[host].life += 1;
     }
 
-    /// Pauses `host`: whatever comes for it waits until it wakes.
+    /// Pauses `host`: its events wait until it resumes.
     pub fn pause(&mut self, host: usize, duration: time::Duration) {
         self.hosts[host].paused_until = self.now.after(duration);
     }
@@ -252,7 +251,7 @@
         self.now = end;
     }
 
-    /// Runs until `condition` holds, at most for `limit`; whether it held.
+    /// Runs until `condition` holds, at most for `limit`. Returns whether it held.
     pub fn run_until(&mut self, limit: time::Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now.after(limit);
         while !condition(self) {
@@ -331,8 +330,8 @@
         }
     }
 
-    /// Holds what must hold of every snapshot: versions only rise, and the
-    /// preset is the one that was published under the version.
+    /// Checks every published snapshot: versions never decrease, and the preset is
+    /// the one that was published under the version.
     fn note_snapshot(&mut self, host: usize, snapshot: std::sync::Arc<RoutingSnapshot>) {
         let version = snapshot.version();
         let entry = &mut self.hosts[host];
@@ -386,8 +385,8 @@
                 life,
                 request,
             });
-            // An answer that comes earlier makes this one a double, which the
-            // engine has to bear as well.
+            // If the watch is answered earlier, this is a second answer, which the
+            // engine must tolerate as well.
             return self.schedule_at(due, life, Happening::Outcome(host, outcome));
         }
         self.answer(host, life, request);
@@ -413,7 +412,7 @@
             .all(|(_, host)| host.serves() && host.preset() == preset)
     }
 
-    /// Holds that every running host serves under `preset`.
+    /// Checks that every running host serves under `preset`.
     pub fn expect_everywhere(&self, preset: &str) {
         for (index, host) in self.running() {
             assert!(host.serves(), "host {index} does not serve");
@@ -421,7 +420,7 @@
         }
     }
 
-    /// Holds that every running host has the same accepted state.
+    /// Checks that all running hosts have the same accepted state.
     pub fn expect_same_state(&self) {
         let digests = self.running().map(|(_, host)| {
             let engine = host.engine.as_ref().unwrap();
@@ -434,7 +433,7 @@
         );
     }
 
-    /// The hosts that read the platform at present.
+    /// The hosts that currently read the platform.
     pub fn readers(&self) -> Vec<usize> {
         let readers = self.running().filter(|(_, host)| {
             let engine = host.engine.as_ref().unwrap();
--- a/crates/cardamomwinch_coordination/tests/adoption_support/platform.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of a test fleet: revisions count up over all keys.
+//! The platform of a test fleet. All keys share one revision counter.
 
 use std::time;
 
@@ -6,7 +6,7 @@
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_state::prelude::*;
 
-/// A watch that waits.
+/// A watch that waits for a change.
 #[derive(Debug, Clone)]
 pub struct WaitingWatch {
     pub host: usize,
@@ -22,18 +22,18 @@
 
 type Values = SortedVector<PlatformKey, HeldValue>;
 
-/// The platform.
+/// A simulated platform.
 #[derive(Debug)]
 pub struct TestPlatform {
     values: Values,
-    /// What it answers with while it is stale.
+    /// The older values that it returns while it is stale.
     stale: Option<Values>,
     silent: bool,
     revision: u64,
     watches: Vec<WaitingWatch>,
-    /// How long an answer takes.
+    /// The delay of an answer.
     pub delay: time::Duration,
-    /// When each call came, and what it asked.
+    /// The calls, with the time of each.
     pub calls: Vec<(Timestamp, PlatformRequest)>,
 }
 
@@ -80,7 +80,7 @@
         teams.collect()
     }
 
-    /// A copy of all values, to go back to.
+    /// A copy of all values, for [`TestPlatform::go_back`].
     pub fn remember(&self) -> Self {
         Self {
             values: self.values.clone(),
@@ -88,23 +88,23 @@
         }
     }
 
-    /// Lets the watches of the hosts for which `rule` holds hang.
+    /// Leaves the watches of the hosts that match `rule` unanswered.
     pub fn drop_watches(&mut self, rule: fn(usize) -> bool) {
         self.watches.retain(|watch| !rule(watch.host));
     }
 
-    /// Answers with what was remembered from now on; all watches are lost.
+    /// Returns the values of `to` from now on. All watches are lost.
     pub fn go_back(&mut self, to: &Self) {
         self.stale = Some(to.values.clone());
         self.watches.clear();
     }
 
-    /// Answers with the truth again.
+    /// Returns the current values again.
     pub fn come_forward(&mut self) {
         self.stale = None;
     }
 
-    /// Answers nothing any more, or again.
+    /// Stops answering calls, or answers them again.
     pub fn set_silent(&mut self, silent: bool) {
         self.silent = silent;
         self.watches.clear();
@@ -128,7 +128,7 @@
             .shown()
             .get(&request.key)
             .map_or(0, |held| held.revision);
-        // While it is stale it answers watches at once, with what is old.
+        // While stale, it answers watches at once with old values.
         self.stale.is_none() && request.after.is_some_and(|after| held <= after)
     }
 
