--- a/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
+++ b/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
@@ -248,11 +248,11 @@
             state.team_mut(&name).accept(&held);
         }
         let root = platform.put(PlatformKey::Root, platform.root("ordinary"));
-        state.raise_root(HeldRoot::read(root)?);
+        state.merge_root(HeldRoot::read(root)?);
         let list = platform.put(PlatformKey::Hosts, hosts(size, domains));
         let version = HostListVersion::new(list.revision);
         let table = host_list::parse("hosts", &list.text, version)?;
-        state.hosts.raise(HeldHosts::new(table));
+        state.hosts.replace_if_newer(HeldHosts::new(table));
         let ids: Vec<HostId> = (0..size)
             .map(|host| HostId::from_name(&host_name(host)))
             .collect();
--- a/crates/cardamomwinch_coordination/src/control/adoption/accepted.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/accepted.rs
@@ -20,11 +20,11 @@
 
 /// Accepted fragments that are kept for each team. The second one is used if two
 /// hosts have independently accepted fragments of two teams that conflict.
-pub const ACCEPTED_KEPT: usize = 2;
+pub const MAX_ACCEPTED: usize = 2;
 
 /// The most bytes of fragments in one offer. An offer is sent as one message, in
 /// which its text is escaped once more.
-pub const OFFER_LIMIT: usize = 1536 * 1024;
+pub const MAX_OFFER_BYTES: usize = 1536 * 1024;
 
 /// The fragments of one team.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 
 impl TeamFragments {
     /// Records a fragment that was published.
-    pub fn note(&mut self, fragment: &HeldFragment) {
+    pub fn record_published(&mut self, fragment: &HeldFragment) {
         let newest = self.newest.as_ref().map(|newest| newest.stamp);
         if newest < Some(fragment.stamp) {
             self.newest = Some(fragment.clone());
@@ -46,18 +46,18 @@
 
     /// Records a fragment that was in force.
     pub fn accept(&mut self, fragment: &HeldFragment) {
-        self.note(fragment);
+        self.record_published(fragment);
         if self.accepted.contains(fragment) {
             return;
         }
         self.accepted.push(fragment.clone());
         self.accepted.sort_by_key(|held| cmp::Reverse(held.stamp));
-        self.accepted.truncate(ACCEPTED_KEPT);
+        self.accepted.truncate(MAX_ACCEPTED);
     }
 
     fn merge(&mut self, other: &Self) {
         if let Some(newest) = &other.newest {
-            self.note(newest);
+            self.record_published(newest);
         }
         for fragment in &other.accepted {
             self.accept(fragment);
@@ -115,7 +115,7 @@
     }
 
     /// Replaces the root document if `root` is newer.
-    pub fn raise_root(&mut self, root: HeldRoot) {
+    pub fn merge_root(&mut self, root: HeldRoot) {
         if root.stamp > self.root_stamp() {
             self.root = Some(sync::Arc::new(root));
         }
@@ -214,8 +214,8 @@
                 return true;
             };
             let accepted = own.known(&theirs.team).accepted;
-            let news = |stamp: &DocumentStamp| would_accept(&accepted, *stamp);
-            theirs.newest > own.newest_stamp() || theirs.accepted.iter().any(news)
+            let is_missing = |stamp: &DocumentStamp| would_accept(&accepted, *stamp);
+            theirs.newest > own.newest_stamp() || theirs.accepted.iter().any(is_missing)
         };
         known.root > self.root_stamp()
             || known.hosts > self.hosts.stamp()
@@ -226,7 +226,7 @@
 /// Whether a host that has accepted the fragments `held`, newest first, would keep
 /// one with `stamp`.
 fn would_accept(held: &[DocumentStamp], stamp: DocumentStamp) -> bool {
-    let displaces = held.len() < ACCEPTED_KEPT || held.last() < Some(&stamp);
+    let displaces = held.len() < MAX_ACCEPTED || held.last() < Some(&stamp);
     displaces && !held.contains(&stamp)
 }
 
@@ -237,7 +237,7 @@
         *total += offer.document.text.len();
         Some(*total)
     });
-    let fitting = sizes.take_while(|total| *total <= OFFER_LIMIT).count();
+    let fitting = sizes.take_while(|total| *total <= MAX_OFFER_BYTES).count();
     fitting.max(1).min(fragments.len())
 }
 
--- a/crates/cardamomwinch_coordination/src/control/adoption/confirmation.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/confirmation.rs
@@ -19,9 +19,9 @@
 
 /// The reason for a comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Occasion {
+enum ConfirmationCause {
     Start,
-    Wake,
+    Resume,
 }
 
 /// The answer of a peer.
@@ -34,10 +34,10 @@
 /// One comparison.
 #[derive(Debug)]
 pub(crate) struct StateConfirmation {
-    occasion: Occasion,
+    cause: ConfirmationCause,
     begun: Timestamp,
     /// When this host received its first list of hosts and could query peers.
-    peers_known: Option<Timestamp>,
+    peers_known_since: Option<Timestamp>,
     answers: Vec<PeerAnswer>,
     root_read: bool,
     hosts_read: bool,
@@ -47,22 +47,22 @@
 impl StateConfirmation {
     /// The comparison of a starting host.
     pub(crate) fn starting() -> Self {
-        Self::begin(Timestamp::ZERO, Occasion::Start)
+        Self::begin(Timestamp::ZERO, ConfirmationCause::Start)
     }
 
     /// A comparison that is complete.
-    pub(crate) fn settled() -> Self {
+    pub(crate) fn completed() -> Self {
         Self {
             done: true,
             ..Self::starting()
         }
     }
 
-    fn begin(now: Timestamp, occasion: Occasion) -> Self {
+    fn begin(now: Timestamp, cause: ConfirmationCause) -> Self {
         Self {
-            occasion,
+            cause,
             begun: now,
-            peers_known: None,
+            peers_known_since: None,
             answers: Vec::new(),
             root_read: false,
             hosts_read: false,
@@ -77,13 +77,13 @@
 
     /// Starts over because the host was paused. A host that had not finished the
     /// comparison of its start begins that one again.
-    pub(crate) fn note_sleep(&mut self, now: Timestamp) {
-        let occasion = if self.done {
-            Occasion::Wake
+    pub(crate) fn note_pause(&mut self, now: Timestamp) {
+        let cause = if self.done {
+            ConfirmationCause::Resume
         } else {
-            self.occasion
+            self.cause
         };
-        *self = Self::begin(now, occasion);
+        *self = Self::begin(now, cause);
     }
 
     /// Whether the comparison is complete.
@@ -94,11 +94,11 @@
     /// Whether to read the platform for this comparison. After a pause, peers get
     /// some time to answer first.
     pub(crate) fn asks_platform(&self, now: Timestamp) -> bool {
-        let patience = match self.occasion {
-            Occasion::Start => time::Duration::ZERO,
-            Occasion::Wake => START_WAIT / 2,
+        let delay = match self.cause {
+            ConfirmationCause::Start => time::Duration::ZERO,
+            ConfirmationCause::Resume => START_WAIT / 2,
         };
-        !self.done && now >= self.begun.after(patience)
+        !self.done && now >= self.begun.after(delay)
     }
 
     /// Whether the platform's root document was read since the comparison began.
@@ -149,10 +149,12 @@
     /// it, but not longer than [`UNCONFIRMED_WAIT`].
     pub(crate) fn decide(&mut self, now: Timestamp, peers: Option<usize>, behind: bool) {
         if let Some(peers) = peers.filter(|_| !self.done) {
-            self.peers_known.get_or_insert(now);
-            self.done = match self.occasion {
-                Occasion::Start => self.has_support(now) && self.has_waited(now, peers),
-                Occasion::Wake => self.has_support(now) && (!behind || self.is_late(now)),
+            self.peers_known_since.get_or_insert(now);
+            self.done = match self.cause {
+                ConfirmationCause::Start => self.has_support(now) && self.has_waited(now, peers),
+                ConfirmationCause::Resume => {
+                    self.has_support(now) && (!behind || self.is_late(now))
+                }
             };
         }
     }
@@ -172,7 +174,7 @@
     }
 
     fn has_waited(&self, now: Timestamp, peers: usize) -> bool {
-        let known = self.peers_known.unwrap_or(now);
+        let known = self.peers_known_since.unwrap_or(now);
         let peers_done =
             self.answers.len() >= ENOUGH_ANSWERS.min(peers) || now >= known.after(START_WAIT);
         let platform_done = self.platform_answered() || now >= self.begun.after(START_WAIT);
--- a/crates/cardamomwinch_coordination/src/control/adoption/earlier.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/earlier_tables.rs
@@ -8,34 +8,34 @@
 
 /// The host stops asking this long after its start: by then every peer that could
 /// answer has adopted the configuration in force here.
-const WISH_LIFE: time::Duration = time::Duration::from_secs(10);
+const REQUEST_DURATION: time::Duration = time::Duration::from_secs(10);
 /// The interval between queries to a random peer.
-const ASK_INTERVAL: time::Duration = time::Duration::from_millis(1000);
+const QUERY_INTERVAL: time::Duration = time::Duration::from_millis(1000);
 
 /// The request for earlier tables; not open before the start.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct EarlierWish {
-    until: Timestamp,
-    next_ask: Timestamp,
+pub(crate) struct EarlierTablesRequest {
+    open_until: Timestamp,
+    next_query: Timestamp,
 }
 
-impl EarlierWish {
+impl EarlierTablesRequest {
     /// Opens the request when the process starts.
     pub(crate) fn note_start(&mut self, now: Timestamp) {
-        self.until = now.after(WISH_LIFE);
+        self.open_until = now.after(REQUEST_DURATION);
     }
 
     /// Whether earlier tables are still missing.
     pub(crate) fn is_open(&self, now: Timestamp) -> bool {
-        now < self.until
+        now < self.open_until
     }
 
     /// Returns whether to query a peer now, and if so records the query. Queries are
     /// repeated because an answer may be lost, or come from an outdated peer.
-    pub(crate) fn try_ask(&mut self, now: Timestamp) -> bool {
-        let due = self.is_open(now) && now >= self.next_ask;
+    pub(crate) fn try_query(&mut self, now: Timestamp) -> bool {
+        let due = self.is_open(now) && now >= self.next_query;
         if due {
-            self.next_ask = now.after(ASK_INTERVAL);
+            self.next_query = now.after(QUERY_INTERVAL);
         }
         due
     }
@@ -45,10 +45,10 @@
     /// Guards against missing servers: the tables of an outdated peer lack the
     /// backend servers that were removed from the configuration since, so another
     /// answer is needed.
-    pub(crate) fn note(&mut self, version: ConfigurationVersion, tables: &EarlierTables) {
+    pub(crate) fn handle_answer(&mut self, version: ConfigurationVersion, tables: &EarlierTables) {
         let newest = tables.generations.first().map(|held| held.version);
         if newest >= Some(version) {
-            self.until = Timestamp::ZERO;
+            self.open_until = Timestamp::ZERO;
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/adoption/exchange.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/exchange.rs
@@ -15,25 +15,25 @@
 /// A peer that does not answer within this time is replaced by another one. Queries
 /// and answers get lost, and the last host of a fleet to adopt a change is one that
 /// loses several in a row. A difference that takes longer to send may arrive twice.
-const ASK_TIMEOUT: time::Duration = time::Duration::from_millis(100);
+const QUERY_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 /// The most remembered peers that may hold something newer.
-const AHEAD_LIMIT: usize = 4;
+const MAX_AHEAD_PEERS: usize = 4;
 /// Random hosts to announce to in each round, in addition to the successors in the
 /// first round.
-const ROUND_PEERS: usize = 2;
+const PEERS_PER_ROUND: usize = 2;
 /// The delay before each round of announcements. The next round makes up for lost
 /// messages, and the digests in heartbeats for those of the last round.
-const ROUND_RESTS: [time::Duration; 3] = [
+const ROUND_DELAYS: [time::Duration; 3] = [
     time::Duration::ZERO,
     time::Duration::from_millis(250),
     time::Duration::from_millis(500),
 ];
 /// The interval of announcements to unreachable listed hosts: such a host may be
 /// starting, and know no other host yet.
-const GREETING_INTERVAL: time::Duration = time::Duration::from_millis(1000);
+const UNREACHABLE_ANNOUNCE_INTERVAL: time::Duration = time::Duration::from_millis(1000);
 
 #[derive(Debug, Clone, Copy)]
-struct AskedPeer {
+struct QueriedPeer {
     host: HostId,
     until: Timestamp,
 }
@@ -45,7 +45,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct SpreadRound {
+struct AnnouncementRound {
     next: usize,
     due: Timestamp,
 }
@@ -54,22 +54,22 @@
 #[derive(Debug)]
 pub(crate) struct PeerExchange {
     random: SmallRng,
-    asked: Option<AskedPeer>,
+    queried: Option<QueriedPeer>,
     ahead: Vec<AheadPeer>,
-    spread: Option<SpreadRound>,
-    next_greeting: Timestamp,
-    greet_afar: bool,
+    announcing: Option<AnnouncementRound>,
+    next_unreachable_announcement: Timestamp,
+    announce_to_all_domains: bool,
 }
 
 impl PeerExchange {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
-            asked: None,
+            queried: None,
             ahead: Vec::new(),
-            spread: None,
-            next_greeting: Timestamp::ZERO,
-            greet_afar: false,
+            announcing: None,
+            next_unreachable_announcement: Timestamp::ZERO,
+            announce_to_all_domains: false,
         }
     }
 
@@ -77,7 +77,7 @@
     pub(crate) fn note_ahead(&mut self, host: HostId, digest: ConfigurationDigest) {
         self.ahead.retain(|peer| peer.host != host);
         self.ahead.push(AheadPeer { host, digest });
-        if self.ahead.len() > AHEAD_LIMIT {
+        if self.ahead.len() > MAX_AHEAD_PEERS {
             self.ahead.remove(0);
         }
     }
@@ -85,14 +85,14 @@
     /// Records that `host` has answered.
     pub(crate) fn note_answer(&mut self, host: HostId) {
         self.ahead.retain(|peer| peer.host != host);
-        if self.asked.is_some_and(|asked| asked.host == host) {
-            self.asked = None;
+        if self.queried.is_some_and(|queried| queried.host == host) {
+            self.queried = None;
         }
     }
 
     /// The peer to query now. Only one is queried at a time, so that a large
     /// difference is not sent by several peers at once.
-    pub(crate) fn next_ask(
+    pub(crate) fn next_query(
         &mut self,
         now: Timestamp,
         own: ConfigurationDigest,
@@ -100,7 +100,7 @@
         hosts: &HostTable,
         confirmation: &StateConfirmation,
     ) -> Option<HostId> {
-        if self.is_asking(now) {
+        if self.is_querying(now) {
             return None;
         }
         self.ahead.retain(|peer| may_be_ahead(peer.digest, own));
@@ -109,22 +109,22 @@
             None if confirmation.is_done() => None,
             None => self.unanswered(identity, hosts, confirmation),
         };
-        let until = now.after(ASK_TIMEOUT);
-        self.asked = host.map(|host| AskedPeer { host, until });
+        let until = now.after(QUERY_TIMEOUT);
+        self.queried = host.map(|host| QueriedPeer { host, until });
         host
     }
 
-    fn is_asking(&self, now: Timestamp) -> bool {
-        self.asked.is_some_and(|asked| now < asked.until)
+    fn is_querying(&self, now: Timestamp) -> bool {
+        self.queried.is_some_and(|queried| now < queried.until)
     }
 
     /// Records a query to `host`. Returns `false` if another query is unanswered.
-    pub(crate) fn try_ask(&mut self, now: Timestamp, host: HostId) -> bool {
-        if self.is_asking(now) {
+    pub(crate) fn try_query(&mut self, now: Timestamp, host: HostId) -> bool {
+        if self.is_querying(now) {
             return false;
         }
-        let until = now.after(ASK_TIMEOUT);
-        self.asked = Some(AskedPeer { host, until });
+        let until = now.after(QUERY_TIMEOUT);
+        self.queried = Some(QueriedPeer { host, until });
         true
     }
 
@@ -142,10 +142,10 @@
             .values()
             .filter(|host| host.id != identity.host && !confirmation.has_answer(host.id))
             .collect();
-        let near = self.random.random_bool(0.5);
+        let own_domain = self.random.random_bool(0.5);
         let side: Vec<&&HostEntry> = open
             .iter()
-            .filter(|host| (host.domain == identity.domain) == near)
+            .filter(|host| (host.domain == identity.domain) == own_domain)
             .collect();
         match side.is_empty() {
             true => self.pick(&open).map(|host| host.id),
@@ -159,13 +159,13 @@
     }
 
     /// Begins to announce new documents.
-    pub(crate) fn begin_spread(&mut self, now: Timestamp) {
-        self.spread = Some(SpreadRound { next: 0, due: now });
+    pub(crate) fn begin_announcing(&mut self, now: Timestamp) {
+        self.announcing = Some(AnnouncementRound { next: 0, due: now });
     }
 
     /// Ends the rounds of announcements.
-    pub(crate) fn end_spread(&mut self) {
-        self.spread = None;
+    pub(crate) fn end_announcing(&mut self) {
+        self.announcing = None;
     }
 
     /// The hosts to send an announcement to now.
@@ -175,26 +175,26 @@
         identity: HostIdentity,
         hosts: &HostTable,
     ) -> Vec<HostId> {
-        let Some(round) = self.spread.filter(|round| now >= round.due) else {
+        let Some(round) = self.announcing.filter(|round| now >= round.due) else {
             return Vec::new();
         };
         let next = round.next + 1;
-        self.spread = ROUND_RESTS.get(next).map(|rest| SpreadRound {
+        self.announcing = ROUND_DELAYS.get(next).map(|delay| AnnouncementRound {
             next,
-            due: now.after(*rest),
+            due: now.after(*delay),
         });
-        let mut told = Vec::new();
+        let mut receivers = Vec::new();
         if round.next == 0 {
-            told.extend(successor(identity.host, hosts, |_| true));
-            let near = |host: &HostEntry| host.domain == identity.domain;
-            told.extend(successor(identity.host, hosts, near));
+            receivers.extend(successor(identity.host, hosts, |_| true));
+            let own_domain = |host: &HostEntry| host.domain == identity.domain;
+            receivers.extend(successor(identity.host, hosts, own_domain));
         }
-        for _ in 0..ROUND_PEERS {
-            told.extend(self.random_host(identity, hosts));
+        for _ in 0..PEERS_PER_ROUND {
+            receivers.extend(self.random_host(identity, hosts));
         }
-        told.sort_unstable();
-        told.dedup();
-        told
+        receivers.sort_unstable();
+        receivers.dedup();
+        receivers
     }
 
     /// A random listed host other than this one.
@@ -216,25 +216,26 @@
 
     /// The unreachable host to send an announcement to now, if any. It is chosen
     /// alternately from the own domain and from all domains.
-    pub(crate) fn due_greeting<R: PeerReachability>(
+    pub(crate) fn due_unreachable_announcement<R: PeerReachability>(
         &mut self,
         now: Timestamp,
         identity: HostIdentity,
         hosts: &HostTable,
         peers: &R,
     ) -> Option<HostId> {
-        if now < self.next_greeting {
+        if now < self.next_unreachable_announcement {
             return None;
         }
         let jitter = self.random.random_range(0.75..=1.25);
-        self.next_greeting = now.after(GREETING_INTERVAL.mul_f64(jitter));
-        self.greet_afar = !self.greet_afar;
-        let afar = self.greet_afar;
+        self.next_unreachable_announcement =
+            now.after(UNREACHABLE_ANNOUNCE_INTERVAL.mul_f64(jitter));
+        self.announce_to_all_domains = !self.announce_to_all_domains;
+        let all_domains = self.announce_to_all_domains;
         let absent: Vec<HostId> = hosts
             .hosts
             .values()
             .filter(|host| host.phase == HostPhase::Live && host.id != identity.host)
-            .filter(|host| afar || host.domain == identity.domain)
+            .filter(|host| all_domains || host.domain == identity.domain)
             .map(|host| host.id)
             .filter(|host| !peers.is_reachable(now, *host))
             .collect();
--- a/crates/cardamomwinch_coordination/src/control/adoption/host_lists.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/host_lists.rs
@@ -12,7 +12,7 @@
 use crate::control::adoption::document;
 
 /// Earlier lists that are kept.
-const EARLIER_KEPT: usize = 4;
+const MAX_EARLIER_LISTS: usize = 4;
 
 /// A list with its stamp. The hash covers the hosts rather than the published text,
 /// so that a list assembled from changes has the same stamp.
@@ -80,19 +80,19 @@
     }
 
     /// Replaces the list in force if `hosts` is newer. Returns whether it was.
-    pub fn raise(&mut self, hosts: HeldHosts) -> bool {
+    pub fn replace_if_newer(&mut self, hosts: HeldHosts) -> bool {
         if hosts.stamp <= self.current.stamp {
             return false;
         }
         let replaced = std::mem::replace(&mut self.current, hosts);
         self.earlier.push_front(replaced);
-        self.earlier.truncate(EARLIER_KEPT);
+        self.earlier.truncate(MAX_EARLIER_LISTS);
         true
     }
 
     /// Replaces the list in force if that of `other` is newer.
     pub fn merge(&mut self, other: &Self) {
-        self.raise(other.current.clone());
+        self.replace_if_newer(other.current.clone());
     }
 
     /// The offer to a host with the list `known`: the changes if that list is still
@@ -120,7 +120,7 @@
 
     /// Assembles the offered list. Returns `None` if it is not newer, or if its
     /// changes do not apply to the list in force and it must be queried again.
-    pub fn read(&self, offer: &HostListOffer) -> Option<HeldHosts> {
+    pub fn assemble(&self, offer: &HostListOffer) -> Option<HeldHosts> {
         if offer.stamp <= self.current.stamp {
             return None;
         }
--- a/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
@@ -14,7 +14,7 @@
 mod calls;
 mod confirmation;
 pub mod document;
-mod earlier;
+mod earlier_tables;
 pub mod effect;
 mod exchange;
 pub mod host_lists;
@@ -36,7 +36,7 @@
 use crate::control::adoption::calls::PlatformCalls;
 use crate::control::adoption::confirmation::StateConfirmation;
 use crate::control::adoption::document::{HeldFragment, HeldRoot};
-use crate::control::adoption::earlier::EarlierWish;
+use crate::control::adoption::earlier_tables::EarlierTablesRequest;
 use crate::control::adoption::effect::AdoptionEffect;
 use crate::control::adoption::exchange::PeerExchange;
 use crate::control::adoption::pending::PendingRoot;
@@ -90,7 +90,7 @@
     ranking: ReaderRanking,
     exchange: PeerExchange,
     confirmation: StateConfirmation,
-    earlier: EarlierWish,
+    earlier_tables: EarlierTablesRequest,
 }
 
 impl ConfigurationAdoption {
@@ -113,7 +113,7 @@
             ranking: ReaderRanking::default(),
             exchange: PeerExchange::new(flow::mix(seed)),
             confirmation: StateConfirmation::starting(),
-            earlier: EarlierWish::default(),
+            earlier_tables: EarlierTablesRequest::default(),
         }
     }
 
@@ -121,10 +121,10 @@
     /// peers, for programs that simulate fleets without starting each host.
     pub fn resume(identity: HostIdentity, now: Timestamp, state: AcceptedState) -> Self {
         let mut adoption = Self::new(identity);
-        adoption.confirmation = StateConfirmation::settled();
+        adoption.confirmation = StateConfirmation::completed();
         let mut effects = Vec::new();
-        adoption.raise(now, state, &mut effects);
-        adoption.exchange.end_spread();
+        adoption.adopt_state(now, state, &mut effects);
+        adoption.exchange.end_announcing();
         adoption
     }
 
@@ -174,13 +174,13 @@
     /// Handles the start of the process.
     pub fn start(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         self.confirmation.note_start(now);
-        self.earlier.note_start(now);
-        self.call_both(now, effects);
+        self.earlier_tables.note_start(now);
+        self.read_shared_documents(now, effects);
     }
 
     /// Handles the end of a pause of the process or of the control thread.
     pub fn note_sleep(&mut self, now: Timestamp) {
-        self.confirmation.note_sleep(now);
+        self.confirmation.note_pause(now);
     }
 
     /// Does what is due at `now`.
@@ -193,12 +193,14 @@
         self.finish_pending(now, effects);
         self.decide_confirmation(now);
         self.call_platform(now, peers, effects);
-        self.ask_peers(now, effects);
-        self.ask_for_earlier(now, effects);
+        self.query_peers(now, effects);
+        self.request_earlier_tables(now, effects);
         self.announce(now, effects);
         let hosts = self.state.hosts.table();
-        let greeted = self.exchange.due_greeting(now, self.identity, hosts, peers);
-        if let Some(host) = greeted {
+        let unreachable =
+            self.exchange
+                .due_unreachable_announcement(now, self.identity, hosts, peers);
+        if let Some(host) = unreachable {
             self.announce_to(host, effects);
         }
     }
@@ -215,33 +217,33 @@
         let behind = self.pending.is_some();
         self.confirmation.decide(now, peers, behind);
         if self.confirmation.is_done() && !confirmed {
-            self.exchange.begin_spread(now);
+            self.exchange.begin_announcing(now);
         }
     }
 
-    fn ask_peers(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
+    fn query_peers(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         let hosts = self.state.hosts.table();
         let confirmation = &self.confirmation;
-        let asked = self
+        let peer = self
             .exchange
-            .next_ask(now, self.digest, self.identity, hosts, confirmation);
-        if let Some(host) = asked {
-            effects.push(self.want(now, host, None));
+            .next_query(now, self.digest, self.identity, hosts, confirmation);
+        if let Some(host) = peer {
+            effects.push(self.want_effect(now, host, None));
         }
     }
 
-    fn ask_for_earlier(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
-        if !self.confirmation.is_done() || !self.earlier.try_ask(now) {
+    fn request_earlier_tables(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
+        if !self.confirmation.is_done() || !self.earlier_tables.try_query(now) {
             return;
         }
         let hosts = self.state.hosts.table();
-        let asked = self.exchange.random_host(self.identity, hosts);
-        if let Some(host) = asked.filter(|host| self.exchange.try_ask(now, *host)) {
-            effects.push(self.want(now, host, None));
+        let peer = self.exchange.random_host(self.identity, hosts);
+        if let Some(host) = peer.filter(|host| self.exchange.try_query(now, *host)) {
+            effects.push(self.want_effect(now, host, None));
         }
     }
 
-    fn want(
+    fn want_effect(
         &self,
         asked: Timestamp,
         host: HostId,
@@ -253,7 +255,7 @@
         let message = ConfigurationMessage::Want {
             asked,
             known,
-            wants_earlier: self.earlier.is_open(asked),
+            wants_earlier: self.earlier_tables.is_open(asked),
         };
         AdoptionEffect::Tell {
             host,
@@ -264,8 +266,8 @@
 
     fn announce(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         let hosts = self.state.hosts.table();
-        let told = self.exchange.due_announcements(now, self.identity, hosts);
-        for host in told {
+        let receivers = self.exchange.due_announcements(now, self.identity, hosts);
+        for host in receivers {
             self.announce_to(host, effects);
         }
     }
@@ -295,7 +297,7 @@
     ) {
         if exchange::may_be_ahead(digest, self.digest) {
             self.exchange.note_ahead(sender, digest);
-            self.ask_peers(now, effects);
+            self.query_peers(now, effects);
         }
     }
 
@@ -314,9 +316,9 @@
                 if self.hosts().get(sender).is_some() {
                     self.note_digest(now, sender, *digest, effects);
                 } else if exchange::may_be_ahead(*digest, self.digest)
-                    && self.exchange.try_ask(now, sender)
+                    && self.exchange.try_query(now, sender)
                 {
-                    effects.push(self.want(now, sender, Some(*reply_to)));
+                    effects.push(self.want_effect(now, sender, Some(*reply_to)));
                 }
             }
             ConfigurationMessage::Want {
@@ -328,19 +330,20 @@
                 if *wants_earlier && self.confirmation.is_done() {
                     effects.push(AdoptionEffect::TellEarlier { host: sender });
                 }
-                self.take_want(now, sender, *asked, known, effects);
+                self.handle_want(now, sender, *asked, known, effects);
             }
             ConfigurationMessage::Earlier(tables) => {
-                if self.earlier.is_open(now) {
-                    self.earlier.note(self.state.version(), tables);
+                if self.earlier_tables.is_open(now) {
+                    self.earlier_tables
+                        .handle_answer(self.state.version(), tables);
                     effects.push(AdoptionEffect::Earlier(tables.clone()));
                 }
             }
-            ConfigurationMessage::Offer(offer) => self.take_offer(now, sender, offer, effects),
+            ConfigurationMessage::Offer(offer) => self.handle_offer(now, sender, offer, effects),
         }
     }
 
-    fn take_want(
+    fn handle_want(
         &mut self,
         now: Timestamp,
         sender: HostId,
@@ -363,22 +366,22 @@
                 ..self.digest
             };
             self.exchange.note_ahead(sender, digest);
-            self.ask_peers(now, effects);
+            self.query_peers(now, effects);
         }
     }
 
-    fn take_offer(
+    fn handle_offer(
         &mut self,
         now: Timestamp,
         sender: HostId,
         offer: &ConfigurationOffer,
         effects: &mut Vec<AdoptionEffect>,
     ) {
-        let mut raised = self.state.clone();
+        let mut updated = self.state.clone();
         let mut offered_teams = std::mem::take(&mut self.staged);
         if let Some(root) = &offer.root {
             match HeldRoot::read(root.clone()) {
-                Ok(root) => raised.raise_root(root),
+                Ok(root) => updated.merge_root(root),
                 Err(_) => effects.push(AdoptionEffect::Count(Counter::DocumentRefused)),
             }
         }
@@ -388,16 +391,16 @@
             if offered.accepted && fragment.is_well_formed() {
                 team.accept(&fragment);
             } else {
-                team.note(&fragment);
+                team.record_published(&fragment);
             }
         }
         if let Some(hosts) = &offer.hosts
-            && let Some(hosts) = raised.hosts.read(hosts)
+            && let Some(hosts) = updated.hosts.assemble(hosts)
         {
-            raised.hosts.raise(hosts);
+            updated.hosts.replace_if_newer(hosts);
         }
         if offer.complete {
-            raised.merge(&offered_teams);
+            updated.merge(&offered_teams);
         } else {
             self.staged = offered_teams;
         }
@@ -405,45 +408,50 @@
         if offer.complete && self.confirmation.covers(offer.asked) {
             self.confirmation.note_answer(sender, offer.confirmed);
         }
-        self.drop_overtaken(&mut raised);
-        self.raise(now, raised, effects);
+        self.drop_superseded(&mut updated);
+        self.adopt_state(now, updated, effects);
         self.decide_confirmation(now);
         if exchange::may_be_ahead(offer.digest, self.digest) {
             self.exchange.note_ahead(sender, offer.digest);
         }
-        self.ask_peers(now, effects);
+        self.query_peers(now, effects);
     }
 
     /// Drops the pending root document if a peer has offered one that is as new.
     /// The fragments that were read for it are kept.
-    fn drop_overtaken(&mut self, raised: &mut AcceptedState) {
-        let revision = raised.root_stamp().revision;
-        let overtaken = self
+    fn drop_superseded(&mut self, updated: &mut AcceptedState) {
+        let revision = updated.root_stamp().revision;
+        let superseded = self
             .pending
             .take_if(|pending| pending.revision() <= revision);
-        if let Some(pending) = overtaken {
-            pending.raise(raised, false);
+        if let Some(pending) = superseded {
+            pending.merge_into(updated, false);
         }
     }
 
-    /// Replaces the state by `raised`, and puts the configuration that follows from
+    /// Replaces the state by `updated`, and puts the configuration that follows from
     /// it in force.
-    fn raise(&mut self, now: Timestamp, raised: AcceptedState, effects: &mut Vec<AdoptionEffect>) {
+    fn adopt_state(
+        &mut self,
+        now: Timestamp,
+        updated: AcceptedState,
+        effects: &mut Vec<AdoptionEffect>,
+    ) {
         let earlier = self.digest;
         let earlier_hosts = self.state.hosts.stamp();
-        self.state = raised;
+        self.state = updated;
         self.choose(effects);
         self.digest = self.state.digest();
         let stamp = self.state.hosts.stamp();
         if stamp != earlier_hosts {
             let hosts = self.state.hosts.table();
             self.ranking.update(self.identity, stamp, hosts);
-            let overtaken = |refused: &mut RefusedDocument| refused.revision <= stamp.revision;
-            self.refused_hosts.take_if(overtaken);
+            let superseded = |refused: &mut RefusedDocument| refused.revision <= stamp.revision;
+            self.refused_hosts.take_if(superseded);
             effects.push(AdoptionEffect::Hosts);
         }
         if self.digest != earlier && self.confirmation.is_done() {
-            self.exchange.begin_spread(now);
+            self.exchange.begin_announcing(now);
             self.announce(now, effects);
         }
     }
@@ -457,8 +465,8 @@
             self.state.team_mut(team).accept(held);
         }
         self.report_refused(selection.refused, effects);
-        let overtaken = |refused: &mut RefusedDocument| refused.revision <= root.stamp.revision;
-        self.refused_root.take_if(overtaken);
+        let superseded = |refused: &mut RefusedDocument| refused.revision <= root.stamp.revision;
+        self.refused_root.take_if(superseded);
         let fragments = selection.chosen.into_iter();
         let chosen = ChosenStamps {
             root: root.stamp,
--- a/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
@@ -10,10 +10,10 @@
 
 /// How long a root document waits for fragments of teams that have an earlier
 /// fragment: the platform may fail between two reads.
-const PENDING_LIMIT: time::Duration = time::Duration::from_millis(1500);
+const PENDING_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 /// How long a root document waits for fragments of teams that have none, if it has
 /// received those of other teams. Then only the missing teams are not in force.
-const STARTER_LIMIT: time::Duration = time::Duration::from_secs(5);
+const STARTER_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// The root document and the fragments read for it so far.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     }
 
     /// Takes over the fragments that were read for an earlier root document.
-    pub(crate) fn inherit(&mut self, earlier: Self) {
+    pub(crate) fn take_fragments(&mut self, earlier: Self) {
         self.fragments = earlier.fragments;
     }
 
@@ -55,7 +55,7 @@
 
     /// Records a fragment that was read. If it is older than listed, the listed one
     /// is unavailable.
-    pub(crate) fn note(&mut self, team: String, fragment: HeldFragment) {
+    pub(crate) fn record_fragment(&mut self, team: String, fragment: HeldFragment) {
         let revision = FragmentRevision::new(fragment.stamp.revision);
         if self.listed(&team).is_some_and(|listed| revision < listed) {
             self.unavailable.push(team.clone());
@@ -64,7 +64,7 @@
     }
 
     /// Records that the platform has no fragment of `team`.
-    pub(crate) fn note_missing(&mut self, team: String) {
+    pub(crate) fn record_missing(&mut self, team: String) {
         self.unavailable.push(team);
     }
 
@@ -89,25 +89,25 @@
 
     /// Whether the root document can come into force.
     pub(crate) fn is_complete(&self, now: Timestamp, state: &AcceptedState) -> bool {
-        let late = now >= self.begun.after(PENDING_LIMIT);
-        let starved = now >= self.begun.after(STARTER_LIMIT) && !self.fragments.is_empty();
+        let late = now >= self.begun.after(PENDING_TIMEOUT);
+        let gives_up = now >= self.begun.after(STARTER_TIMEOUT) && !self.fragments.is_empty();
         let mut teams = self.root.document.teams.iter();
         teams.all(|(team, listed)| {
             self.has(state, team, *listed)
                 || self.unavailable.contains(team)
                 || (late && state.teams.contains_key(team))
-                || starved
+                || gives_up
         })
     }
 
     /// Merges the fragments that were read into `state`, and the root document too
     /// if `with_root` is set.
-    pub(crate) fn raise(self, state: &mut AcceptedState, with_root: bool) {
+    pub(crate) fn merge_into(self, state: &mut AcceptedState, with_root: bool) {
         for (team, fragment) in &self.fragments {
-            state.team_mut(team).note(fragment);
+            state.team_mut(team).record_published(fragment);
         }
         if with_root {
-            state.raise_root(self.root);
+            state.merge_root(self.root);
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
@@ -20,20 +20,24 @@
 const WATCH_WAIT: time::Duration = time::Duration::from_secs(10);
 /// The longest backoff of a reader. There are few readers, and a change that is
 /// published right after an outage must be seen within this time.
-const READER_REST: time::Duration = time::Duration::from_secs(2);
+const MAX_READER_BACKOFF: time::Duration = time::Duration::from_secs(2);
 /// The longest backoff of a starting host: the whole fleet may start at once.
-const STARTER_REST: time::Duration = time::Duration::from_secs(8);
+const MAX_STARTER_BACKOFF: time::Duration = time::Duration::from_secs(8);
 /// The delay with which the readers of each further failure domain fetch fragments:
 /// by then a peer has usually offered them.
 const DOMAIN_STAGGER: time::Duration = time::Duration::from_millis(20);
 /// The delay with which each further reader of a domain fetches fragments.
 const RANK_STAGGER: time::Duration = time::Duration::from_millis(250);
 /// The longest delay between reading a root document and fetching its fragments.
-const LONGEST_STAGGER: time::Duration = time::Duration::from_millis(750);
+const MAX_STAGGER: time::Duration = time::Duration::from_millis(750);
 
 impl ConfigurationAdoption {
     /// Reads the two documents that belong to no team.
-    pub(super) fn call_both(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
+    pub(super) fn read_shared_documents(
+        &mut self,
+        now: Timestamp,
+        effects: &mut Vec<AdoptionEffect>,
+    ) {
         for key in [PlatformKey::Root, PlatformKey::Hosts] {
             self.call(now, read(key), effects);
         }
@@ -72,8 +76,8 @@
         }
         let reads = self.is_reader(now, peers);
         if reads {
-            let root = seen(self.version().get(), &self.refused_root);
-            let hosts = seen(self.hosts().version.get(), &self.refused_hosts);
+            let root = newest_seen(self.version().get(), &self.refused_root);
+            let hosts = newest_seen(self.hosts().version.get(), &self.refused_hosts);
             let pending = self.pending.as_ref().map_or(0, PendingRoot::revision);
             self.call(now, watch(PlatformKey::Root, root.max(pending)), effects);
             self.call(now, watch(PlatformKey::Hosts, hosts), effects);
@@ -112,20 +116,20 @@
         let PlatformOutcome { request, result } = outcome;
         match result {
             Err(_) => {
-                self.rest(now, &request);
+                self.back_off(now, &request);
                 effects.push(AdoptionEffect::Count(Counter::PlatformFailed));
             }
             Ok(PlatformAnswer::Missing) => {
-                self.rest(now, &request);
+                self.back_off(now, &request);
                 effects.push(AdoptionEffect::Count(Counter::PlatformFailed));
                 if let (Some(pending), PlatformKey::Team(team)) = (&mut self.pending, request.key) {
-                    pending.note_missing(team);
+                    pending.record_missing(team);
                 }
             }
             Ok(PlatformAnswer::Unchanged) => self.calls.succeed(&request),
             Ok(PlatformAnswer::Value { revision, text }) => {
                 let published = PublishedText { revision, text };
-                self.take_value(now, request, published, peers, effects);
+                self.handle_value(now, request, published, peers, effects);
             }
         }
         self.finish_pending(now, effects);
@@ -133,16 +137,16 @@
         self.call_platform(now, peers, effects);
     }
 
-    fn rest(&mut self, now: Timestamp, request: &PlatformRequest) {
+    fn back_off(&mut self, now: Timestamp, request: &PlatformRequest) {
         let longest = if self.confirmation.is_done() {
-            READER_REST
+            MAX_READER_BACKOFF
         } else {
-            STARTER_REST
+            MAX_STARTER_BACKOFF
         };
-        self.calls.rest(now, request, longest);
+        self.calls.back_off(now, request, longest);
     }
 
-    fn take_value<R: PeerReachability>(
+    fn handle_value<R: PeerReachability>(
         &mut self,
         now: Timestamp,
         request: PlatformRequest,
@@ -169,15 +173,15 @@
         // new, or a read that returns an older revision than is known to exist.
         let expected = self.expected_revision(&request).max(held);
         if published.revision < expected {
-            self.rest(now, &request);
+            self.back_off(now, &request);
         } else {
             self.calls.succeed(&request);
         }
         match request.key {
-            PlatformKey::Root => self.take_root(now, published, peers, effects),
-            PlatformKey::Hosts => self.take_hosts(now, published, effects),
+            PlatformKey::Root => self.handle_root(now, published, peers, effects),
+            PlatformKey::Hosts => self.handle_hosts(now, published, effects),
             PlatformKey::Team(team) => {
-                self.take_fragment(now, team, published, effects);
+                self.handle_fragment(now, team, published, effects);
             }
         }
     }
@@ -203,7 +207,7 @@
         listed.map_or(0, FragmentRevision::get)
     }
 
-    fn take_root<R: PeerReachability>(
+    fn handle_root<R: PeerReachability>(
         &mut self,
         now: Timestamp,
         published: PublishedText,
@@ -212,7 +216,7 @@
     ) {
         let revision = published.revision;
         let pending = self.pending.as_ref().map_or(0, PendingRoot::revision);
-        let newest = seen(self.version().get(), &self.refused_root).max(pending);
+        let newest = newest_seen(self.version().get(), &self.refused_root).max(pending);
         if revision <= newest {
             return;
         }
@@ -221,7 +225,7 @@
                 let reads_from = now.after(self.stagger(now, revision, peers));
                 let mut begun = PendingRoot::new(root, now, reads_from);
                 if let Some(earlier) = self.pending.take() {
-                    begun.inherit(earlier);
+                    begun.take_fragments(earlier);
                 }
                 self.pending = Some(begun);
             }
@@ -242,15 +246,15 @@
         peers: &R,
     ) -> time::Duration {
         let Some(rank) = self.ranking.reader_rank(now, self.identity, peers) else {
-            return LONGEST_STAGGER;
+            return MAX_STAGGER;
         };
         let position = self.ranking.domain_position(self.identity, version);
         let by_domain = DOMAIN_STAGGER.saturating_mul(position as u32);
         let by_rank = RANK_STAGGER.saturating_mul(rank as u32);
-        (by_domain + by_rank).min(LONGEST_STAGGER)
+        (by_domain + by_rank).min(MAX_STAGGER)
     }
 
-    fn take_fragment(
+    fn handle_fragment(
         &mut self,
         now: Timestamp,
         team: String,
@@ -259,11 +263,11 @@
     ) {
         let fragment = HeldFragment::read(&team, published);
         if let Some(pending) = &mut self.pending {
-            return pending.note(team, fragment);
+            return pending.record_fragment(team, fragment);
         }
-        let mut raised = self.state.clone();
-        raised.team_mut(&team).note(&fragment);
-        self.raise(now, raised, effects);
+        let mut updated = self.state.clone();
+        updated.team_mut(&team).record_published(&fragment);
+        self.adopt_state(now, updated, effects);
     }
 
     /// Puts the pending root document in force if it no longer waits for fragments.
@@ -273,28 +277,28 @@
             .pending
             .take_if(|pending| pending.is_complete(now, state));
         if let Some(pending) = complete {
-            let mut raised = self.state.clone();
-            pending.raise(&mut raised, true);
-            self.raise(now, raised, effects);
+            let mut updated = self.state.clone();
+            pending.merge_into(&mut updated, true);
+            self.adopt_state(now, updated, effects);
         }
     }
 
-    fn take_hosts(
+    fn handle_hosts(
         &mut self,
         now: Timestamp,
         published: PublishedText,
         effects: &mut Vec<AdoptionEffect>,
     ) {
         let revision = published.revision;
-        if revision <= seen(self.hosts().version.get(), &self.refused_hosts) {
+        if revision <= newest_seen(self.hosts().version.get(), &self.refused_hosts) {
             return;
         }
         let version = HostListVersion::new(revision);
         match host_list::parse("hosts", &published.text, version) {
             Ok(table) => {
-                let mut raised = self.state.clone();
-                raised.hosts.raise(HeldHosts::new(table));
-                self.raise(now, raised, effects);
+                let mut updated = self.state.clone();
+                updated.hosts.replace_if_newer(HeldHosts::new(table));
+                self.adopt_state(now, updated, effects);
             }
             Err(report) => {
                 let refused = adoption::malformed(PlatformKey::Hosts, revision, report);
@@ -306,7 +310,7 @@
 }
 
 /// The highest revision of a document, whether accepted or refused.
-fn seen(accepted: u64, refused: &Option<RefusedDocument>) -> u64 {
+fn newest_seen(accepted: u64, refused: &Option<RefusedDocument>) -> u64 {
     let refused = refused.as_ref().map_or(0, |refused| refused.revision);
     accepted.max(refused)
 }
--- a/crates/cardamomwinch_coordination/src/control/adoption/selection.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/selection.rs
@@ -30,7 +30,7 @@
     newest: Option<&'s HeldFragment>,
     choices: Vec<&'s HeldFragment>,
     position: usize,
-    clash: Option<FragmentRefusal>,
+    conflict: Option<FragmentRefusal>,
 }
 
 impl<'s> TeamChoice<'s> {
@@ -49,7 +49,7 @@
                 .filter(|held| held.is_well_formed())
                 .collect(),
             position: 0,
-            clash: None,
+            conflict: None,
         }
     }
 
@@ -80,7 +80,7 @@
                 reason: RefusalReason::Missing { listed },
             });
         };
-        let reason = match (newest.content.as_ref(), &self.clash) {
+        let reason = match (newest.content.as_ref(), &self.conflict) {
             (Err(report), _) => RefusalReason::Malformed {
                 report: report.clone(),
             },
@@ -117,7 +117,7 @@
         for refused in resolution.refused {
             if let Some(choice) = teams.get_mut(&refused.team) {
                 choice.position += 1;
-                choice.clash.get_or_insert(refused.reason);
+                choice.conflict.get_or_insert(refused.reason);
             }
         }
     }
--- a/crates/cardamomwinch_coordination/tests/adoption_lattice.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_lattice.rs
@@ -60,13 +60,13 @@
     let mut state = AcceptedState::default();
     for step in steps {
         match *step {
-            Step::Root(revision, preset) => state.raise_root(root(revision, preset)),
+            Step::Root(revision, preset) => state.merge_root(root(revision, preset)),
             Step::Hosts(revision, count) => {
-                state.hosts.raise(hosts(revision, count));
+                state.hosts.replace_if_newer(hosts(revision, count));
             }
             Step::Note(team, revision, variant) => {
                 let held = fragment(TEAMS[team], revision, variant);
-                state.team_mut(TEAMS[team]).note(&held);
+                state.team_mut(TEAMS[team]).record_published(&held);
             }
             Step::Accept(team, revision, variant) => {
                 let held = fragment(TEAMS[team], revision, variant + 1);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn equal_states_choose_alike_and_leave_no_team_empty_handed() {
+fn equal_states_select_alike_and_without_conflicts() {
     let states = (steps(), steps());
     runner()
         .run(&states, |(first, second)| {
@@ -175,7 +175,7 @@
 
 /// A host that applies the difference offered by a peer has the joined state.
 #[test]
-fn an_offer_brings_all_that_is_lacking() {
+fn an_offer_contains_all_that_is_missing() {
     let states = (steps(), steps());
     runner()
         .run(&states, |(first, second)| {
@@ -183,20 +183,20 @@
             let expected = joined(&own, &peer);
             let offer = peer.difference(&own.known(), Timestamp::ZERO, true);
             if let Some(root) = offer.root {
-                own.raise_root(HeldRoot::read(root).unwrap());
+                own.merge_root(HeldRoot::read(root).unwrap());
             }
             for offered in offer.fragments {
                 let held = HeldFragment::read(&offered.team, offered.document);
                 let team = own.team_mut(&offered.team);
                 match offered.accepted {
                     true => team.accept(&held),
-                    false => team.note(&held),
+                    false => team.record_published(&held),
                 }
             }
             if let Some(hosts) = offer.hosts {
-                let hosts = own.hosts.read(&hosts);
+                let hosts = own.hosts.assemble(&hosts);
                 prop_assert!(hosts.is_some(), "the changes apply");
-                own.hosts.raise(hosts.unwrap());
+                own.hosts.replace_if_newer(hosts.unwrap());
             }
             prop_assert_eq!(own, expected);
             Ok(())
--- a/crates/cardamomwinch_coordination/tests/adoption_platform.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_platform.rs
@@ -26,12 +26,12 @@
 #[test]
 fn an_older_answer_is_never_adopted() {
     let mut fleet = TestFleet::settled(NINE, 1);
-    let old = fleet.platform.remember();
+    let old = fleet.platform.copy_of_values();
     fleet.publish_root("peak");
     let list = fleet.shape.host_list(|host| host != 8);
     fleet.publish(PlatformKey::Hosts, &list);
     fleet.run_for(seconds(3));
-    fleet.platform.go_back(&old);
+    fleet.platform.serve_stale(&old);
     fleet.run_for(seconds(60));
     for (index, host) in fleet.running() {
         assert_eq!(host.preset(), "peak");
@@ -43,7 +43,7 @@
     fleet.run_for(seconds(30));
     let calls = fleet.platform.calls_since(from);
     assert!(calls <= 7 * 2 * 31, "{calls} calls in half a minute");
-    fleet.platform.come_forward();
+    fleet.platform.serve_current();
     fleet.publish_root("maintenance");
     assert!(fleet.run_until(seconds(3), |fleet| fleet.all_have("maintenance")));
 }
@@ -53,17 +53,20 @@
 /// burst of simultaneous calls would overload it, and the documents published
 /// meanwhile must come into force.
 #[parameterized(nine = { 3, 3 }, thirty = { 3, 10 })]
-fn a_silent_platform_changes_nothing_and_meets_no_herd(domains: usize, per_domain: usize) {
+fn an_outage_of_the_platform_changes_nothing_and_ends_without_a_burst(
+    domains: usize,
+    per_domain: usize,
+) {
     let shape = FleetShape {
         domains,
         per_domain,
     };
     let mut fleet = TestFleet::settled(shape, 2);
-    fleet.platform.set_silent(true);
+    fleet.platform.set_unavailable(true);
     fleet.run_for(seconds(60));
     fleet.expect_everywhere("ordinary");
     fleet.publish_root("peak");
-    fleet.platform.set_silent(false);
+    fleet.platform.set_unavailable(false);
     let from = fleet.now;
     assert!(fleet.run_until(seconds(4), |fleet| fleet.all_have("peak")));
     fleet.run_for(seconds(10));
@@ -78,7 +81,7 @@
 /// takes half a second. A root document must come into force as a whole, after its
 /// fragments were read.
 #[test]
-fn a_slow_platform_delays_but_does_not_divide() {
+fn a_slow_platform_causes_no_mixture_of_documents() {
     let mut fleet = TestFleet::settled(NINE, 3);
     fleet.platform.delay = time::Duration::from_millis(500);
     fleet.run_for(seconds(2));
@@ -104,15 +107,15 @@
 /// after a root document was read and before its fragments are. The preset must
 /// still be switched.
 #[test]
-fn a_root_document_does_not_wait_for_ever() {
+fn a_root_document_does_not_wait_forever() {
     let mut fleet = TestFleet::settled(NINE, 4);
     let fragment = adoption_support::documents::fragment("search", "desk", 7010, 9010);
     fleet.publish_team("search", &fragment);
     fleet.publish_root("peak");
     fleet.run_for(time::Duration::from_millis(4));
-    fleet.platform.set_silent(true);
+    fleet.platform.set_unavailable(true);
     assert!(fleet.run_until(seconds(3), |fleet| fleet.all_have("peak")));
-    fleet.platform.set_silent(false);
+    fleet.platform.set_unavailable(false);
     fleet.run_for(seconds(6));
     for (_, host) in fleet.running() {
         let address = "127.0.0.1:7010".parse().unwrap();
--- a/crates/cardamomwinch_coordination/tests/adoption_refusal.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_refusal.rs
@@ -132,7 +132,7 @@
     fleet.publish_team("vault", bad);
     fleet.publish_root("peak");
     settle(&mut fleet);
-    fleet.kill(1);
+    fleet.crash(1);
     fleet.run_for(time::Duration::from_secs(5));
     fleet.start(1);
     settle(&mut fleet);
@@ -216,7 +216,7 @@
 /// teams that conflict. After the cut each team must still have a service, and all
 /// hosts must have the same configuration in force.
 #[test]
-fn clashing_fragments_of_two_sides_end_alike() {
+fn conflicting_fragments_of_two_separated_groups_converge() {
     let mut fleet = TestFleet::settled(SIX, 6);
     fleet.cut = Box::new(|from, to| (from < 2) != (to < 2));
     fleet.cut_platform(|host| host < 2);
--- a/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
@@ -15,10 +15,10 @@
     per_domain: 3,
 };
 /// A change must be in force on every host this long after it is published.
-const SPREAD_LIMIT: time::Duration = time::Duration::from_secs(3);
+const ADOPTION_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-fn spread(fleet: &mut TestFleet, preset: &str) {
-    let done = fleet.run_until(SPREAD_LIMIT, |fleet| fleet.all_have(preset));
+fn expect_adoption(fleet: &mut TestFleet, preset: &str) {
+    let done = fleet.run_until(ADOPTION_TIMEOUT, |fleet| fleet.all_have(preset));
     if !done {
         fleet.expect_everywhere(preset);
     }
@@ -34,7 +34,7 @@
     fleet.delay = time::Duration::from_millis(delay);
     for preset in ["peak", "ordinary", "maintenance"] {
         fleet.publish_root(preset);
-        spread(&mut fleet, preset);
+        expect_adoption(&mut fleet, preset);
         fleet.run_for(time::Duration::from_secs(2));
     }
     fleet.expect_same_state();
@@ -44,8 +44,8 @@
 /// a change is published, before or after they have announced it. No other host of a
 /// domain watched the platform, so the domain kept the old preset until the next
 /// change.
-#[parameterized(at_once = { 1, 0 }, while_reading = { 2, 6 }, while_telling = { 3, 12 }, later = { 4, 40 })]
-fn a_change_survives_the_death_of_its_readers(seed: u64, after: u64) {
+#[parameterized(at_once = { 1, 0 }, while_reading = { 2, 6 }, while_announcing = { 3, 12 }, later = { 4, 40 })]
+fn a_change_survives_a_crash_of_its_readers(seed: u64, after: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
     let readers = fleet.readers();
     assert_eq!(readers.len(), 6);
@@ -53,9 +53,9 @@
     fleet.publish_root("peak");
     fleet.run_for(time::Duration::from_millis(after));
     for reader in readers {
-        fleet.kill(reader);
+        fleet.crash(reader);
     }
-    spread(&mut fleet, "peak");
+    expect_adoption(&mut fleet, "peak");
     fleet.run_for(time::Duration::from_secs(3));
     fleet.expect_same_state();
     assert_eq!(fleet.readers().len(), 3, "the survivors read");
@@ -88,7 +88,7 @@
     fleet.cut_platform(|host| host < 3);
     fleet.run_for(time::Duration::from_secs(2));
     fleet.publish_root("peak");
-    spread(&mut fleet, "peak");
+    expect_adoption(&mut fleet, "peak");
 }
 
 /// Guards against an outdated domain. It is cut off from the other domains and the
@@ -109,7 +109,7 @@
         assert!(fleet.hosts[host].serves());
     }
     fleet.cut = Box::new(|_, _| false);
-    spread(&mut fleet, "maintenance");
+    expect_adoption(&mut fleet, "maintenance");
     fleet.run_for(time::Duration::from_secs(3));
     fleet.expect_same_state();
 }
@@ -127,7 +127,7 @@
         fleet.publish_root(preset);
         fleet.run_for(time::Duration::from_millis(apart));
     }
-    spread(&mut fleet, "maintenance");
+    expect_adoption(&mut fleet, "maintenance");
     fleet.run_for(time::Duration::from_secs(4));
     fleet.expect_everywhere("maintenance");
     fleet.expect_same_state();
@@ -143,7 +143,7 @@
     for gone in [8, 2, 5] {
         let list = fleet.shape.host_list(|host| host != gone);
         let revision = fleet.publish(PlatformKey::Hosts, &list);
-        let done = fleet.run_until(SPREAD_LIMIT, |fleet| {
+        let done = fleet.run_until(ADOPTION_TIMEOUT, |fleet| {
             let mut hosts = fleet.running().filter(|(index, _)| *index != gone);
             hosts.all(|(_, host)| host.snapshot.hosts.version.get() >= revision)
         });
--- a/crates/cardamomwinch_coordination/tests/adoption_starting.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_starting.rs
@@ -22,13 +22,13 @@
 }
 
 fn restart(fleet: &mut TestFleet, host: usize) {
-    fleet.kill(host);
+    fleet.crash(host);
     fleet.run_for(seconds(2));
     fleet.start(host);
 }
 
 /// Runs until `host` serves, and checks that it serves under `preset`.
-fn serves_only(fleet: &mut TestFleet, host: usize, preset: &str, limit: time::Duration) {
+fn expect_serving(fleet: &mut TestFleet, host: usize, preset: &str, limit: time::Duration) {
     let done = fleet.run_until(limit, |fleet| fleet.hosts[host].serves());
     assert!(done, "host {host} does not serve");
     assert_eq!(fleet.hosts[host].preset(), preset);
@@ -57,9 +57,9 @@
         fleet.all_have("peak")
     });
     assert!(done);
-    fleet.platform.set_silent(true);
+    fleet.platform.set_unavailable(true);
     restart(&mut fleet, 4);
-    serves_only(&mut fleet, 4, "peak", seconds(6));
+    expect_serving(&mut fleet, 4, "peak", seconds(6));
     let services = &fleet.hosts[4].snapshot.configuration.services;
     assert_eq!(services.len(), 4);
 }
@@ -70,10 +70,10 @@
 fn a_host_starts_from_peers_alone(seed: u64, loss: f64) {
     let mut fleet = TestFleet::settled(NINE, seed);
     fleet.loss = loss;
-    fleet.platform.set_silent(true);
+    fleet.platform.set_unavailable(true);
     for host in 0..9 {
         restart(&mut fleet, host);
-        serves_only(&mut fleet, host, "ordinary", seconds(6));
+        expect_serving(&mut fleet, host, "ordinary", seconds(6));
     }
 }
 
@@ -82,7 +82,7 @@
 /// flow on the server that an earlier table selected, and callers that echo no token
 /// would be cut off although that server still has their flow.
 #[parameterized(calm = { 21, 0.0 }, lossy = { 22, 0.1 })]
-fn a_rolling_restart_forgets_no_earlier_tables(seed: u64, loss: f64) {
+fn a_rolling_restart_keeps_the_earlier_tables(seed: u64, loss: f64) {
     let mut fleet = TestFleet::settled(NINE, seed);
     let old = fleet.hosts[0].snapshot.configuration.backends.clone();
     for port in [9101, 9102] {
@@ -95,7 +95,7 @@
     assert_eq!(kept.len(), 3);
     for host in 0..9 {
         restart(&mut fleet, host);
-        serves_only(&mut fleet, host, "peak", seconds(6));
+        expect_serving(&mut fleet, host, "peak", seconds(6));
     }
     for (_, host) in fleet.running() {
         let generations = &host.snapshot.generations;
@@ -117,7 +117,7 @@
     fleet.publish_root("peak");
     fleet.cut = Box::new(|_, _| true);
     restart(&mut fleet, 4);
-    serves_only(&mut fleet, 4, "peak", seconds(3));
+    expect_serving(&mut fleet, 4, "peak", seconds(3));
 }
 
 /// Guards against a single host that waits for peers: the fleet has no other host.
@@ -145,16 +145,16 @@
 /// any peer does. A host that served the platform's version until then sent requests
 /// to backend servers that had been removed hours before.
 #[parameterized(near = { 6, 2 }, far = { 7, 60 }, lossy = { 8, 20 })]
-fn a_host_that_starts_takes_the_highest(seed: u64, delay: u64) {
+fn a_starting_host_adopts_the_newest_version(seed: u64, delay: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
-    let old = fleet.platform.remember();
+    let old = fleet.platform.copy_of_values();
     fleet.publish_root("peak");
     fleet.run_for(seconds(3));
-    fleet.platform.go_back(&old);
+    fleet.platform.serve_stale(&old);
     fleet.delay = time::Duration::from_millis(delay);
     for host in 0..9 {
         restart(&mut fleet, host);
-        serves_only(&mut fleet, host, "peak", seconds(4));
+        expect_serving(&mut fleet, host, "peak", seconds(4));
         assert!(fleet.total(Counter::PlatformStale) > 0);
     }
 }
@@ -163,15 +163,15 @@
 /// of all peers, because they are cut off from it. The starting host must announce the
 /// change to them.
 #[test]
-fn a_host_that_starts_brings_what_is_newer() {
+fn a_starting_host_announces_a_newer_version() {
     let mut fleet = TestFleet::settled(NINE, 9);
     fleet.cut_platform(|host| host != 0);
-    fleet.kill(0);
+    fleet.crash(0);
     fleet.publish_root("peak");
     fleet.run_for(seconds(3));
     fleet.expect_everywhere("ordinary");
     fleet.start(0);
-    serves_only(&mut fleet, 0, "peak", seconds(3));
+    expect_serving(&mut fleet, 0, "peak", seconds(3));
     assert!(fleet.run_until(seconds(3), |fleet| fleet.all_have("peak")));
 }
 
@@ -180,21 +180,25 @@
 /// messages and its old state. Until it has compared its state, no snapshot that it
 /// publishes may count as fresh.
 #[parameterized(with_peers = { 10, false, false }, peers_only = { 11, true, false }, platform_only = { 12, false, true })]
-fn a_late_waker_asks_before_it_serves(seed: u64, platform_down: bool, peers_cut: bool) {
+fn a_paused_host_compares_its_state_before_it_serves(
+    seed: u64,
+    platform_down: bool,
+    peers_cut: bool,
+) {
     let mut fleet = TestFleet::settled(NINE, seed);
     fleet.pause(4, seconds(30));
     fleet.run_for(seconds(10));
     fleet.publish_root("peak");
     fleet.run_for(seconds(10));
-    fleet.platform.set_silent(platform_down);
+    fleet.platform.set_unavailable(platform_down);
     if peers_cut {
         fleet.cut = Box::new(|_, _| true);
     }
     fleet.run_for(seconds(9));
-    let woken = fleet.hosts[4].paused_until;
+    let resumed = fleet.hosts[4].paused_until;
     let done = fleet.run_until(seconds(12), |fleet| {
         let snapshot = &fleet.hosts[4].snapshot;
-        if fleet.now >= woken && snapshot.made >= woken {
+        if fleet.now >= resumed && snapshot.made >= resumed {
             let fresh = snapshot.fresh_until > fleet.now;
             assert!(!fresh || snapshot.configuration.preset == "peak");
         }
@@ -207,11 +211,11 @@
 /// Guards against a host that serves after a pause without an answer from any peer or
 /// the platform: addresses may have been reassigned to other servers meanwhile.
 #[test]
-fn a_late_waker_alone_stays_silent() {
+fn a_paused_host_without_any_answer_does_not_serve() {
     let mut fleet = TestFleet::settled(NINE, 13);
     fleet.pause(4, seconds(30));
     fleet.run_for(seconds(10));
-    fleet.platform.set_silent(true);
+    fleet.platform.set_unavailable(true);
     fleet.cut = Box::new(|_, _| true);
     fleet.run_for(seconds(60));
     assert_eq!(fleet.hosts[4].snapshot.fresh_until, Timestamp::ZERO);
@@ -227,13 +231,13 @@
 /// state, but there is no better source: after a while they must accept the answers of
 /// each other.
 #[test]
-fn a_domain_that_slept_as_a_whole_serves_on() {
+fn a_domain_that_was_paused_as_a_whole_serves_again() {
     let mut fleet = TestFleet::settled(NINE, 14);
     for host in 0..3 {
         fleet.pause(host, seconds(20));
     }
     fleet.run_for(seconds(5));
-    fleet.platform.set_silent(true);
+    fleet.platform.set_unavailable(true);
     fleet.cut = Box::new(|from, to| (from < 3) != (to < 3));
     fleet.run_for(seconds(15));
     let done = fleet.run_until(seconds(6), |fleet| {
@@ -250,22 +254,22 @@
 /// first. It took the answer for current and, cut off from all others, served a preset
 /// that had been replaced meanwhile.
 #[parameterized(first = { 1 }, second = { 3 }, third = { 4 }, fourth = { 5 }, fifth = { 7 }, sixth = { 9 })]
-fn an_answer_from_before_the_sleep_does_not_count(after: u64) {
+fn an_answer_from_before_a_pause_does_not_count(after: u64) {
     for seed in 20..26 {
         let mut fleet = TestFleet::settled(NINE, seed);
-        let sleeper = (0..9).find(|host| !fleet.readers().contains(host)).unwrap();
+        let paused = (0..9).find(|host| !fleet.readers().contains(host)).unwrap();
         fleet.publish_root("peak");
         fleet.run_for(time::Duration::from_millis(after));
-        fleet.pause(sleeper, seconds(30));
+        fleet.pause(paused, seconds(30));
         fleet.run_for(seconds(10));
         fleet.publish_root("maintenance");
         fleet.run_for(seconds(10));
         fleet.cut = Box::new(|_, _| true);
-        fleet.platform.set_silent(true);
-        let woken = fleet.hosts[sleeper].paused_until;
+        fleet.platform.set_unavailable(true);
+        let resumed = fleet.hosts[paused].paused_until;
         let served = fleet.run_until(seconds(30), |fleet| {
-            let snapshot = &fleet.hosts[sleeper].snapshot;
-            snapshot.made >= woken && snapshot.fresh_until > fleet.now
+            let snapshot = &fleet.hosts[paused].snapshot;
+            snapshot.made >= resumed && snapshot.fresh_until > fleet.now
         });
         assert!(!served, "seed {seed}: serves outdated configuration");
     }
@@ -275,11 +279,11 @@
 /// start while the answers are on their way. They are outdated when it resumes, and
 /// must not count as a comparison.
 #[test]
-fn a_reading_from_before_the_sleep_does_not_count() {
+fn a_platform_answer_from_before_a_pause_does_not_count() {
     for after in [1, 2, 3, 4, 6] {
         let mut fleet = TestFleet::settled(NINE, 30 + after);
         fleet.cut = Box::new(|_, _| true);
-        fleet.kill(4);
+        fleet.crash(4);
         fleet.run_for(seconds(2));
         fleet.start(4);
         fleet.run_for(time::Duration::from_millis(after));
@@ -287,7 +291,7 @@
         fleet.run_for(seconds(10));
         fleet.publish_root("maintenance");
         fleet.run_for(seconds(5));
-        fleet.platform.set_silent(true);
+        fleet.platform.set_unavailable(true);
         let served = fleet.run_until(seconds(40), |fleet| fleet.hosts[4].serves());
         assert!(
             !served,
--- a/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
@@ -23,7 +23,7 @@
 const CALL_DELAY: time::Duration = time::Duration::from_millis(2);
 
 #[derive(Debug)]
-enum Happening {
+enum FleetEvent {
     Start(usize),
     Tick(usize),
     Deliver(usize, PeerEnvelope),
@@ -31,7 +31,7 @@
     Outcome(usize, PlatformOutcome),
 }
 
-impl Happening {
+impl FleetEvent {
     fn host(&self) -> usize {
         match self {
             Self::Start(host)
@@ -47,8 +47,8 @@
 struct Scheduled {
     due: Timestamp,
     order: u64,
-    life: u64,
-    happening: Happening,
+    incarnation: u64,
+    event: FleetEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -81,7 +81,7 @@
     pub paused_until: Timestamp,
     /// The versions that the host had in force, in order.
     pub versions: Vec<ConfigurationVersion>,
-    life: u64,
+    incarnation: u64,
 }
 
 impl FleetHost {
@@ -133,7 +133,7 @@
             refusals: Vec::new(),
             paused_until: Timestamp::ZERO,
             versions: Vec::new(),
-            life: 0,
+            incarnation: 0,
         });
         let mut fleet = Self {
             hosts: hosts.collect(),
@@ -174,9 +174,9 @@
 
     /// Publishes `text` and returns its revision.
     pub fn publish(&mut self, key: PlatformKey, text: &str) -> u64 {
-        let (revision, woken) = self.platform.publish(key, text);
-        for watch in woken {
-            self.answer(watch.host, watch.life, watch.request);
+        let (revision, answered) = self.platform.publish(key, text);
+        for watch in answered {
+            self.answer(watch.host, watch.incarnation, watch.request);
         }
         revision
     }
@@ -212,16 +212,16 @@
         entry.snapshot = std::sync::Arc::new(RoutingSnapshot::starting());
         entry.versions.clear();
         entry.paused_until = Timestamp::ZERO;
-        entry.life += 1;
+        entry.incarnation += 1;
         let offset = time::Duration::from_micros(self.random.random_range(0..100_000));
-        self.schedule(time::Duration::ZERO, Happening::Start(host));
-        self.schedule(offset, Happening::Tick(host));
+        self.schedule(time::Duration::ZERO, FleetEvent::Start(host));
+        self.schedule(offset, FleetEvent::Tick(host));
     }
 
     /// Crashes `host`.
-    pub fn kill(&mut self, host: usize) {
+    pub fn crash(&mut self, host: usize) {
         self.hosts[host].engine = None;
-        self.hosts[host].life += 1;
+        self.hosts[host].incarnation += 1;
     }
 
     /// Pauses `host`: its events wait until it resumes.
@@ -229,18 +229,18 @@
         self.hosts[host].paused_until = self.now.after(duration);
     }
 
-    fn schedule(&mut self, after: time::Duration, happening: Happening) {
-        let life = self.hosts[happening.host()].life;
-        self.schedule_at(self.now.after(after), life, happening);
+    fn schedule(&mut self, after: time::Duration, event: FleetEvent) {
+        let incarnation = self.hosts[event.host()].incarnation;
+        self.schedule_at(self.now.after(after), incarnation, event);
     }
 
-    fn schedule_at(&mut self, due: Timestamp, life: u64, happening: Happening) {
+    fn schedule_at(&mut self, due: Timestamp, incarnation: u64, event: FleetEvent) {
         self.order += 1;
         self.queue.push(Scheduled {
             due,
             order: self.order,
-            life,
-            happening,
+            incarnation,
+            event,
         });
     }
 
@@ -270,28 +270,28 @@
             return false;
         };
         self.now = next.due;
-        let host = next.happening.host();
-        if let Happening::Call(_, request) = next.happening {
-            self.take_call(host, next.life, request);
+        let host = next.event.host();
+        if let FleetEvent::Call(_, request) = next.event {
+            self.handle_call(host, next.incarnation, request);
             return true;
         }
-        if self.hosts[host].life != next.life || self.hosts[host].engine.is_none() {
+        if self.hosts[host].incarnation != next.incarnation || self.hosts[host].engine.is_none() {
             return true;
         }
-        let wakes = self.hosts[host].paused_until;
-        if wakes > self.now {
-            self.schedule_at(wakes, next.life, next.happening);
+        let resumes = self.hosts[host].paused_until;
+        if resumes > self.now {
+            self.schedule_at(resumes, next.incarnation, next.event);
             return true;
         }
-        let event = match next.happening {
-            Happening::Start(_) => ControlEvent::Start,
-            Happening::Tick(_) => {
-                self.schedule(TICK, Happening::Tick(host));
+        let event = match next.event {
+            FleetEvent::Start(_) => ControlEvent::Start,
+            FleetEvent::Tick(_) => {
+                self.schedule(TICK, FleetEvent::Tick(host));
                 ControlEvent::Tick
             }
-            Happening::Deliver(_, envelope) => ControlEvent::Peer(envelope),
-            Happening::Outcome(_, outcome) => ControlEvent::Platform(outcome),
-            Happening::Call(..) => return true,
+            FleetEvent::Deliver(_, envelope) => ControlEvent::Peer(envelope),
+            FleetEvent::Outcome(_, outcome) => ControlEvent::Platform(outcome),
+            FleetEvent::Call(..) => return true,
         };
         self.handle(host, event);
         true
@@ -318,9 +318,9 @@
                 self.send(host, to, envelope);
             }
             ControlEffect::Platform(request) => {
-                self.schedule(CALL_DELAY, Happening::Call(host, request));
+                self.schedule(CALL_DELAY, FleetEvent::Call(host, request));
             }
-            ControlEffect::Publish(snapshot) => self.note_snapshot(host, snapshot),
+            ControlEffect::Publish(snapshot) => self.check_snapshot(host, snapshot),
             ControlEffect::Count(counter) => {
                 let counts = &mut self.hosts[host].counts;
                 *counts.get_or_insert_with(counter, || 0) += 1;
@@ -332,7 +332,7 @@
 
     /// Checks every published snapshot: versions never decrease, and the preset is
     /// the one that was published under the version.
-    fn note_snapshot(&mut self, host: usize, snapshot: std::sync::Arc<RoutingSnapshot>) {
+    fn check_snapshot(&mut self, host: usize, snapshot: std::sync::Arc<RoutingSnapshot>) {
         let version = snapshot.version();
         let entry = &mut self.hosts[host];
         assert!(
@@ -359,19 +359,19 @@
             return;
         }
         let delay = self.delay.mul_f64(self.random.random_range(0.25..=1.0));
-        self.schedule(delay, Happening::Deliver(to, envelope));
+        self.schedule(delay, FleetEvent::Deliver(to, envelope));
     }
 
-    fn take_call(&mut self, host: usize, life: u64, request: PlatformRequest) {
+    fn handle_call(&mut self, host: usize, incarnation: u64, request: PlatformRequest) {
         let cut = (self.platform_cut)(host);
         let now = self.now;
-        self.platform.note_call(now, &request);
-        if cut || self.platform.is_silent() {
+        self.platform.record_call(now, &request);
+        if cut || self.platform.is_unavailable() {
             let result = Err(PlatformFailure);
             let outcome = PlatformOutcome { request, result };
             let timeout = time::Duration::from_secs(1);
             let due = now.after(timeout);
-            return self.schedule_at(due, life, Happening::Outcome(host, outcome));
+            return self.schedule_at(due, incarnation, FleetEvent::Outcome(host, outcome));
         }
         if self.platform.would_wait(&request) {
             let due = now.after(request.wait);
@@ -382,22 +382,22 @@
             };
             self.platform.wait(WaitingWatch {
                 host,
-                life,
+                incarnation,
                 request,
             });
             // If the watch is answered earlier, this is a second answer, which the
             // engine must tolerate as well.
-            return self.schedule_at(due, life, Happening::Outcome(host, outcome));
+            return self.schedule_at(due, incarnation, FleetEvent::Outcome(host, outcome));
         }
-        self.answer(host, life, request);
+        self.answer(host, incarnation, request);
     }
 
-    fn answer(&mut self, host: usize, life: u64, request: PlatformRequest) {
+    fn answer(&mut self, host: usize, incarnation: u64, request: PlatformRequest) {
         let answer = self.platform.value(&request.key);
         let result = Ok(answer);
         let outcome = PlatformOutcome { request, result };
         let due = self.now.after(self.platform.delay);
-        self.schedule_at(due, life, Happening::Outcome(host, outcome));
+        self.schedule_at(due, incarnation, FleetEvent::Outcome(host, outcome));
     }
 
     /// The hosts that run.
--- a/crates/cardamomwinch_coordination/tests/adoption_support/platform.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/platform.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone)]
 pub struct WaitingWatch {
     pub host: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub request: PlatformRequest,
 }
 
@@ -28,7 +28,7 @@
     values: Values,
     /// The older values that it returns while it is stale.
     stale: Option<Values>,
-    silent: bool,
+    unavailable: bool,
     revision: u64,
     watches: Vec<WaitingWatch>,
     /// The delay of an answer.
@@ -42,7 +42,7 @@
         Self {
             values: SortedVector::new(),
             stale: None,
-            silent: false,
+            unavailable: false,
             revision: 0,
             watches: Vec::new(),
             delay: time::Duration::from_millis(3),
@@ -58,13 +58,13 @@
         let text = text.to_owned();
         self.values
             .insert(key.clone(), HeldValue { revision, text });
-        if self.silent || self.stale.is_some() {
+        if self.unavailable || self.stale.is_some() {
             return (revision, Vec::new());
         }
-        let woken = self
+        let answered = self
             .watches
             .extract_if(.., |watch| watch.request.key == key);
-        (revision, woken.collect())
+        (revision, answered.collect())
     }
 
     /// Removes a key.
@@ -80,8 +80,8 @@
         teams.collect()
     }
 
-    /// A copy of all values, for [`TestPlatform::go_back`].
-    pub fn remember(&self) -> Self {
+    /// A copy of all values, for [`TestPlatform::serve_stale`].
+    pub fn copy_of_values(&self) -> Self {
         Self {
             values: self.values.clone(),
             ..Self::default()
@@ -94,38 +94,38 @@
     }
 
     /// Returns the values of `to` from now on. All watches are lost.
-    pub fn go_back(&mut self, to: &Self) {
+    pub fn serve_stale(&mut self, to: &Self) {
         self.stale = Some(to.values.clone());
         self.watches.clear();
     }
 
     /// Returns the current values again.
-    pub fn come_forward(&mut self) {
+    pub fn serve_current(&mut self) {
         self.stale = None;
     }
 
     /// Stops answering calls, or answers them again.
-    pub fn set_silent(&mut self, silent: bool) {
-        self.silent = silent;
+    pub fn set_unavailable(&mut self, unavailable: bool) {
+        self.unavailable = unavailable;
         self.watches.clear();
     }
 
-    pub fn is_silent(&self) -> bool {
-        self.silent
+    pub fn is_unavailable(&self) -> bool {
+        self.unavailable
     }
 
-    fn shown(&self) -> &Values {
+    fn visible_values(&self) -> &Values {
         self.stale.as_ref().unwrap_or(&self.values)
     }
 
-    pub fn note_call(&mut self, now: Timestamp, request: &PlatformRequest) {
+    pub fn record_call(&mut self, now: Timestamp, request: &PlatformRequest) {
         self.calls.push((now, request.clone()));
     }
 
     /// Whether `request` is a watch that has to wait.
     pub fn would_wait(&self, request: &PlatformRequest) -> bool {
         let held = self
-            .shown()
+            .visible_values()
             .get(&request.key)
             .map_or(0, |held| held.revision);
         // While stale, it answers watches at once with old values.
@@ -137,7 +137,7 @@
     }
 
     pub fn value(&self, key: &PlatformKey) -> PlatformAnswer {
-        match self.shown().get(key) {
+        match self.visible_values().get(key) {
             None => PlatformAnswer::Missing,
             Some(held) => PlatformAnswer::Value {
                 revision: held.revision,
