--- a/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
@@ -1,19 +1,20 @@
-//! Adopts configuration: what the platform publishes and what peers hold is
-//! merged into a state that only rises, and what is in force follows from that
-//! state alone.
+//! Adopts configuration. Documents from the platform and from peers are merged
+//! into an accepted state whose parts are only ever replaced by newer ones. The
+//! configuration in force follows from that state alone.
 //!
-//! - [`accepted`] is the state, [`selection`] what is in force by it.
-//! - `readers` says who reads the platform, `calls` when, `pending` what a root
-//!   document still waits for.
-//! - `exchange` says whom to ask and whom to tell.
-//! - `confirmation` says whether the state was compared with others since the
-//!   host started or slept.
+//! - [`accepted`] is the state, [`selection`] derives the configuration in force
+//!   from it.
+//! - `readers` decides which hosts read the platform, `calls` when they do, and
+//!   `pending` holds a root document until its fragments were read.
+//! - `exchange` decides which peers to query and to announce changes to.
+//! - `confirmation` tracks whether the state was compared with peers or the
+//!   platform since the host started or was last paused.
 
 pub mod accepted;
 mod calls;
 mod confirmation;
 pub mod document;
-mod earlier;
+mod earlier_tables;
 pub mod effect;
 mod exchange;
 pub mod host_lists;
@@ -35,7 +36,7 @@
 use crate::control::adoption::calls::PlatformCalls;
 use crate::control::adoption::confirmation::StateConfirmation;
 use crate::control::adoption::document::{HeldFragment, HeldRoot};
-use crate::control::adoption::earlier::EarlierWish;
+use crate::control::adoption::earlier_tables::EarlierTablesRequest;
 use crate::control::adoption::effect::AdoptionEffect;
 use crate::control::adoption::exchange::PeerExchange;
 use crate::control::adoption::pending::PendingRoot;
@@ -47,9 +48,9 @@
 use crate::counter::Counter;
 use crate::identity::HostIdentity;
 
-/// Says which hosts answer.
+/// The reachability of other hosts.
 pub trait PeerReachability {
-    /// Whether `host` was heard of lately.
+    /// Whether `host` is considered reachable at `now`.
     fn is_reachable(&self, now: Timestamp, host: HostId) -> bool;
 }
 
@@ -59,23 +60,24 @@
     }
 }
 
-/// What was in force when it was last chosen.
+/// The documents that the last selection put in force.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 struct ChosenStamps {
     root: DocumentStamp,
     fragments: Vec<(String, DocumentStamp)>,
 }
 
-/// What this host has accepted, and what it is still reading. Effects are
-/// pushed to the vector that each call is given.
+/// The configuration that this host has accepted, and the documents that it is
+/// still reading. Each call pushes its effects to the vector that it is given.
 #[derive(Debug)]
 pub struct ConfigurationAdoption {
     identity: HostIdentity,
     state: AcceptedState,
-    /// Parts of a difference that is too large for one message. They are taken
-    /// into `state` with the last part, so that no mixture comes into force.
+    /// Parts of a difference that is too large for one message. They are merged
+    /// into `state` together with the last part, so that no mixture of old and new
+    /// fragments comes into force.
     staged: AcceptedState,
-    /// Follows from `state`; kept because every heartbeat carries it.
+    /// The digest of `state`, cached because every heartbeat carries it.
     digest: ConfigurationDigest,
     chosen: ChosenStamps,
     /// The documents of teams that are refused under the root document in force.
@@ -88,12 +90,12 @@
     ranking: ReaderRanking,
     exchange: PeerExchange,
     confirmation: StateConfirmation,
-    earlier: EarlierWish,
+    earlier_tables: EarlierTablesRequest,
 }
 
 impl ConfigurationAdoption {
-    /// Creates the state of a host that has just started. Its delays and
-    /// choices by chance follow from its identity alone.
+    /// Creates the state of a host that has just started. The identity of the host
+    /// is the seed of its random delays and choices.
     pub fn new(identity: HostIdentity) -> Self {
         let seed = flow::mix(identity.host.get() ^ flow::mix(identity.incarnation.get()));
         let state = AcceptedState::default();
@@ -111,23 +113,22 @@
             ranking: ReaderRanking::default(),
             exchange: PeerExchange::new(flow::mix(seed)),
             confirmation: StateConfirmation::starting(),
-            earlier: EarlierWish::default(),
+            earlier_tables: EarlierTablesRequest::default(),
         }
     }
 
-    /// Creates the state of a host that has held `state` for a while and has
-    /// compared it with others; for programs that drive fleets without starting
-    /// each host.
+    /// Creates the state of a host that has accepted `state` and compared it with
+    /// peers, for programs that simulate fleets without starting each host.
     pub fn resume(identity: HostIdentity, now: Timestamp, state: AcceptedState) -> Self {
         let mut adoption = Self::new(identity);
-        adoption.confirmation = StateConfirmation::settled();
+        adoption.confirmation = StateConfirmation::completed();
         let mut effects = Vec::new();
-        adoption.raise(now, state, &mut effects);
-        adoption.exchange.end_spread();
+        adoption.adopt_state(now, state, &mut effects);
+        adoption.exchange.end_announcing();
         adoption
     }
 
-    /// The version in force; zero before the first.
+    /// The version in force; zero before there is one.
     pub fn version(&self) -> ConfigurationVersion {
         self.state.version()
     }
@@ -137,52 +138,52 @@
         self.state.hosts.table()
     }
 
-    /// The list of hosts in force, to be shared.
+    /// The list of hosts in force, as a shared pointer.
     pub fn shared_hosts(&self) -> &sync::Arc<HostTable> {
         self.state.hosts.table()
     }
 
-    /// Everything accepted.
+    /// The accepted state.
     pub fn state(&self) -> &AcceptedState {
         &self.state
     }
 
-    /// What this host tells others about what it has accepted.
+    /// The digest of the accepted state, which this host sends to peers.
     pub fn digest(&self) -> ConfigurationDigest {
         self.digest
     }
 
-    /// Whether this host has compared what it holds with peers or the platform
-    /// since it started or last slept. It must not serve before.
+    /// Whether this host has compared its state with peers or the platform since
+    /// it started or was last paused. Until then it must not serve.
     pub fn is_confirmed(&self) -> bool {
         self.confirmation.is_done()
     }
 
-    /// Whether this host reads the platform at present.
+    /// Whether this host currently reads the platform.
     pub fn is_reader<R: PeerReachability>(&self, now: Timestamp, peers: &R) -> bool {
         let rank = self.ranking.reader_rank(now, self.identity, peers);
         self.confirmation.is_done() && rank.is_some()
     }
 
-    /// Published documents that are not in force, and why.
+    /// Published documents that are not in force, with the reasons.
     pub fn refused(&self) -> Vec<RefusedDocument> {
         let shared = self.refused_root.iter().chain(&self.refused_hosts);
         shared.chain(&self.refused).cloned().collect()
     }
 
-    /// The process has started.
+    /// Handles the start of the process.
     pub fn start(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         self.confirmation.note_start(now);
-        self.earlier.note_start(now);
-        self.call_both(now, effects);
+        self.earlier_tables.note_start(now);
+        self.read_shared_documents(now, effects);
     }
 
-    /// The process slept, or the control thread hung, until now.
+    /// Handles the end of a pause of the process or of the control thread.
     pub fn note_sleep(&mut self, now: Timestamp) {
-        self.confirmation.note_sleep(now);
+        self.confirmation.note_pause(now);
     }
 
-    /// Time has passed.
+    /// Does what is due at `now`.
     pub fn tick<R: PeerReachability>(
         &mut self,
         now: Timestamp,
@@ -192,12 +193,14 @@
         self.finish_pending(now, effects);
         self.decide_confirmation(now);
         self.call_platform(now, peers, effects);
-        self.ask_peers(now, effects);
-        self.ask_for_earlier(now, effects);
+        self.query_peers(now, effects);
+        self.request_earlier_tables(now, effects);
         self.announce(now, effects);
         let hosts = self.state.hosts.table();
-        let greeted = self.exchange.due_greeting(now, self.identity, hosts, peers);
-        if let Some(host) = greeted {
+        let unreachable =
+            self.exchange
+                .due_unreachable_announcement(now, self.identity, hosts, peers);
+        if let Some(host) = unreachable {
             self.announce_to(host, effects);
         }
     }
@@ -209,38 +212,38 @@
             listed - usize::from(own)
         });
         let confirmed = self.confirmation.is_done();
-        // A newer root document that waits for its fragments is known but not in
-        // force: what is in force is old until then.
+        // A newer root document is known, but not in force until its fragments
+        // were read. Until then the configuration in force is outdated.
         let behind = self.pending.is_some();
         self.confirmation.decide(now, peers, behind);
         if self.confirmation.is_done() && !confirmed {
-            self.exchange.begin_spread(now);
+            self.exchange.begin_announcing(now);
         }
     }
 
-    fn ask_peers(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
+    fn query_peers(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         let hosts = self.state.hosts.table();
         let confirmation = &self.confirmation;
-        let asked = self
+        let peer = self
             .exchange
-            .next_ask(now, self.digest, self.identity, hosts, confirmation);
-        if let Some(host) = asked {
-            effects.push(self.want(now, host, None));
+            .next_query(now, self.digest, self.identity, hosts, confirmation);
+        if let Some(host) = peer {
+            effects.push(self.want_effect(now, host, None));
         }
     }
 
-    fn ask_for_earlier(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
-        if !self.confirmation.is_done() || !self.earlier.try_ask(now) {
+    fn request_earlier_tables(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
+        if !self.confirmation.is_done() || !self.earlier_tables.try_query(now) {
             return;
         }
         let hosts = self.state.hosts.table();
-        let asked = self.exchange.random_host(self.identity, hosts);
-        if let Some(host) = asked.filter(|host| self.exchange.try_ask(now, *host)) {
-            effects.push(self.want(now, host, None));
+        let peer = self.exchange.random_host(self.identity, hosts);
+        if let Some(host) = peer.filter(|host| self.exchange.try_query(now, *host)) {
+            effects.push(self.want_effect(now, host, None));
         }
     }
 
-    fn want(
+    fn want_effect(
         &self,
         asked: Timestamp,
         host: HostId,
@@ -252,7 +255,7 @@
         let message = ConfigurationMessage::Want {
             asked,
             known,
-            wants_earlier: self.earlier.is_open(asked),
+            wants_earlier: self.earlier_tables.is_open(asked),
         };
         AdoptionEffect::Tell {
             host,
@@ -263,8 +266,8 @@
 
     fn announce(&mut self, now: Timestamp, effects: &mut Vec<AdoptionEffect>) {
         let hosts = self.state.hosts.table();
-        let told = self.exchange.due_announcements(now, self.identity, hosts);
-        for host in told {
+        let receivers = self.exchange.due_announcements(now, self.identity, hosts);
+        for host in receivers {
             self.announce_to(host, effects);
         }
     }
@@ -284,7 +287,7 @@
         });
     }
 
-    /// A peer has said what it has accepted.
+    /// Handles the digest of a peer's accepted state.
     pub fn note_digest(
         &mut self,
         now: Timestamp,
@@ -294,13 +297,13 @@
     ) {
         if exchange::may_be_ahead(digest, self.digest) {
             self.exchange.note_ahead(sender, digest);
-            self.ask_peers(now, effects);
+            self.query_peers(now, effects);
         }
     }
 
-    /// A peer has sent a message about configuration. Every message is safe to
-    /// take twice, late and from a host that the own list does not name yet,
-    /// since merging can only raise the state.
+    /// Handles a message from a peer about configuration. Because merging only
+    /// replaces documents by newer ones, a message may arrive twice, late, or from a
+    /// host that is not in this host's list yet.
     pub fn take_message(
         &mut self,
         now: Timestamp,
@@ -313,9 +316,9 @@
                 if self.hosts().get(sender).is_some() {
                     self.note_digest(now, sender, *digest, effects);
                 } else if exchange::may_be_ahead(*digest, self.digest)
-                    && self.exchange.try_ask(now, sender)
+                    && self.exchange.try_query(now, sender)
                 {
-                    effects.push(self.want(now, sender, Some(*reply_to)));
+                    effects.push(self.want_effect(now, sender, Some(*reply_to)));
                 }
             }
             ConfigurationMessage::Want {
@@ -323,23 +326,24 @@
                 known,
                 wants_earlier,
             } => {
-                // A host that has compared nothing itself may lack them too.
+                // A host that has not compared its own state may lack them too.
                 if *wants_earlier && self.confirmation.is_done() {
                     effects.push(AdoptionEffect::TellEarlier { host: sender });
                 }
-                self.take_want(now, sender, *asked, known, effects);
+                self.handle_want(now, sender, *asked, known, effects);
             }
             ConfigurationMessage::Earlier(tables) => {
-                if self.earlier.is_open(now) {
-                    self.earlier.note(self.state.version(), tables);
+                if self.earlier_tables.is_open(now) {
+                    self.earlier_tables
+                        .handle_answer(self.state.version(), tables);
                     effects.push(AdoptionEffect::Earlier(tables.clone()));
                 }
             }
-            ConfigurationMessage::Offer(offer) => self.take_offer(now, sender, offer, effects),
+            ConfigurationMessage::Offer(offer) => self.handle_offer(now, sender, offer, effects),
         }
     }
 
-    fn take_want(
+    fn handle_want(
         &mut self,
         now: Timestamp,
         sender: HostId,
@@ -355,29 +359,29 @@
             message: ConfigurationMessage::Offer(offer),
         });
         if self.state.lacks(known) {
-            // Its digest is not known; one that differs from the own one is
-            // enough for it to be asked.
+            // The digest of the sender is unknown. Any digest that differs from
+            // this host's makes this host query the sender.
             let digest = ConfigurationDigest {
                 hash: !self.digest.hash,
                 ..self.digest
             };
             self.exchange.note_ahead(sender, digest);
-            self.ask_peers(now, effects);
+            self.query_peers(now, effects);
         }
     }
 
-    fn take_offer(
+    fn handle_offer(
         &mut self,
         now: Timestamp,
         sender: HostId,
         offer: &ConfigurationOffer,
         effects: &mut Vec<AdoptionEffect>,
     ) {
-        let mut raised = self.state.clone();
+        let mut updated = self.state.clone();
         let mut offered_teams = std::mem::take(&mut self.staged);
         if let Some(root) = &offer.root {
             match HeldRoot::read(root.clone()) {
-                Ok(root) => raised.raise_root(root),
+                Ok(root) => updated.merge_root(root),
                 Err(_) => effects.push(AdoptionEffect::Count(Counter::DocumentRefused)),
             }
         }
@@ -387,16 +391,16 @@
             if offered.accepted && fragment.is_well_formed() {
                 team.accept(&fragment);
             } else {
-                team.note(&fragment);
+                team.record_published(&fragment);
             }
         }
         if let Some(hosts) = &offer.hosts
-            && let Some(hosts) = raised.hosts.read(hosts)
+            && let Some(hosts) = updated.hosts.assemble(hosts)
         {
-            raised.hosts.raise(hosts);
+            updated.hosts.replace_if_newer(hosts);
         }
         if offer.complete {
-            raised.merge(&offered_teams);
+            updated.merge(&offered_teams);
         } else {
             self.staged = offered_teams;
         }
@@ -404,44 +408,50 @@
         if offer.complete && self.confirmation.covers(offer.asked) {
             self.confirmation.note_answer(sender, offer.confirmed);
         }
-        self.drop_overtaken(&mut raised);
-        self.raise(now, raised, effects);
+        self.drop_superseded(&mut updated);
+        self.adopt_state(now, updated, effects);
         self.decide_confirmation(now);
         if exchange::may_be_ahead(offer.digest, self.digest) {
             self.exchange.note_ahead(sender, offer.digest);
         }
-        self.ask_peers(now, effects);
+        self.query_peers(now, effects);
     }
 
-    /// Drops the root document that is being read where a peer's is as new;
-    /// the fragments that were read for it are kept.
-    fn drop_overtaken(&mut self, raised: &mut AcceptedState) {
-        let revision = raised.root_stamp().revision;
-        let overtaken = self
+    /// Drops the pending root document if a peer has offered one that is as new.
+    /// The fragments that were read for it are kept.
+    fn drop_superseded(&mut self, updated: &mut AcceptedState) {
+        let revision = updated.root_stamp().revision;
+        let superseded = self
             .pending
             .take_if(|pending| pending.revision() <= revision);
-        if let Some(pending) = overtaken {
-            pending.raise(raised, false);
+        if let Some(pending) = superseded {
+            pending.merge_into(updated, false);
         }
     }
 
-    /// Takes `raised` as the state, and whatever follows from it into force.
-    fn raise(&mut self, now: Timestamp, raised: AcceptedState, effects: &mut Vec<AdoptionEffect>) {
+    /// Replaces the state by `updated`, and puts the configuration that follows from
+    /// it in force.
+    fn adopt_state(
+        &mut self,
+        now: Timestamp,
+        updated: AcceptedState,
+        effects: &mut Vec<AdoptionEffect>,
+    ) {
         let earlier = self.digest;
         let earlier_hosts = self.state.hosts.stamp();
-        self.state = raised;
+        self.state = updated;
         self.choose(effects);
         self.digest = self.state.digest();
         let stamp = self.state.hosts.stamp();
         if stamp != earlier_hosts {
             let hosts = self.state.hosts.table();
             self.ranking.update(self.identity, stamp, hosts);
-            let overtaken = |refused: &mut RefusedDocument| refused.revision <= stamp.revision;
-            self.refused_hosts.take_if(overtaken);
+            let superseded = |refused: &mut RefusedDocument| refused.revision <= stamp.revision;
+            self.refused_hosts.take_if(superseded);
             effects.push(AdoptionEffect::Hosts);
         }
         if self.digest != earlier && self.confirmation.is_done() {
-            self.exchange.begin_spread(now);
+            self.exchange.begin_announcing(now);
             self.announce(now, effects);
         }
     }
@@ -455,8 +465,8 @@
             self.state.team_mut(team).accept(held);
         }
         self.report_refused(selection.refused, effects);
-        let overtaken = |refused: &mut RefusedDocument| refused.revision <= root.stamp.revision;
-        self.refused_root.take_if(overtaken);
+        let superseded = |refused: &mut RefusedDocument| refused.revision <= root.stamp.revision;
+        self.refused_root.take_if(superseded);
         let fragments = selection.chosen.into_iter();
         let chosen = ChosenStamps {
             root: root.stamp,
--- a/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
@@ -1,5 +1,5 @@
-//! A root document on its way into force. It comes into force as a whole,
-//! once every fragment that it lists was read, or is known not to be had.
+//! A root document that is not in force yet. It comes into force as a whole, once
+//! every fragment that it lists was read or is known to be unavailable.
 
 use std::time;
 
@@ -8,19 +8,20 @@
 use crate::control::adoption::accepted::AcceptedState;
 use crate::control::adoption::document::{HeldFragment, HeldRoot};
 
-/// A root document does not wait longer for fragments whose teams have an
-/// earlier one: the platform may fail between two reads.
-const PENDING_LIMIT: time::Duration = time::Duration::from_millis(1500);
-/// A host that has nothing older waits this long for the fragments of single
-/// teams while it was given those of others; then only the former are missing.
-const STARTER_LIMIT: time::Duration = time::Duration::from_secs(5);
+/// How long a root document waits for fragments of teams that have an earlier
+/// fragment: the platform may fail between two reads.
+const PENDING_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
+/// How long a root document waits for fragments of teams that have none, if it has
+/// received those of other teams. Then only the missing teams are not in force.
+const STARTER_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// The root document and the fragments read for it so far.
 #[derive(Debug)]
 pub(crate) struct PendingRoot {
     root: HeldRoot,
     begun: Timestamp,
-    /// Fragments are read from this point on, unless a peer offers them before.
+    /// Fragments are read from the platform from this time on, unless a peer offers
+    /// them before.
     reads_from: Timestamp,
     fragments: Vec<(String, HeldFragment)>,
     unavailable: Vec<String>,
@@ -42,8 +43,8 @@
         self.root.stamp.revision
     }
 
-    /// Keeps what was read for an earlier root document.
-    pub(crate) fn inherit(&mut self, earlier: Self) {
+    /// Takes over the fragments that were read for an earlier root document.
+    pub(crate) fn take_fragments(&mut self, earlier: Self) {
         self.fragments = earlier.fragments;
     }
 
@@ -52,8 +53,9 @@
         self.root.document.teams.get(team).copied()
     }
 
-    /// Notes a fragment. One that is older than listed is all there is to be had.
-    pub(crate) fn note(&mut self, team: String, fragment: HeldFragment) {
+    /// Records a fragment that was read. If it is older than listed, the listed one
+    /// is unavailable.
+    pub(crate) fn record_fragment(&mut self, team: String, fragment: HeldFragment) {
         let revision = FragmentRevision::new(fragment.stamp.revision);
         if self.listed(&team).is_some_and(|listed| revision < listed) {
             self.unavailable.push(team.clone());
@@ -61,8 +63,8 @@
         self.fragments.push((team, fragment));
     }
 
-    /// Notes that the platform has no fragment of `team`.
-    pub(crate) fn note_missing(&mut self, team: String) {
+    /// Records that the platform has no fragment of `team`.
+    pub(crate) fn record_missing(&mut self, team: String) {
         self.unavailable.push(team);
     }
 
@@ -87,25 +89,25 @@
 
     /// Whether the root document can come into force.
     pub(crate) fn is_complete(&self, now: Timestamp, state: &AcceptedState) -> bool {
-        let late = now >= self.begun.after(PENDING_LIMIT);
-        let starved = now >= self.begun.after(STARTER_LIMIT) && !self.fragments.is_empty();
+        let late = now >= self.begun.after(PENDING_TIMEOUT);
+        let gives_up = now >= self.begun.after(STARTER_TIMEOUT) && !self.fragments.is_empty();
         let mut teams = self.root.document.teams.iter();
         teams.all(|(team, listed)| {
             self.has(state, team, *listed)
                 || self.unavailable.contains(team)
                 || (late && state.teams.contains_key(team))
-                || starved
+                || gives_up
         })
     }
 
-    /// Raises `state` by what was read; by the root document, too, where
-    /// `with_root` holds.
-    pub(crate) fn raise(self, state: &mut AcceptedState, with_root: bool) {
+    /// Merges the fragments that were read into `state`, and the root document too
+    /// if `with_root` is set.
+    pub(crate) fn merge_into(self, state: &mut AcceptedState, with_root: bool) {
         for (team, fragment) in &self.fragments {
-            state.team_mut(team).note(fragment);
+            state.team_mut(team).record_published(fragment);
         }
         if with_root {
-            state.raise_root(self.root);
+            state.merge_root(self.root);
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
@@ -1,5 +1,5 @@
-//! Hand-overs and the graceful stop: which shards leave, to whom, and what
-//! happens once the successor has everything.
+//! Hand-overs and the graceful stop: which shards are handed over to which host,
+//! and how the lease is given up once the successor has received all records.
 
 use std::time;
 
@@ -16,11 +16,12 @@
 use crate::control::homes::outgoing::OutgoingHandOver;
 use crate::control::homes::{HomeAction, HomeTable, HomeWorld, SentRelease, ranking};
 
-/// Releases are repeated at this interval, and for this long.
+/// The interval at which releases are repeated.
 const RELEASE_INTERVAL: time::Duration = time::Duration::from_millis(100);
-const RELEASE_LIMIT: time::Duration = time::Duration::from_millis(350);
+/// How long releases are repeated.
+const RELEASE_DURATION: time::Duration = time::Duration::from_millis(350);
 
-/// To whom one release goes, and whom it names.
+/// The receiver of a release, and the successor that the release names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReleaseRoute {
     voter: HostId,
@@ -28,25 +29,26 @@
 }
 
 impl HomeTable {
-    /// Sends on what the traffic thread has given out.
+    /// Sends a chunk that the traffic thread has exported to the successor.
     pub fn take_exported(
         &mut self,
         now: Timestamp,
         chunk: HandOverChunk,
         out: &mut Vec<HomeAction>,
     ) {
-        self.outgoing.take_chunk(now, chunk, out);
+        self.outgoing.send_chunk(now, chunk, out);
     }
 
-    /// Notes that the traffic thread has taken a chunk in.
+    /// Records that the traffic thread has imported a chunk. After the last chunk,
+    /// requests the lease.
     pub fn take_imported(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         report: TakeOverReport,
         out: &mut Vec<HomeAction>,
     ) {
-        let imported = self.incoming.note_imported(report);
+        let imported = self.incoming.record_import(report);
         let Some(ImportedHandOver {
             commit,
             records_since,
@@ -54,10 +56,10 @@
         else {
             return;
         };
-        // A third host could hold the shard, and let its lease run out, only
-        // after a whole lease from the release on; later than that, records may
-        // be missing here.
-        let limits = world.limits;
+        // A third host can acquire the shard and let its lease expire no earlier
+        // than one lease after the release. From then on, records may be missing
+        // here.
+        let limits = context.limits;
         let valid_until = commit
             .released
             .after(limits.home_lease)
@@ -69,32 +71,35 @@
         };
         let shard = report.hand_over.shard;
         self.leases.inherit(shard, inherited);
-        self.request(now, world, &[shard], out);
+        self.request(now, context, &[shard], out);
     }
 
-    /// Asks at once again for shards that were handed over to this host: the
-    /// release may reach the voters after the first request.
-    pub(super) fn ask_for_inherited(
+    /// Requests shards that were handed over to this host again without waiting
+    /// for the next round: the release may reach the voters after the first
+    /// request.
+    pub(super) fn request_inherited(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let shards: Vec<ShardId> = self.leases.inherited(now).collect();
-        self.request(now, world, &shards, out);
+        self.request(now, context, &shards, out);
     }
 
     pub(super) fn begin_hand_overs(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
-        let leaving = world.is_stopping() || !world.may_hold();
-        let candidates = self.holders.candidates(now, world, world.identity.domain);
+        let leaving = context.is_stopping() || !context.may_hold();
+        let candidates = self
+            .holders
+            .candidates(now, context, context.identity.domain);
         let others: Vec<HostId> = candidates
             .into_iter()
-            .filter(|host| *host != world.identity.host)
+            .filter(|host| *host != context.identity.host)
             .filter(|host| !self.outgoing.is_avoided(now, *host))
             .collect();
         let held: Vec<ShardId> = self.leases.held(now).collect();
@@ -104,48 +109,51 @@
             }
             let successor = match leaving {
                 true => ranking::best(&others, shard),
-                false => self.better_claimant(now, world, &others, shard),
+                false => self.better_claimant(now, context, &others, shard),
             };
             if let Some(successor) = successor {
-                let lease = world.limits.home_lease;
+                let lease = context.limits.home_lease;
                 self.outgoing.begin(now, shard, successor, lease, out);
             }
         }
     }
 
-    /// A host that ranks before this one, has asked for the shard of late, and can begin
-    /// to hold it.
+    /// A host that ranks before this one, has recently requested the shard, and can
+    /// acquire the lease.
     ///
-    /// Guards against a host that has just started and may not begin yet, since others
-    /// may count on voters that it never heard of. Handed the shard at once, it held
-    /// nothing for four seconds, because the requests of the holder, which would have
-    /// told it, ended with the hand-over. It shows as requests that are called unknown
-    /// when a host is added. A claimant that is told nothing begins by itself once every
-    /// host must have adopted the list.
+    /// Guards against a hand-over to a host that has just started and may not acquire
+    /// the lease yet, because other hosts may rely on voters that it does not know. If
+    /// the shard was handed over at once, it had no home for four seconds: the requests
+    /// of the holder, from which the new host would have learned that no earlier voters
+    /// count, ended with the hand-over. Callers saw requests with an unknown outcome
+    /// when a host was added. A claimant that learns nothing acquires the lease by
+    /// itself once every host must have adopted the list.
     pub(super) fn better_claimant(
         &self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         others: &[HostId],
         shard: ShardId,
     ) -> Option<HostId> {
         let claim = self.claims.get(&shard)?;
-        let recent = now.since(claim.heard) < world.limits.home_lease;
-        let own = world.identity.host;
+        let recent = now.since(claim.last_request) < context.limits.home_lease;
+        let own = context.identity.host;
         let better = ranking::best(&[own, claim.host], shard) == Some(claim.host);
-        let waited = now.since(claim.since) >= homes::ADOPTION_BOUND + world.limits.home_lease;
+        let waited =
+            now.since(claim.first_request) >= homes::MAX_ADOPTION_TIME + context.limits.home_lease;
         let can_begin = claim.settled || waited;
         let fit = recent && better && can_begin && others.contains(&claim.host);
         fit.then_some(claim.host)
     }
 
-    /// Gives the lease up, in this order: from here on this host does not act
-    /// on it, the traffic thread forgets the shard, the successor may use what
-    /// it has put by, the voters may grant the shard to it.
+    /// Gives up the lease once the successor has acknowledged all chunks. The order
+    /// matters: this host stops using the lease, the traffic thread forgets the
+    /// shard, the successor may use the chunks that it has buffered, and the voters
+    /// may grant the shard to the successor.
     pub(super) fn commit(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         ready: OutgoingHandOver,
         out: &mut Vec<HomeAction>,
     ) {
@@ -167,7 +175,7 @@
             records_since: lease.records_since,
         };
         self.outgoing.commit(now, ready.successor, commit, out);
-        let until = now.after(world.limits.home_lease);
+        let until = now.after(context.limits.home_lease);
         let shards: ShardSet = std::iter::once(shard.index).collect();
         let (domain, count) = (shard.domain, self.shard_count);
         self.holders
@@ -178,40 +186,42 @@
             successor,
         };
         self.releases.insert(shard, sent);
-        self.send_releases(now, world, &[shard], out);
+        self.send_releases(now, context, &[shard], out);
     }
 
     pub(super) fn send_releases(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         shards: &[ShardId],
         out: &mut Vec<HomeAction>,
     ) {
         self.next_release = now.after(RELEASE_INTERVAL);
-        let mut told: SortedVector<ReleaseRoute, ShardSet> = SortedVector::new();
+        let mut receivers: SortedVector<ReleaseRoute, ShardSet> = SortedVector::new();
         for shard in shards {
             let Some(SentRelease { successor, .. }) = self.releases.get(shard).copied() else {
                 continue;
             };
             for voter in self.leases.voters(*shard) {
                 let route = ReleaseRoute { voter, successor };
-                told.get_or_insert_with(route, ShardSet::default)
+                receivers
+                    .get_or_insert_with(route, ShardSet::default)
                     .insert(shard.index);
             }
         }
-        if told.is_empty() {
+        if receivers.is_empty() {
             return;
         }
         let round = self.leases.next_round();
-        for (route, shards) in told.iter() {
+        for (route, shards) in receivers.iter() {
             let release = LeaseRelease {
                 round,
                 successor: route.successor,
                 shards: shards.clone(),
             };
-            if route.voter == world.identity.host {
-                self.voters.release(world, world.life(), &release);
+            if route.voter == context.identity.host {
+                self.voters
+                    .release(context, context.own_incarnation(), &release);
                 continue;
             }
             out.push(HomeAction::Send {
@@ -221,41 +231,42 @@
         }
     }
 
-    /// Repeats releases that may have been lost: a voter that missed one keeps
-    /// the successor out for the rest of a lease.
+    /// Repeats releases, because they may have been lost: a voter that did not
+    /// receive one refuses the successor until its grant to this host expires.
     pub(super) fn repeat_releases(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         self.releases
-            .retain(|_, sent| now.since(sent.released) < RELEASE_LIMIT);
+            .retain(|_, sent| now.since(sent.released) < RELEASE_DURATION);
         if now < self.next_release {
             return;
         }
         let shards: Vec<ShardId> = self.releases.keys().copied().collect();
-        self.send_releases(now, world, &shards, out);
+        self.send_releases(now, context, &shards, out);
     }
 
     pub(super) fn finish_stop(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let Some(stop_by) = self.stop_by else {
             return;
         };
         if now >= stop_by {
-            // Nobody took the rest. The leases run out by themselves; to end
-            // them early would let a successor begin without the records.
+            // No host took the remaining shards. Their leases expire at the
+            // voters: releasing them earlier would let a successor begin without
+            // the records.
             self.leases.give_up_all();
         }
         let empty = self.leases.held(now).next().is_none() && self.outgoing.is_idle();
         if !self.drained && (empty || now >= stop_by) {
             self.drained = true;
-            self.announce_stop(now, world, out);
+            self.announce_stop(now, context, out);
             out.push(HomeAction::Publish);
             out.push(HomeAction::Drained);
         }
--- a/crates/cardamomwinch_coordination/src/control/homes/leases.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/leases.rs
@@ -1,4 +1,4 @@
-//! What this host asks for, and holds, as a candidate.
+//! The leases that this host requests and holds as a candidate.
 
 use std::time;
 
@@ -10,40 +10,40 @@
 };
 
 use crate::control::homes::HomeWorld;
-use crate::control::homes::eras::{HeldGrant, VoterEras};
+use crate::control::homes::voter_sets::{ReceivedGrant, VoterSets};
 use crate::snapshot::HomeLease;
 
-/// Requests that may still be answered.
-const OPEN_ROUNDS: usize = 8;
+/// Request rounds whose answers still count.
+const MAX_OPEN_ROUNDS: usize = 8;
 
-/// What this host knows as a candidate about one shard of its failure domain.
+/// The state of this host as a candidate for one shard of its failure domain.
 #[derive(Debug, Default)]
 struct CandidateShard {
-    eras: VoterEras,
-    /// Whether earlier voters may exist that this life never heard of.
-    unsure: bool,
-    grants: Vec<HeldGrant>,
+    voter_sets: VoterSets,
+    /// Whether earlier voters may exist that this incarnation does not know.
+    may_miss_voters: bool,
+    grants: Vec<ReceivedGrant>,
     /// Answers to requests up to this round are ignored.
-    ignored_through: LeaseRound,
+    ignored_up_to: LeaseRound,
     lease: Option<HomeLease>,
     inherited: Option<InheritedRecords>,
 }
 
-/// What a hand-over left to this host, until it holds the lease.
+/// Records from a hand-over to this host, kept until it holds the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InheritedRecords {
     /// The hand-over.
     pub hand_over: HandOverId,
-    /// From when on the records handed over are whole.
+    /// The records are complete from this time on.
     pub records_since: Timestamp,
-    /// Another host may have held the shard in between from this point on.
+    /// From this time on another host may have held the shard in between.
     pub valid_until: Timestamp,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct OpenRound {
     round: LeaseRound,
-    counts_until: Timestamp,
+    valid_until: Timestamp,
 }
 
 /// The leases of this host, and its requests for them.
@@ -53,35 +53,35 @@
     last_round: LeaseRound,
     open_rounds: Vec<OpenRound>,
     first_list: HostListVersion,
-    sure_from: Timestamp,
+    own_list_suffices_from: Timestamp,
 }
 
 impl LeaseTable {
-    /// From this point on the host goes by the list that it has, though it may
-    /// have been told of no earlier voters.
-    pub fn be_unsure_until(&mut self, sure_from: Timestamp) {
-        self.sure_from = sure_from;
+    /// Until `until` this host acquires no lease on a shard whose earlier
+    /// voters it may not know. After that it relies on its own list.
+    pub fn wait_for_earlier_voters(&mut self, until: Timestamp) {
+        self.own_list_suffices_from = until;
     }
 
-    /// Takes a newly adopted list, or a new number of shards, into account.
-    pub fn adopt_hosts(&mut self, world: &HomeWorld<'_>) {
+    /// Applies a newly adopted list of hosts, or a new number of shards.
+    pub fn adopt_hosts(&mut self, context: &HomeWorld<'_>) {
         let first = self.first_list == HostListVersion::ZERO;
         if first {
-            self.first_list = world.hosts.version;
+            self.first_list = context.hosts.version;
         }
-        let count = world.limits.shards_per_domain;
+        let count = context.limits.shards_per_domain;
         self.shards.retain(|shard, _| shard.index < count);
         for index in 0..count {
-            let domain = world.identity.domain;
+            let domain = context.identity.domain;
             let shard = ShardId { domain, index };
             let state = self
                 .shards
-                .get_or_insert_with(shard, || fresh(world.hosts, shard));
-            state.eras.adopt_hosts(world.hosts, shard);
+                .get_or_insert_with(shard, || new_candidate(context.hosts, shard));
+            state.voter_sets.adopt_hosts(context.hosts, shard);
         }
     }
 
-    /// This host's lease on `shard`, where it holds at `now`.
+    /// This host's lease on `shard`, if it holds one at `now`.
     pub fn lease(&self, now: Timestamp, shard: ShardId) -> Option<HomeLease> {
         let lease = self.shards.get(&shard)?.lease?;
         (now < lease.held_until).then_some(lease)
@@ -95,32 +95,29 @@
             .map(|(shard, _)| *shard)
     }
 
-    /// All shards of the own failure domain.
+    /// All shards of this host's failure domain.
     pub fn shards(&self) -> impl Iterator<Item = ShardId> {
         self.shards.keys().copied()
     }
 
-    /// The voters to ask about `shard`.
+    /// The voters to ask for `shard`, earlier and current, sorted by id.
     pub fn voters(&self, shard: ShardId) -> Vec<HostId> {
         let state = self.shards.get(&shard);
         let mut voters: Vec<HostId> =
-            state.map_or_else(Vec::new, |state| state.eras.voters().collect());
+            state.map_or_else(Vec::new, |state| state.voter_sets.voters().collect());
         voters.sort_unstable();
         voters.dedup();
         voters
     }
 
-    /// Opens a round whose grants count from `now`.
+    /// Opens a request round whose grants run from `now`.
     pub fn open_round(&mut self, now: Timestamp, limits: &ConfigurationLimits) -> LeaseRound {
         let round = self.next_round();
-        let counts_until = now.after(limits.home_lease).before(limits.clock_skew);
-        if self.open_rounds.len() == OPEN_ROUNDS {
+        let valid_until = now.after(limits.home_lease).before(limits.clock_skew);
+        if self.open_rounds.len() == MAX_OPEN_ROUNDS {
             self.open_rounds.remove(0);
         }
-        self.open_rounds.push(OpenRound {
-            round,
-            counts_until,
-        });
+        self.open_rounds.push(OpenRound { round, valid_until });
         round
     }
 
@@ -139,7 +136,7 @@
     pub fn request(
         &self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         round: LeaseRound,
         wanted: &[ShardId],
     ) -> LeaseRequest {
@@ -147,10 +144,10 @@
         let unsettled = |shard: &ShardId| !self.is_settled(*shard);
         LeaseRequest {
             round,
-            lease_millis: world.limits.home_lease.as_millis() as u32,
-            host_list: world.hosts.version,
-            shard_count: world.limits.shards_per_domain,
-            stopping: world.is_stopping(),
+            lease_millis: context.limits.home_lease.as_millis() as u32,
+            host_list: context.hosts.version,
+            shard_count: context.limits.shards_per_domain,
+            stopping: context.is_stopping(),
             wanted: shard_set(wanted, |_| true),
             held: shard_set(wanted, held),
             unsettled: shard_set(wanted, unsettled),
@@ -159,30 +156,31 @@
 
     fn is_settled(&self, shard: ShardId) -> bool {
         let state = self.shards.get(&shard);
-        state.is_some_and(|state| state.eras.are_settled() && !state.unsure)
+        state.is_some_and(|state| state.voter_sets.are_settled() && !state.may_miss_voters)
     }
 
-    /// Takes another host's word about voters of earlier lists.
-    pub fn learn_settled(&mut self, request: &LeaseRequest) {
+    /// Drops earlier voters that the request of another host reports as no longer
+    /// relevant.
+    pub fn drop_settled_voters(&mut self, request: &LeaseRequest) {
         let first = self.first_list;
         for (shard, state) in self.shards.iter_mut() {
             let index = shard.index;
             if !request.wanted.contains(index) || request.unsettled.contains(index) {
                 continue;
             }
-            state.eras.settle(request.host_list);
+            state.voter_sets.drop_replaced_by(request.host_list);
             if request.host_list >= first {
-                state.unsure = false;
+                state.may_miss_voters = false;
             }
         }
     }
 
-    /// Counts the grants of `voter`. Returns the shards that this host has
-    /// begun to hold.
-    pub fn take_grant(
+    /// Records the grants of `voter`. Returns the shards that this host begins to
+    /// hold.
+    pub fn handle_grant(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         voter: HostId,
         grant: &LeaseGrant,
     ) -> Vec<ShardId> {
@@ -191,30 +189,30 @@
         let Some(open) = open.copied().find(|open| open.round == grant.round) else {
             return begun;
         };
-        let sure = now >= self.sure_from;
+        let own_list_suffices = now >= self.own_list_suffices_from;
         for (shard, state) in self.shards.iter_mut() {
-            if state.unsure {
+            if state.may_miss_voters {
                 for earlier in &grant.earlier {
-                    state.eras.learn_earlier(earlier, world.hosts, *shard);
+                    state.voter_sets.add_earlier(earlier, context.hosts, *shard);
                 }
             }
-            if !grant.granted.contains(shard.index) || grant.round <= state.ignored_through {
+            if !grant.granted.contains(shard.index) || grant.round <= state.ignored_up_to {
                 continue;
             }
-            state.note(HeldGrant {
+            state.record_grant(ReceivedGrant {
                 voter,
-                until: open.counts_until,
+                until: open.valid_until,
                 host_list: grant.host_list,
             });
-            let may_begin = sure || !state.unsure;
-            if state.renew(now, world.limits.clock_skew, may_begin) {
+            let may_begin = own_list_suffices || !state.may_miss_voters;
+            if state.renew(now, context.limits.clock_skew, may_begin) {
                 begun.push(*shard);
             }
         }
         begun
     }
 
-    /// Forgets what a hand-over left that began before `newer`.
+    /// Forgets the records of a hand-over that began before `newer`.
     pub fn forget_inherited_before(&mut self, newer: HandOverId) {
         if let Some(state) = self.shards.get_mut(&newer.shard) {
             let inherited = state.inherited;
@@ -222,14 +220,15 @@
         }
     }
 
-    /// Takes over what a hand-over left.
+    /// Keeps the records of a hand-over until this host holds the lease.
     pub fn inherit(&mut self, shard: ShardId, inherited: InheritedRecords) {
         if let Some(state) = self.shards.get_mut(&shard) {
             state.inherited = Some(inherited);
         }
     }
 
-    /// Shards that were handed over to this host and that it does not hold yet.
+    /// Shards that were handed over to this host and whose lease it does not hold
+    /// yet.
     pub fn inherited(&self, now: Timestamp) -> impl Iterator<Item = ShardId> {
         let shards = self.shards.iter();
         shards
@@ -240,15 +239,15 @@
             .map(|(shard, _)| *shard)
     }
 
-    /// Gives up the lease on `shard`. Grants that are still on their way do not
-    /// bring it back: voters may have granted it to another host by then.
+    /// Gives up the lease on `shard`. Grants that arrive later for rounds up to now
+    /// are ignored: voters may have granted the shard to another host by then.
     pub fn give_up(&mut self, shard: ShardId) {
         let last_round = self.last_round;
         if let Some(state) = self.shards.get_mut(&shard) {
             state.lease = None;
             state.grants.clear();
             state.inherited = None;
-            state.ignored_through = last_round;
+            state.ignored_up_to = last_round;
         }
     }
 
@@ -266,17 +265,17 @@
     kept.map(|shard| shard.index).collect()
 }
 
-fn fresh(hosts: &HostTable, shard: ShardId) -> CandidateShard {
+fn new_candidate(hosts: &HostTable, shard: ShardId) -> CandidateShard {
     let mut state = CandidateShard {
-        unsure: true,
+        may_miss_voters: true,
         ..CandidateShard::default()
     };
-    state.eras.adopt_hosts(hosts, shard);
+    state.voter_sets.adopt_hosts(hosts, shard);
     state
 }
 
 impl CandidateShard {
-    fn note(&mut self, grant: HeldGrant) {
+    fn record_grant(&mut self, grant: ReceivedGrant) {
         let known = self
             .grants
             .iter_mut()
@@ -290,18 +289,18 @@
         }
     }
 
-    /// Extends the lease, or begins one; `true` where one has begun.
+    /// Extends the lease, or acquires it. Returns `true` if it was acquired.
     fn renew(&mut self, now: Timestamp, skew: time::Duration, may_begin: bool) -> bool {
         let running = self.lease.filter(|lease| now < lease.held_until);
         let lease = match running {
             Some(lease) => HomeLease {
                 held_until: lease
                     .held_until
-                    .max(self.eras.extendable_until(&self.grants)),
+                    .max(self.voter_sets.extendable_until(&self.grants)),
                 ..lease
             },
             None => HomeLease {
-                held_until: self.eras.acquirable_until(&self.grants),
+                held_until: self.voter_sets.acquirable_until(&self.grants),
                 records_since: self.records_since(now, skew),
             },
         };
@@ -310,17 +309,18 @@
             return false;
         }
         self.lease = Some(lease);
-        self.eras.settle_by(now, &self.grants);
+        self.voter_sets.drop_replaced(now, &self.grants);
         let begun = running.is_none();
         if begun {
             self.inherited = None;
-            self.unsure = false;
+            self.may_miss_voters = false;
         }
         begun
     }
 
-    /// Without a hand-over, an earlier home may have taken requests until
-    /// just now, as callers with a fast clock see it.
+    /// The time since which the records are complete. Without a hand-over this is
+    /// `now` plus the clock skew: an earlier home may have accepted requests until
+    /// just now, by the clock of callers that run ahead.
     fn records_since(&self, now: Timestamp, skew: time::Duration) -> Timestamp {
         let inherited = self.inherited.filter(|records| now < records.valid_until);
         inherited.map_or(now.after(skew), |records| records.records_since)
--- a/crates/cardamomwinch_coordination/src/control/homes/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/mod.rs
@@ -1,16 +1,17 @@
-//! Which host is home of which shard: leases granted by a majority of a few
-//! voters per shard, renewed in batches, and handed over on planned changes.
-//! `docs/design/home-leases.md` weighs this against other ways.
+//! Decides which host is the home of each shard. The home holds a lease that a
+//! majority of a few voters per shard has granted. Leases are renewed in
+//! batches, and handed over on planned changes.
+//! `docs/design/home-leases.md` compares this design with alternatives.
 
-pub(crate) mod asking;
-pub mod eras;
 pub(crate) mod handing_over;
 pub mod holders;
 pub mod incoming;
 pub mod leases;
 pub mod outgoing;
 pub mod ranking;
+pub(crate) mod requesting;
 pub(crate) mod views;
+pub mod voter_sets;
 pub mod voters;
 
 use std::time;
@@ -31,30 +32,31 @@
 use crate::identity::HostIdentity;
 use crate::snapshot::{ServingPhase, ShardView};
 
-/// A lease is renewed this often while it runs.
-const RENEWALS_PER_LEASE: u32 = 3;
-/// A host that stops is drained after this time at the latest.
-pub const STOP_LIMIT: time::Duration = time::Duration::from_secs(10);
-/// A list is in force everywhere within this time. A cold host is unsure of
-/// earlier voters until then and for one lease more, which a holder that has
-/// lagged behind may still have left.
-const ADOPTION_BOUND: time::Duration = time::Duration::from_secs(3);
+/// Renewal rounds within the duration of a lease.
+const ROUNDS_PER_LEASE: u32 = 3;
+/// A stopping host gives up the shards that it still holds after this time.
+pub const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// Every host has adopted a new list of hosts within this time. A host that has
+/// just started waits for this time plus one lease before it relies on its own
+/// list alone: a holder that adopted the list late may still hold a lease from
+/// earlier voters until then.
+const MAX_ADOPTION_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// What the rest of control knows and homes are decided by.
+/// The state of the control engine that decisions about homes depend on.
 #[derive(Debug, Clone, Copy)]
-pub struct HomeWorld<'w> {
-    /// Who this host is.
+pub struct HomeWorld<'c> {
+    /// The identity of this host.
     pub identity: HostIdentity,
-    /// Whether it serves.
+    /// Whether this host is starting, serving or stopping.
     pub phase: ServingPhase,
     /// Whether a configuration is in force.
     pub adopted: bool,
     /// The limits in force.
-    pub limits: &'w ConfigurationLimits,
+    pub limits: &'c ConfigurationLimits,
     /// The list of hosts in force.
-    pub hosts: &'w HostTable,
-    /// Who is reachable.
-    pub membership: &'w PeerMembership,
+    pub hosts: &'c HostTable,
+    /// Which hosts are reachable.
+    pub membership: &'c PeerMembership,
 }
 
 impl HomeWorld<'_> {
@@ -66,13 +68,13 @@
         self.phase == ServingPhase::Serving
     }
 
-    /// Whether this host may be given shards by the list in force.
+    /// Whether the list in force allows this host to hold shards.
     fn may_hold(&self) -> bool {
         let own = self.hosts.get(self.identity.host);
         own.is_some_and(|own| ranking::may_hold(own, self.identity.domain))
     }
 
-    fn life(&self) -> CandidateLife {
+    fn own_incarnation(&self) -> CandidateLife {
         CandidateLife {
             host: self.identity.host,
             incarnation: self.identity.incarnation,
@@ -80,70 +82,73 @@
     }
 }
 
-/// Something to be done about homes.
+/// An action that the home table requests from the control engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HomeAction {
     /// Send a message to another host.
     Send {
-        /// The host.
+        /// The receiver.
         host: HostId,
         /// The message.
         message: HomeMessage,
     },
-    /// The traffic thread of the shard is to freeze it and give out what it knows.
+    /// Make the traffic thread of the shard freeze it and export its records.
     ReleaseShard {
         /// The hand-over.
         hand_over: HandOverId,
-        /// When the shard thaws, unless it is to be forgotten before.
+        /// When the shard thaws by itself, unless it is forgotten before.
         frozen_until: Timestamp,
     },
-    /// The hand-over is broken off; the traffic thread of the shard is to go on.
+    /// Make the traffic thread of the shard serve it again, because the
+    /// hand-over was aborted.
     ThawShard {
         /// The shard.
         shard: ShardId,
     },
-    /// The shard is handed over; the traffic thread is to forget it.
+    /// Make the traffic thread forget the shard, which was handed over.
     ForgetShard {
         /// The shard.
         shard: ShardId,
     },
-    /// The traffic thread of the shard is to take the chunk in.
+    /// Make the traffic thread of the shard import a chunk.
     TakeOver {
-        /// What to take in.
+        /// The chunk.
         chunk: HandOverChunk,
     },
-    /// The home of a shard changed, to or from this host.
+    /// Report that the home of a shard changed, to or from this host.
     HomeChanged {
         /// The shard.
         shard: ShardId,
-        /// Its home from now on.
+        /// The new home.
         home: HostId,
     },
-    /// The homes changed, so that a new snapshot is due.
+    /// Publish a new snapshot, because the homes changed.
     Publish,
-    /// This host stops and holds nothing any more.
+    /// Report that this host is stopping and no longer holds a shard.
     Drained,
 }
 
+/// A request of another host of the domain for a shard that it does not hold.
 #[derive(Debug, Clone, Copy)]
 struct ShardClaim {
     host: HostId,
-    /// When the host asked last.
-    heard: Timestamp,
-    /// When it first asked, without another one asking since.
-    since: Timestamp,
-    /// Whether it knows that nobody counts on earlier voters.
+    /// When the last request arrived.
+    last_request: Timestamp,
+    /// When the first request arrived after the last one of another host.
+    first_request: Timestamp,
+    /// Whether the host knows that no lease relies on earlier voters.
     settled: bool,
 }
 
-/// A lease that this host has given up.
+/// A lease that this host has given up to a successor.
 #[derive(Debug, Clone, Copy)]
 struct SentRelease {
     released: Timestamp,
     successor: LeaseSuccessor,
 }
 
-/// The homes of all shards as this host sees them, and its part in choosing them.
+/// The homes of all shards as this host sees them, with its own leases and the
+/// grants that it has made as a voter.
 #[derive(Debug, Default)]
 pub struct HomeTable {
     views: SortedVector<ShardId, ShardView>,
@@ -161,107 +166,110 @@
     last_event: Timestamp,
     next_round: Timestamp,
     next_notice: Timestamp,
-    notices: usize,
+    notices_sent: usize,
     stop_by: Option<Timestamp>,
     drained: bool,
 }
 
 impl HomeTable {
-    /// The homes by shard.
+    /// The home of each shard, as of the last [`HomeTable::refresh`].
     pub fn shards(&self) -> &SortedVector<ShardId, ShardView> {
         &self.views
     }
 
-    /// What this host has promised as a voter.
+    /// The grants that this host has made as a voter.
     pub fn voters(&self) -> &VoterTable {
         &self.voters
     }
 
-    /// What this host holds.
+    /// The leases of this host.
     pub fn leases(&self) -> &LeaseTable {
         &self.leases
     }
 
-    /// Whether this host has stopped and holds nothing any more.
+    /// Whether this host is stopping and no longer holds a shard.
     pub fn is_drained(&self) -> bool {
         self.drained
     }
 
-    /// To be called before each event is decided. Guards against a control
-    /// thread that slept: what it held may be held by another host by now, and
-    /// what it promised may be forgotten by whom it promised it. It shows as a
-    /// gap between two events that is longer than a lease; then every lease is
-    /// given up and nothing is granted for as long again.
-    pub fn note_event(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
-        let lease = world.limits.home_lease;
+    /// Must be called before each event is handled.
+    ///
+    /// Guards against a control thread that was paused: another host may hold
+    /// its leases by now, and hosts that it granted leases to may have forgotten
+    /// them. A pause shows as a gap between two events that is longer than a
+    /// lease. The host then gives up every lease and grants nothing for the
+    /// duration of a lease.
+    pub fn note_event(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+        let lease = context.limits.home_lease;
         let slept = self.started.is_some() && now.since(self.last_event) > lease;
         if slept {
             self.leases.give_up_all();
-            self.outgoing.break_off();
-            self.incoming.break_off();
-            self.voters.stay_silent(now.after(lease));
+            self.outgoing.abort_all();
+            self.incoming.abort_all();
+            self.voters.withhold_grants_until(now.after(lease));
         }
         self.last_event = self.last_event.max(now);
-        self.note_start(now, world);
-        self.note_hosts(now, world);
+        self.note_start(now, context);
+        self.note_hosts(now, context);
     }
 
-    fn note_start(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
+    fn note_start(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
         let started = *self.started.get_or_insert(now);
-        if self.shard_count == 0 && world.adopted {
-            let lease = world.limits.home_lease;
-            self.voters.stay_silent(started.after(lease));
+        if self.shard_count == 0 && context.adopted {
+            let lease = context.limits.home_lease;
+            self.voters.withhold_grants_until(started.after(lease));
             self.leases
-                .be_unsure_until(started.after(ADOPTION_BOUND + lease));
+                .wait_for_earlier_voters(started.after(MAX_ADOPTION_TIME + lease));
         }
     }
 
-    fn note_hosts(&mut self, now: Timestamp, world: &HomeWorld<'_>) {
-        let count = world.limits.shards_per_domain;
-        if !world.adopted || world.hosts.version == HostListVersion::ZERO {
+    fn note_hosts(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+        let count = context.limits.shards_per_domain;
+        if !context.adopted || context.hosts.version == HostListVersion::ZERO {
             return;
         }
-        if self.host_list == world.hosts.version && self.shard_count == count {
+        if self.host_list == context.hosts.version && self.shard_count == count {
             return;
         }
-        self.host_list = world.hosts.version;
+        self.host_list = context.hosts.version;
         self.shard_count = count;
-        self.voters.adopt_hosts(world.hosts);
-        self.leases.adopt_hosts(world);
+        self.voters.adopt_hosts(context.hosts);
+        self.leases.adopt_hosts(context);
         self.next_round = now;
     }
 
-    /// Begins to hand everything over.
+    /// Begins to hand over all shards, because this host stops.
     pub fn stop(&mut self, now: Timestamp) {
         if self.stop_by.is_none() {
-            self.stop_by = Some(now.after(STOP_LIMIT));
+            self.stop_by = Some(now.after(STOP_TIMEOUT));
             self.next_round = now;
         }
     }
 
-    /// Does what is due at `now`.
-    pub fn advance(&mut self, now: Timestamp, world: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
+    /// Renews leases, repeats messages, and begins, aborts or finishes hand-overs
+    /// that are due at `now`.
+    pub fn advance(&mut self, now: Timestamp, context: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
         if self.shard_count > 0 {
             self.outgoing.advance(now, out);
             self.incoming.advance(now);
-            self.repeat_releases(now, world, out);
-            self.ask_for_inherited(now, world, out);
+            self.repeat_releases(now, context, out);
+            self.request_inherited(now, context, out);
             if now >= self.next_round {
-                let interval = world.limits.home_lease / RENEWALS_PER_LEASE;
+                let interval = context.limits.home_lease / ROUNDS_PER_LEASE;
                 self.next_round = now.after(interval);
-                self.ask(now, world, out);
+                self.request_round(now, context, out);
             }
-            self.begin_hand_overs(now, world, out);
-            self.send_notice(now, world, out);
+            self.begin_hand_overs(now, context, out);
+            self.send_notice(now, context, out);
         }
-        self.finish_stop(now, world, out);
+        self.finish_stop(now, context, out);
     }
 
-    /// Takes a message of another host.
+    /// Handles a message from another host.
     pub fn take(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         sender: CandidateLife,
         message: &HomeMessage,
         out: &mut Vec<HomeAction>,
@@ -271,41 +279,43 @@
         }
         let host = sender.host;
         match message {
-            HomeMessage::Request(request) => self.take_request(now, world, sender, request, out),
-            HomeMessage::Grant(grant) => self.take_grant(now, world, host, grant, out),
-            HomeMessage::Release(release) => self.voters.release(world, sender, release),
+            HomeMessage::Request(request) => {
+                self.handle_request(now, context, sender, request, out);
+            }
+            HomeMessage::Grant(grant) => self.handle_grant(now, context, host, grant, out),
+            HomeMessage::Release(release) => self.voters.release(context, sender, release),
             HomeMessage::Holders(notice) => {
-                if self.holders.take_notice(now, world, host, notice) && notice.stopped {
+                if self.holders.handle_notice(now, context, host, notice) && notice.stopped {
                     out.push(HomeAction::Publish);
                 }
             }
             HomeMessage::HandOver(chunk) => {
-                let own = chunk.hand_over.shard.domain == world.identity.domain;
-                if own && world.is_serving() && world.may_hold() {
-                    // The sender has been home since, so that what an earlier
-                    // hand-over left is not all that is known any more.
+                let own = chunk.hand_over.shard.domain == context.identity.domain;
+                if own && context.is_serving() && context.may_hold() {
+                    // The sender was the home after any earlier hand-over, so
+                    // the records of that hand-over are no longer complete.
                     self.leases.forget_inherited_before(chunk.hand_over);
-                    // No release of this host is sent after the round that it
-                    // names to the holder.
+                    // The receipt names the last round of this host to the
+                    // holder. No release may be sent in a later round.
                     self.releases.remove(&chunk.hand_over.shard);
                     let round = self.leases.last_round();
                     self.incoming
-                        .take_chunk(now, host, chunk.clone(), round, out);
+                        .handle_chunk(now, host, chunk.clone(), round, out);
                 }
             }
             HomeMessage::Received(receipt) => {
-                if let Some(ready) = self.outgoing.take_receipt(now, sender, *receipt) {
-                    self.commit(now, world, ready, out);
+                if let Some(ready) = self.outgoing.handle_receipt(now, sender, *receipt) {
+                    self.commit(now, context, ready, out);
                 }
             }
-            HomeMessage::Commit(commit) => self.incoming.take_commit(host, *commit, out),
-            HomeMessage::Committed(id) => self.outgoing.confirm(host, *id),
+            HomeMessage::Commit(commit) => self.incoming.handle_commit(host, *commit, out),
+            HomeMessage::Committed(id) => self.outgoing.handle_confirmation(host, *id),
         }
     }
 }
 
 impl CandidateLife {
-    /// The life of `host` that bears `incarnation`.
+    /// Returns `incarnation` of `host`.
     pub const fn new(host: HostId, incarnation: Incarnation) -> Self {
         Self { host, incarnation }
     }
--- a/crates/cardamomwinch_coordination/src/control/homes/voters.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/voters.rs
@@ -1,25 +1,28 @@
-//! What this host promises as a voter.
+//! The grants that this host makes as a voter.
 //!
-//! A grant is a promise to grant the shard to nobody else before it has run
-//! out. All that a voter must not do follows from keeping it:
+//! A grant is a promise to grant the shard to no other host before the grant
+//! expires. The restrictions on a voter follow from this promise:
 //!
-//! - A host without a disk forgets its promises when it restarts. It therefore
-//!   grants nothing before the longest promise of its earlier life has run out.
-//! - A process that was paused cannot know what it missed; it grants nothing
-//!   for as long after it wakes.
-//! - A candidate that goes by a list of hosts from before the voters of its
-//!   domain changed gets nothing new, because the majority that it counts may
-//!   not be one any more. A holder is renewed meanwhile: its running grant keeps
-//!   everybody else out anyway.
-//! - A candidate that has just started never heard of earlier voters, who may
-//!   still be counted on by a holder that lags behind; it is told of them.
-//! - A release passes the promise on to the successor that it names, and to
-//!   nobody else: any other host may still trust what an earlier hand-over left
-//!   to it, and would run again what was run since. That trust ends a lease
-//!   after that hand-over, and a grant blocks everybody else for as long.
-//! - Messages of one host may overtake each other. A release that was held up
-//!   passes on no grant that its sender asked for, or was named for, later.
-//!   Requests may come in any order: a grant only adds a promise.
+//! - Grants are not stored on disk, so a host forgets them when it restarts. It
+//!   therefore grants nothing until the longest grant of its previous incarnation
+//!   has expired.
+//! - A process that was paused does not know what it missed. It grants nothing
+//!   for the same time after it resumes.
+//! - A candidate whose list of hosts is older than the last change of the voters
+//!   of its domain gets no new grant, because the majority that it counts may no
+//!   longer be one. A holder is still renewed: its running grant excludes all
+//!   other hosts anyway.
+//! - A candidate that has just started does not know of earlier voters, on whom a
+//!   holder with an older list may still rely. The voter sends them to it.
+//! - A release passes the grant on to the successor that it names, and to no
+//!   other host. Any other host may still trust records that it inherited from an
+//!   earlier hand-over, and would run again the requests that were run since.
+//!   That trust ends one lease after that hand-over, and a grant excludes all
+//!   other hosts for the same time.
+//! - Messages of one host may overtake each other. A delayed release does not
+//!   pass on a grant that its sender requested, or was named for, after it sent
+//!   the release. Requests may arrive in any order, because a grant only adds a
+//!   promise.
 
 use std::time;
 
@@ -33,45 +36,46 @@
 use crate::control::homes::HomeWorld;
 use crate::control::homes::ranking::{self, VOTER_COUNT};
 
-/// No grant runs longer than this, whatever the request says.
-const LONGEST_GRANT: time::Duration = time::Duration::from_secs(60);
+/// The longest duration of a grant, whatever the request asks for.
+const MAX_GRANT_DURATION: time::Duration = time::Duration::from_secs(60);
 
-/// One life of one host.
+/// One incarnation of a host: the time from one start of its process to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CandidateLife {
     /// The host.
     pub host: HostId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A promise about one shard.
+/// The grant of one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterGrant {
-    /// To whom it was given.
+    /// The host that it was granted to.
     pub holder: CandidateLife,
-    /// When it runs out, by this host's clock.
+    /// When it expires, by this host's clock.
     pub until: Timestamp,
-    /// The latest request of the holder about the shard; releases up to this
-    /// round are of earlier grants.
+    /// The latest round in which the holder requested the shard. Releases up to
+    /// this round concern earlier grants.
     pub round: LeaseRound,
-    /// Whether the holder was named by the one before and has not been granted
-    /// the shard yet. It is judged like any new holder then.
+    /// Whether the previous holder has named this one as its successor and the
+    /// shard has not been granted to it yet. Its first request is then checked
+    /// like that of any new holder.
     pub is_named: bool,
 }
 
 #[derive(Debug)]
 struct DomainHosts {
-    /// The hosts that voters are taken from.
+    /// The hosts from which the voters are chosen.
     pool: Vec<HostId>,
-    /// Those of the domain itself.
+    /// The hosts of the domain itself.
     own: Vec<HostId>,
-    changed: HostListVersion,
+    changed_in: HostListVersion,
     earlier: Vec<EarlierHosts>,
 }
 
-/// Earlier lists of a domain's hosts that are remembered.
-const EARLIER_LIMIT: usize = 8;
+/// Earlier lists of hosts that are kept for each domain.
+const MAX_EARLIER_LISTS: usize = 8;
 
 impl DomainHosts {
     fn replace(&mut self, pool: Vec<HostId>, own: Vec<HostId>, hosts: &HostTable) {
@@ -79,7 +83,7 @@
             let replaced_in = hosts.version;
             let replaced = std::mem::replace(&mut self.own, own);
             self.pool = pool;
-            self.changed = replaced_in;
+            self.changed_in = replaced_in;
             self.earlier.retain(|earlier| earlier.hosts != replaced);
             self.earlier.push(EarlierHosts {
                 hosts: replaced,
@@ -90,33 +94,34 @@
             earlier.hosts.retain(|host| hosts.get(*host).is_some());
         }
         self.earlier.retain(|earlier| !earlier.hosts.is_empty());
-        let excess = self.earlier.len().saturating_sub(EARLIER_LIMIT);
+        let excess = self.earlier.len().saturating_sub(MAX_EARLIER_LISTS);
         self.earlier.drain(..excess);
     }
 }
 
-/// The promises of this host.
+/// The grants of this host as a voter.
 #[derive(Debug, Default)]
 pub struct VoterTable {
     grants: SortedVector<ShardId, VoterGrant>,
-    lives: SortedVector<HostId, Incarnation>,
+    incarnations: SortedVector<HostId, Incarnation>,
     domains: SortedVector<DomainId, DomainHosts>,
-    silent_until: Timestamp,
+    withheld_until: Timestamp,
 }
 
 impl VoterTable {
-    /// The promises that were made, run out or not.
+    /// The grants by shard, expired ones included.
     pub fn grants(&self) -> &SortedVector<ShardId, VoterGrant> {
         &self.grants
     }
 
-    /// Grants nothing before `until`.
-    pub fn stay_silent(&mut self, until: Timestamp) {
-        self.silent_until = self.silent_until.max(until);
+    /// Withholds all grants until `until`.
+    pub fn withhold_grants_until(&mut self, until: Timestamp) {
+        self.withheld_until = self.withheld_until.max(until);
     }
 
-    /// Notes in which failure domains a newly adopted list changes the voters.
-    /// A domain too small to fill its voters changes with any other.
+    /// Records in which failure domains a newly adopted list changes the voters.
+    /// In a domain with fewer hosts than voters, they change with any host of any
+    /// domain.
     pub fn adopt_hosts(&mut self, hosts: &HostTable) {
         let mut named: Vec<DomainId> = hosts.hosts.values().map(|host| host.domain).collect();
         named.extend(self.domains.keys());
@@ -132,41 +137,41 @@
             let known = self.domains.get_or_insert_with(domain, || DomainHosts {
                 pool: Vec::new(),
                 own: Vec::new(),
-                changed,
+                changed_in: changed,
                 earlier: Vec::new(),
             });
             known.replace(pool, own, hosts);
         }
     }
 
-    /// Decides about a request of `candidate`. `None` where it is not worth an
-    /// answer: from an earlier life, or of a host that is not listed.
+    /// Decides a request of `candidate`. Returns `None` if the request is ignored:
+    /// it comes from an earlier incarnation, or from a host that is not listed.
     pub fn decide(
         &mut self,
         now: Timestamp,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         candidate: CandidateLife,
         request: &LeaseRequest,
     ) -> Option<LeaseGrant> {
-        if !self.is_latest_life(candidate) {
+        if !self.is_latest_incarnation(candidate) {
             return None;
         }
         let mut grant = LeaseGrant {
             round: request.round,
-            host_list: world.hosts.version,
+            host_list: context.hosts.version,
             granted: ShardSet::default(),
             earlier: Vec::new(),
         };
-        let entry = world.hosts.get(candidate.host)?;
-        let limits = world.limits;
-        if now < self.silent_until || request.shard_count != limits.shards_per_domain {
+        let entry = context.hosts.get(candidate.host)?;
+        let limits = context.limits;
+        if now < self.withheld_until || request.shard_count != limits.shards_per_domain {
             return Some(grant);
         }
         let domain = entry.domain;
         let asked = time::Duration::from_millis(request.lease_millis.into());
-        let until = now.after(asked.min(LONGEST_GRANT));
+        let until = now.after(asked.min(MAX_GRANT_DURATION));
         let known = self.domains.get(&domain);
-        let changed = known.map(|known| known.changed);
+        let changed = known.map(|known| known.changed_in);
         if !request.unsettled.is_empty() {
             grant.earlier = known.map_or_else(Vec::new, |known| known.earlier.clone());
         }
@@ -195,21 +200,21 @@
         Some(grant)
     }
 
-    /// Passes grants that their holder gives up on to the successor that it
-    /// names, for the time that they still run.
+    /// Passes the grants that `candidate` gives up to the successor that it names.
+    /// Their expiry does not change.
     pub fn release(
         &mut self,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         candidate: CandidateLife,
         release: &LeaseRelease,
     ) {
-        let Some(entry) = world.hosts.get(candidate.host) else {
+        let Some(entry) = context.hosts.get(candidate.host) else {
             return;
         };
-        if !self.is_latest_life(candidate) {
+        if !self.is_latest_incarnation(candidate) {
             return;
         }
-        for index in release.shards.iter(world.limits.shards_per_domain) {
+        for index in release.shards.iter(context.limits.shards_per_domain) {
             let domain = entry.domain;
             let shard = ShardId { domain, index };
             let Some(held) = self.grants.get_mut(&shard) else {
@@ -224,12 +229,12 @@
         }
     }
 
-    /// Guards against the earlier life of a host that has restarted: its
-    /// messages may still be on their way.
-    fn is_latest_life(&mut self, candidate: CandidateLife) -> bool {
+    /// Whether `candidate` is the latest known incarnation of its host. Messages
+    /// of an earlier incarnation may arrive after a restart.
+    fn is_latest_incarnation(&mut self, candidate: CandidateLife) -> bool {
         let incarnation = candidate.incarnation;
         let known = self
-            .lives
+            .incarnations
             .get_or_insert_with(candidate.host, || incarnation);
         *known = incarnation.max(*known);
         *known == incarnation
--- a/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
@@ -1,4 +1,4 @@
-//! A change that is published comes into force on every host.
+//! A published change comes into force on every host.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod adoption_support;
@@ -14,19 +14,19 @@
     domains: 3,
     per_domain: 3,
 };
-/// In force everywhere within this time of publishing.
-const SPREAD_LIMIT: time::Duration = time::Duration::from_secs(3);
+/// A change must be in force on every host this long after it is published.
+const ADOPTION_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-fn spread(fleet: &mut TestFleet, preset: &str) {
-    let done = fleet.run_until(SPREAD_LIMIT, |fleet| fleet.all_have(preset));
+fn expect_adoption(fleet: &mut TestFleet, preset: &str) {
+    let done = fleet.run_until(ADOPTION_TIMEOUT, |fleet| fleet.all_have(preset));
     if !done {
         fleet.expect_everywhere(preset);
     }
 }
 
-/// Operators switch a preset while the network loses, delays and reorders
-/// messages. One host in nine kept the old preset for good, because the one
-/// message that would have told it was lost.
+/// Guards against a host that misses a change. A preset is switched while the network
+/// loses, delays and reorders messages. One host in nine kept the old preset forever,
+/// because the only message that announced the new one to it was lost.
 #[parameterized(calm = { 1, 0.0, 2 }, lossy = { 2, 0.05, 20 }, lossier = { 3, 0.2, 60 }, other_seed = { 4, 0.2, 60 })]
 fn a_switch_is_in_force_on_every_host(seed: u64, loss: f64, delay: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -34,17 +34,18 @@
     fleet.delay = time::Duration::from_millis(delay);
     for preset in ["peak", "ordinary", "maintenance"] {
         fleet.publish_root(preset);
-        spread(&mut fleet, preset);
+        expect_adoption(&mut fleet, preset);
         fleet.run_for(time::Duration::from_secs(2));
     }
     fleet.expect_same_state();
 }
 
-/// A reader of a failure domain is killed just when a change is published,
-/// before or after it has told anyone. Nobody else in the domain was watching,
-/// so that the domain stayed on the old preset until the next change.
-#[parameterized(at_once = { 1, 0 }, while_reading = { 2, 6 }, while_telling = { 3, 12 }, later = { 4, 40 })]
-fn a_change_survives_the_death_of_its_readers(seed: u64, after: u64) {
+/// Guards against a change that is lost with the readers. All readers crash just after
+/// a change is published, before or after they have announced it. No other host of a
+/// domain watched the platform, so the domain kept the old preset until the next
+/// change.
+#[parameterized(at_once = { 1, 0 }, while_reading = { 2, 6 }, while_announcing = { 3, 12 }, later = { 4, 40 })]
+fn a_change_survives_a_crash_of_its_readers(seed: u64, after: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
     let readers = fleet.readers();
     assert_eq!(readers.len(), 6);
@@ -52,16 +53,17 @@
     fleet.publish_root("peak");
     fleet.run_for(time::Duration::from_millis(after));
     for reader in readers {
-        fleet.kill(reader);
+        fleet.crash(reader);
     }
-    spread(&mut fleet, "peak");
+    expect_adoption(&mut fleet, "peak");
     fleet.run_for(time::Duration::from_secs(3));
     fleet.expect_same_state();
     assert_eq!(fleet.readers().len(), 3, "the survivors read");
 }
 
-/// Calm lasts for a minute. If every host watched by itself, the platform's
-/// calls would grow with the fleet and eat up what all of them may make.
+/// Guards against too many calls to the platform. Nothing changes for a minute. If
+/// every host watched the platform, the calls would grow with the fleet and exceed
+/// what the platform allows for all hosts together.
 #[test]
 fn few_hosts_read_the_platform() {
     let shape = FleetShape {
@@ -77,20 +79,21 @@
     assert!(calls <= 6 * 2 * 7, "{calls} calls in a minute");
 }
 
-/// A failure domain is cut off from the platform, but not from the others. Its
-/// own readers hear nothing, so that what the others know has to reach it.
+/// Guards against a domain that misses changes. It is cut off from the platform, but
+/// not from other domains. Its own readers receive nothing, so hosts of other domains
+/// must send it the changes.
 #[test]
 fn a_domain_without_the_platform_learns_from_the_others() {
     let mut fleet = TestFleet::settled(NINE, 6);
     fleet.cut_platform(|host| host < 3);
     fleet.run_for(time::Duration::from_secs(2));
     fleet.publish_root("peak");
-    spread(&mut fleet, "peak");
+    expect_adoption(&mut fleet, "peak");
 }
 
-/// A failure domain is cut off from the others and the platform while presets
-/// are switched twice. Once the cut heals it has to catch up, and what it
-/// still believes must not spread to the others.
+/// Guards against an outdated domain. It is cut off from the other domains and the
+/// platform while presets are switched twice. After the cut it must adopt the newest
+/// configuration, and its old one must not spread to the others.
 #[test]
 fn a_domain_that_was_cut_off_catches_up() {
     let mut fleet = TestFleet::settled(NINE, 7);
@@ -106,14 +109,15 @@
         assert!(fleet.hosts[host].serves());
     }
     fleet.cut = Box::new(|_, _| false);
-    spread(&mut fleet, "maintenance");
+    expect_adoption(&mut fleet, "maintenance");
     fleet.run_for(time::Duration::from_secs(3));
     fleet.expect_same_state();
 }
 
-/// Two operators switch presets at the same moment, and back again. Hosts see
-/// the switches in different orders and through different peers; if the last
-/// message won instead of the highest version, some would end with the first.
+/// Guards against different presets on different hosts. Operators switch presets at
+/// nearly the same time, and hosts learn of the switches in different orders and from
+/// different peers. If the last message won instead of the highest version, some
+/// hosts would keep an earlier preset.
 #[parameterized(one = { 8, 0 }, two = { 9, 3 }, three = { 10, 30 }, four = { 11, 300 })]
 fn the_last_of_two_racing_switches_wins(seed: u64, apart: u64) {
     let mut fleet = TestFleet::settled(NINE, seed);
@@ -123,14 +127,15 @@
         fleet.publish_root(preset);
         fleet.run_for(time::Duration::from_millis(apart));
     }
-    spread(&mut fleet, "maintenance");
+    expect_adoption(&mut fleet, "maintenance");
     fleet.run_for(time::Duration::from_secs(4));
     fleet.expect_everywhere("maintenance");
     fleet.expect_same_state();
 }
 
-/// A host leaves the list, and another joins it. Hosts that are one list
-/// behind get the changes only, and end with the same list as all others.
+/// Guards against different lists of hosts on different hosts. A host leaves the list,
+/// and another one joins it. Hosts whose list is one version behind receive only the
+/// changes, and must end with the same list as all others.
 #[test]
 fn lists_of_hosts_spread_like_presets() {
     let mut fleet = TestFleet::settled(NINE, 12);
@@ -138,7 +143,7 @@
     for gone in [8, 2, 5] {
         let list = fleet.shape.host_list(|host| host != gone);
         let revision = fleet.publish(PlatformKey::Hosts, &list);
-        let done = fleet.run_until(SPREAD_LIMIT, |fleet| {
+        let done = fleet.run_until(ADOPTION_TIMEOUT, |fleet| {
             let mut hosts = fleet.running().filter(|(index, _)| *index != gone);
             hosts.all(|(_, host)| host.snapshot.hosts.version.get() >= revision)
         });
--- a/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of control engines, a network and a platform in one deterministic
-//! run: all delays and losses follow from a seed, and time is simulated.
+//! A deterministic simulation of a fleet of control engines, a network and a
+//! platform: a seed determines all delays and losses, and time is simulated.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod documents;
@@ -23,7 +23,7 @@
 const CALL_DELAY: time::Duration = time::Duration::from_millis(2);
 
 #[derive(Debug)]
-enum Happening {
+enum FleetEvent {
     Start(usize),
     Tick(usize),
     Deliver(usize, PeerEnvelope),
@@ -31,7 +31,7 @@
     Outcome(usize, PlatformOutcome),
 }
 
-impl Happening {
+impl FleetEvent {
     fn host(&self) -> usize {
         match self {
             Self::Start(host)
@@ -47,8 +47,8 @@
 struct Scheduled {
     due: Timestamp,
     order: u64,
-    life: u64,
-    happening: Happening,
+    incarnation: u64,
+    event: FleetEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -79,9 +79,9 @@
     pub counts: SortedVector<Counter, u64>,
     pub refusals: Vec<RefusedDocument>,
     pub paused_until: Timestamp,
-    /// The versions that it had in force, in order.
+    /// The versions that the host had in force, in order.
     pub versions: Vec<ConfigurationVersion>,
-    life: u64,
+    incarnation: u64,
 }
 
 impl FleetHost {
@@ -106,13 +106,13 @@
     pub hosts: Vec<FleetHost>,
     pub platform: TestPlatform,
     pub now: Timestamp,
-    /// The share of messages among hosts that get lost.
+    /// The fraction of messages between hosts that get lost.
     pub loss: f64,
-    /// The longest delay of a message among hosts.
+    /// The longest delay of a message between hosts.
     pub delay: time::Duration,
     /// Whether messages from the first to the second host are cut.
     pub cut: CutRule,
-    /// Hosts that the platform does not answer.
+    /// Whether a host is cut off from the platform.
     pub platform_cut: Box<dyn Fn(usize) -> bool>,
     /// Presets that the platform has published, by version.
     pub published: SortedVector<u64, String>,
@@ -122,7 +122,7 @@
 }
 
 impl TestFleet {
-    /// Creates a fleet of which no host runs yet.
+    /// Creates a fleet whose hosts are not started yet.
     pub fn new(shape: FleetShape, seed: u64) -> Self {
         let count = shape.count();
         let hosts = (0..count).map(|host| FleetHost {
@@ -133,7 +133,7 @@
             refusals: Vec::new(),
             paused_until: Timestamp::ZERO,
             versions: Vec::new(),
-            life: 0,
+            incarnation: 0,
         });
         let mut fleet = Self {
             hosts: hosts.collect(),
@@ -154,7 +154,7 @@
         fleet
     }
 
-    /// A fleet that has served its first configuration for a while.
+    /// Creates a fleet in which every host serves under the preset "ordinary".
     pub fn settled(shape: FleetShape, seed: u64) -> Self {
         let mut fleet = Self::new(shape, seed);
         fleet.publish_ordinary("ordinary");
@@ -166,8 +166,7 @@
         fleet
     }
 
-    /// Cuts the hosts for which `rule` holds off from the platform; their
-    /// watches hang.
+    /// Cuts off the hosts that match `rule` from the platform. Their watches hang.
     pub fn cut_platform(&mut self, rule: fn(usize) -> bool) {
         self.platform_cut = Box::new(rule);
         self.platform.drop_watches(rule);
@@ -175,14 +174,14 @@
 
     /// Publishes `text` and returns its revision.
     pub fn publish(&mut self, key: PlatformKey, text: &str) -> u64 {
-        let (revision, woken) = self.platform.publish(key, text);
-        for watch in woken {
-            self.answer(watch.host, watch.life, watch.request);
+        let (revision, answered) = self.platform.publish(key, text);
+        for watch in answered {
+            self.answer(watch.host, watch.incarnation, watch.request);
         }
         revision
     }
 
-    /// Publishes a root document with `preset` over the newest fragments.
+    /// Publishes a root document with `preset` that lists the newest fragments.
     pub fn publish_root(&mut self, preset: &str) -> u64 {
         let text = documents::root(preset, &self.platform.team_revisions());
         let revision = self.publish(PlatformKey::Root, &text);
@@ -205,7 +204,7 @@
         self.publish_root(preset)
     }
 
-    /// Starts a new life of `host`.
+    /// Starts a new incarnation of `host`.
     pub fn start(&mut self, host: usize) {
         let identity = self.shape.identity(host, self.now);
         let entry = &mut self.hosts[host];
@@ -213,35 +212,35 @@
         entry.snapshot = std::sync::Arc::new(RoutingSnapshot::starting());
         entry.versions.clear();
         entry.paused_until = Timestamp::ZERO;
-        entry.life += 1;
+        entry.incarnation += 1;
         let offset = time::Duration::from_micros(self.random.random_range(0..100_000));
-        self.schedule(time::Duration::ZERO, Happening::Start(host));
-        self.schedule(offset, Happening::Tick(host));
+        self.schedule(time::Duration::ZERO, FleetEvent::Start(host));
+        self.schedule(offset, FleetEvent::Tick(host));
     }
 
-    /// Ends the life of `host` without a word.
-    pub fn kill(&mut self, host: usize) {
+    /// Crashes `host`.
+    pub fn crash(&mut self, host: usize) {
         self.hosts[host].engine = None;
-        self.hosts[host].life += 1;
+        self.hosts[host].incarnation += 1;
     }
 
-    /// Pauses `host`: whatever comes for it waits until it wakes.
+    /// Pauses `host`: its events wait until it resumes.
     pub fn pause(&mut self, host: usize, duration: time::Duration) {
         self.hosts[host].paused_until = self.now.after(duration);
     }
 
-    fn schedule(&mut self, after: time::Duration, happening: Happening) {
-        let life = self.hosts[happening.host()].life;
-        self.schedule_at(self.now.after(after), life, happening);
+    fn schedule(&mut self, after: time::Duration, event: FleetEvent) {
+        let incarnation = self.hosts[event.host()].incarnation;
+        self.schedule_at(self.now.after(after), incarnation, event);
     }
 
-    fn schedule_at(&mut self, due: Timestamp, life: u64, happening: Happening) {
+    fn schedule_at(&mut self, due: Timestamp, incarnation: u64, event: FleetEvent) {
         self.order += 1;
         self.queue.push(Scheduled {
             due,
             order: self.order,
-            life,
-            happening,
+            incarnation,
+            event,
         });
     }
 
@@ -252,7 +251,7 @@
         self.now = end;
     }
 
-    /// Runs until `condition` holds, at most for `limit`; whether it held.
+    /// Runs until `condition` holds, at most for `limit`. Returns whether it held.
     pub fn run_until(&mut self, limit: time::Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now.after(limit);
         while !condition(self) {
@@ -271,28 +270,28 @@
             return false;
         };
         self.now = next.due;
-        let host = next.happening.host();
-        if let Happening::Call(_, request) = next.happening {
-            self.take_call(host, next.life, request);
+        let host = next.event.host();
+        if let FleetEvent::Call(_, request) = next.event {
+            self.handle_call(host, next.incarnation, request);
             return true;
         }
-        if self.hosts[host].life != next.life || self.hosts[host].engine.is_none() {
+        if self.hosts[host].incarnation != next.incarnation || self.hosts[host].engine.is_none() {
             return true;
         }
-        let wakes = self.hosts[host].paused_until;
-        if wakes > self.now {
-            self.schedule_at(wakes, next.life, next.happening);
+        let resumes = self.hosts[host].paused_until;
+        if resumes > self.now {
+            self.schedule_at(resumes, next.incarnation, next.event);
             return true;
         }
-        let event = match next.happening {
-            Happening::Start(_) => ControlEvent::Start,
-            Happening::Tick(_) => {
-                self.schedule(TICK, Happening::Tick(host));
+        let event = match next.event {
+            FleetEvent::Start(_) => ControlEvent::Start,
+            FleetEvent::Tick(_) => {
+                self.schedule(TICK, FleetEvent::Tick(host));
                 ControlEvent::Tick
             }
-            Happening::Deliver(_, envelope) => ControlEvent::Peer(envelope),
-            Happening::Outcome(_, outcome) => ControlEvent::Platform(outcome),
-            Happening::Call(..) => return true,
+            FleetEvent::Deliver(_, envelope) => ControlEvent::Peer(envelope),
+            FleetEvent::Outcome(_, outcome) => ControlEvent::Platform(outcome),
+            FleetEvent::Call(..) => return true,
         };
         self.handle(host, event);
         true
@@ -319,9 +318,9 @@
                 self.send(host, to, envelope);
             }
             ControlEffect::Platform(request) => {
-                self.schedule(CALL_DELAY, Happening::Call(host, request));
+                self.schedule(CALL_DELAY, FleetEvent::Call(host, request));
             }
-            ControlEffect::Publish(snapshot) => self.note_snapshot(host, snapshot),
+            ControlEffect::Publish(snapshot) => self.check_snapshot(host, snapshot),
             ControlEffect::Count(counter) => {
                 let counts = &mut self.hosts[host].counts;
                 *counts.get_or_insert_with(counter, || 0) += 1;
@@ -331,9 +330,9 @@
         }
     }
 
-    /// Holds what must hold of every snapshot: versions only rise, and the
-    /// preset is the one that was published under the version.
-    fn note_snapshot(&mut self, host: usize, snapshot: std::sync::Arc<RoutingSnapshot>) {
+    /// Checks every published snapshot: versions never decrease, and the preset is
+    /// the one that was published under the version.
+    fn check_snapshot(&mut self, host: usize, snapshot: std::sync::Arc<RoutingSnapshot>) {
         let version = snapshot.version();
         let entry = &mut self.hosts[host];
         assert!(
@@ -360,19 +359,19 @@
             return;
         }
         let delay = self.delay.mul_f64(self.random.random_range(0.25..=1.0));
-        self.schedule(delay, Happening::Deliver(to, envelope));
+        self.schedule(delay, FleetEvent::Deliver(to, envelope));
     }
 
-    fn take_call(&mut self, host: usize, life: u64, request: PlatformRequest) {
+    fn handle_call(&mut self, host: usize, incarnation: u64, request: PlatformRequest) {
         let cut = (self.platform_cut)(host);
         let now = self.now;
-        self.platform.note_call(now, &request);
-        if cut || self.platform.is_silent() {
+        self.platform.record_call(now, &request);
+        if cut || self.platform.is_unavailable() {
             let result = Err(PlatformFailure);
             let outcome = PlatformOutcome { request, result };
             let timeout = time::Duration::from_secs(1);
             let due = now.after(timeout);
-            return self.schedule_at(due, life, Happening::Outcome(host, outcome));
+            return self.schedule_at(due, incarnation, FleetEvent::Outcome(host, outcome));
         }
         if self.platform.would_wait(&request) {
             let due = now.after(request.wait);
@@ -383,22 +382,22 @@
             };
             self.platform.wait(WaitingWatch {
                 host,
-                life,
+                incarnation,
                 request,
             });
-            // An answer that comes earlier makes this one a double, which the
-            // engine has to bear as well.
-            return self.schedule_at(due, life, Happening::Outcome(host, outcome));
+            // If the watch is answered earlier, this is a second answer, which the
+            // engine must tolerate as well.
+            return self.schedule_at(due, incarnation, FleetEvent::Outcome(host, outcome));
         }
-        self.answer(host, life, request);
+        self.answer(host, incarnation, request);
     }
 
-    fn answer(&mut self, host: usize, life: u64, request: PlatformRequest) {
+    fn answer(&mut self, host: usize, incarnation: u64, request: PlatformRequest) {
         let answer = self.platform.value(&request.key);
         let result = Ok(answer);
         let outcome = PlatformOutcome { request, result };
         let due = self.now.after(self.platform.delay);
-        self.schedule_at(due, life, Happening::Outcome(host, outcome));
+        self.schedule_at(due, incarnation, FleetEvent::Outcome(host, outcome));
     }
 
     /// The hosts that run.
@@ -413,7 +412,7 @@
             .all(|(_, host)| host.serves() && host.preset() == preset)
     }
 
-    /// Holds that every running host serves under `preset`.
+    /// Checks that every running host serves under `preset`.
     pub fn expect_everywhere(&self, preset: &str) {
         for (index, host) in self.running() {
             assert!(host.serves(), "host {index} does not serve");
@@ -421,7 +420,7 @@
         }
     }
 
-    /// Holds that every running host has the same accepted state.
+    /// Checks that all running hosts have the same accepted state.
     pub fn expect_same_state(&self) {
         let digests = self.running().map(|(_, host)| {
             let engine = host.engine.as_ref().unwrap();
@@ -434,7 +433,7 @@
         );
     }
 
-    /// The hosts that read the platform at present.
+    /// The hosts that currently read the platform.
     pub fn readers(&self) -> Vec<usize> {
         let readers = self.running().filter(|(_, host)| {
             let engine = host.engine.as_ref().unwrap();
--- a/crates/cardamomwinch_coordination/tests/adoption_support/platform.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of a test fleet: revisions count up over all keys.
+//! The platform of a test fleet. All keys share one revision counter.
 
 use std::time;
 
@@ -6,11 +6,11 @@
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_state::prelude::*;
 
-/// A watch that waits.
+/// A watch that waits for a change.
 #[derive(Debug, Clone)]
 pub struct WaitingWatch {
     pub host: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub request: PlatformRequest,
 }
 
@@ -22,18 +22,18 @@
 
 type Values = SortedVector<PlatformKey, HeldValue>;
 
-/// The platform.
+/// A simulated platform.
 #[derive(Debug)]
 pub struct TestPlatform {
     values: Values,
-    /// What it answers with while it is stale.
+    /// The older values that it returns while it is stale.
     stale: Option<Values>,
-    silent: bool,
+    unavailable: bool,
     revision: u64,
     watches: Vec<WaitingWatch>,
-    /// How long an answer takes.
+    /// The delay of an answer.
     pub delay: time::Duration,
-    /// When each call came, and what it asked.
+    /// The calls, with the time of each.
     pub calls: Vec<(Timestamp, PlatformRequest)>,
 }
 
@@ -42,7 +42,7 @@
         Self {
             values: SortedVector::new(),
             stale: None,
-            silent: false,
+            unavailable: false,
             revision: 0,
             watches: Vec::new(),
             delay: time::Duration::from_millis(3),
@@ -58,13 +58,13 @@
         let text = text.to_owned();
         self.values
             .insert(key.clone(), HeldValue { revision, text });
-        if self.silent || self.stale.is_some() {
+        if self.unavailable || self.stale.is_some() {
             return (revision, Vec::new());
         }
-        let woken = self
+        let answered = self
             .watches
             .extract_if(.., |watch| watch.request.key == key);
-        (revision, woken.collect())
+        (revision, answered.collect())
     }
 
     /// Removes a key.
@@ -80,55 +80,55 @@
         teams.collect()
     }
 
-    /// A copy of all values, to go back to.
-    pub fn remember(&self) -> Self {
+    /// A copy of all values, for [`TestPlatform::serve_stale`].
+    pub fn copy_of_values(&self) -> Self {
         Self {
             values: self.values.clone(),
             ..Self::default()
         }
     }
 
-    /// Lets the watches of the hosts for which `rule` holds hang.
+    /// Leaves the watches of the hosts that match `rule` unanswered.
     pub fn drop_watches(&mut self, rule: fn(usize) -> bool) {
         self.watches.retain(|watch| !rule(watch.host));
     }
 
-    /// Answers with what was remembered from now on; all watches are lost.
-    pub fn go_back(&mut self, to: &Self) {
+    /// Returns the values of `to` from now on. All watches are lost.
+    pub fn serve_stale(&mut self, to: &Self) {
         self.stale = Some(to.values.clone());
         self.watches.clear();
     }
 
-    /// Answers with the truth again.
-    pub fn come_forward(&mut self) {
+    /// Returns the current values again.
+    pub fn serve_current(&mut self) {
         self.stale = None;
     }
 
-    /// Answers nothing any more, or again.
-    pub fn set_silent(&mut self, silent: bool) {
-        self.silent = silent;
+    /// Stops answering calls, or answers them again.
+    pub fn set_unavailable(&mut self, unavailable: bool) {
+        self.unavailable = unavailable;
         self.watches.clear();
     }
 
-    pub fn is_silent(&self) -> bool {
-        self.silent
+    pub fn is_unavailable(&self) -> bool {
+        self.unavailable
     }
 
-    fn shown(&self) -> &Values {
+    fn visible_values(&self) -> &Values {
         self.stale.as_ref().unwrap_or(&self.values)
     }
 
-    pub fn note_call(&mut self, now: Timestamp, request: &PlatformRequest) {
+    pub fn record_call(&mut self, now: Timestamp, request: &PlatformRequest) {
         self.calls.push((now, request.clone()));
     }
 
     /// Whether `request` is a watch that has to wait.
     pub fn would_wait(&self, request: &PlatformRequest) -> bool {
         let held = self
-            .shown()
+            .visible_values()
             .get(&request.key)
             .map_or(0, |held| held.revision);
-        // While it is stale it answers watches at once, with what is old.
+        // While stale, it answers watches at once with old values.
         self.stale.is_none() && request.after.is_some_and(|after| held <= after)
     }
 
@@ -137,7 +137,7 @@
     }
 
     pub fn value(&self, key: &PlatformKey) -> PlatformAnswer {
-        match self.shown().get(key) {
+        match self.visible_values().get(key) {
             None => PlatformAnswer::Missing,
             Some(held) => PlatformAnswer::Value {
                 revision: held.revision,
--- a/crates/cardamomwinch_coordination/tests/homes_common/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_common/mod.rs
@@ -1,5 +1,5 @@
-//! Several hosts side by side with a small message exchange between them that
-//! loses, doubles, delays and cuts, all by one seed.
+//! Several hosts in one process, with a simulated network between them that
+//! loses, duplicates, delays and cuts off messages. One seed determines all of it.
 #![allow(dead_code, unreachable_pub, clippy::unwrap_used, missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,14 +12,14 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// When every simulation begins, in microseconds.
+/// The time at which every simulation begins, in microseconds.
 pub const BEGIN: u64 = 1_000_000_000;
-/// Hosts' clocks differ from the exchange's by at most half of the skew.
-const SKEW_MICROS: i64 = 100_000;
+/// The clocks of hosts differ from that of the network by at most half of this.
+const MAX_SKEW_MICROS: i64 = 100_000;
 /// UDP and IP headers, counted with each message.
 pub const HEADER_BYTES: usize = 28;
 
-/// What happens to messages on their way.
+/// Faults of the network.
 #[derive(Clone, Copy)]
 pub struct Faults {
     pub loss: f64,
@@ -36,15 +36,15 @@
     };
 }
 
-/// A host as the published list names it.
+/// A host in a published list.
 #[derive(Clone)]
-pub struct Listed {
+pub struct ListedHost {
     pub name: String,
     pub domain: String,
     pub leaving: bool,
 }
 
-/// One host of the exchange.
+/// One simulated host.
 pub struct Host {
     pub name: String,
     pub id: HostId,
@@ -62,32 +62,32 @@
     Relay { bytes: Vec<u8> },
 }
 
-/// Something that left the hosts.
-pub enum Outside {
+/// A datagram from a host to a backend server or a caller.
+pub enum OutgoingDatagram {
     ToBackend { host: usize, bytes: Vec<u8> },
     ToCaller { host: usize, bytes: Vec<u8> },
 }
 
-pub struct Exchange {
+pub struct SimulatedNetwork {
     pub now: u64,
     pub rng: SmallRng,
     pub hosts: Vec<Host>,
     pub faults: Faults,
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Like `cuts`, for control messages alone.
+    /// Like `cuts`, but only for control messages.
     pub peer_cuts: BTreeSet<(usize, usize)>,
     pub root: String,
     pub fragment: String,
     /// Published lists, from version one.
-    pub lists: Vec<Vec<Listed>>,
-    pub outside: Vec<Outside>,
+    pub lists: Vec<Vec<ListedHost>>,
+    pub outgoing: Vec<OutgoingDatagram>,
     pub keys: AuthenticationKeys,
     pub tick: u64,
-    /// Whether traffic engines get ticks.
+    /// Whether traffic engines receive ticks.
     pub traffic: bool,
-    /// Whether bytes are counted.
+    /// Whether the bytes of control messages are counted.
     pub counting: bool,
-    wire: BTreeMap<(u64, u64), (usize, Packet)>,
+    in_flight: BTreeMap<(u64, u64), (usize, Packet)>,
     sequence: u64,
 }
 
@@ -95,7 +95,7 @@
     format!("127.0.0.1:{}", 10_000 + host * 10 + role)
 }
 
-impl Exchange {
+impl SimulatedNetwork {
     pub fn new(seed: u64, hosts: &[(&str, &str)], shards: u16) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let hosts: Vec<Host> = hosts
@@ -104,7 +104,7 @@
                 name: (*name).to_owned(),
                 id: HostId::from_name(name),
                 domain: (*domain).to_owned(),
-                offset: rng.random_range(-SKEW_MICROS / 2..=SKEW_MICROS / 2),
+                offset: rng.random_range(-MAX_SKEW_MICROS / 2..=MAX_SKEW_MICROS / 2),
                 engine: None,
                 paused_until: 0,
                 next_tick: 0,
@@ -124,19 +124,19 @@
             ),
             fragment: r#"{"team": "t", "services": {}, "presets": {}}"#.to_owned(),
             lists: Vec::new(),
-            outside: Vec::new(),
+            outgoing: Vec::new(),
             keys: AuthenticationKeys::new(SecretKey::new([7; 32]), None),
             tick: 100_000,
             traffic: false,
             counting: false,
-            wire: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
         }
     }
 
-    /// Publishes a list of these hosts; returns its version.
+    /// Publishes a list of these hosts and returns its version.
     pub fn publish(&mut self, listed: &[usize], leaving: &[usize]) -> u64 {
-        let list = listed.iter().map(|index| Listed {
+        let list = listed.iter().map(|index| ListedHost {
             name: self.hosts[*index].name.clone(),
             domain: self.hosts[*index].domain.clone(),
             leaving: leaving.contains(index),
@@ -175,12 +175,13 @@
         DomainId::from_name(&self.hosts[host].domain)
     }
 
-    /// The clock of a host.
+    /// The time by the clock of `host`.
     pub fn local(&self, host: usize) -> Timestamp {
         Timestamp::new(self.now.saturating_add_signed(self.hosts[host].offset))
     }
 
-    /// Starts a host anew; it adopts the configuration and list `version`.
+    /// Starts a new incarnation of a host, which adopts the configuration and the
+    /// list `version`.
     pub fn start(&mut self, host: usize, version: u64) {
         let identity = HostIdentity {
             host: self.id(host),
@@ -200,9 +201,9 @@
         self.hosts[host].drained = false;
         self.hosts[host].next_tick = self.now + self.rng.random_range(0..self.tick);
         self.control(host, ControlEvent::Start);
-        self.learn_list(host, version);
-        self.learn(host, PlatformKey::Root, 1, self.root.clone());
-        self.learn(
+        self.deliver_list(host, version);
+        self.deliver_document(host, PlatformKey::Root, 1, self.root.clone());
+        self.deliver_document(
             host,
             PlatformKey::Team("t".to_owned()),
             1,
@@ -218,12 +219,12 @@
         self.hosts[host].engine.is_some()
     }
 
-    pub fn learn_list(&mut self, host: usize, version: u64) {
+    pub fn deliver_list(&mut self, host: usize, version: u64) {
         let text = self.list_text(version);
-        self.learn(host, PlatformKey::Hosts, version, text);
+        self.deliver_document(host, PlatformKey::Hosts, version, text);
     }
 
-    pub fn learn(&mut self, host: usize, key: PlatformKey, revision: u64, text: String) {
+    pub fn deliver_document(&mut self, host: usize, key: PlatformKey, revision: u64, text: String) {
         let request = PlatformRequest {
             key,
             after: None,
@@ -258,7 +259,7 @@
         let encoded = |value: &dyn Fn(&mut [u8]) -> Vec<u8>| value(&mut [0; 8192]);
         match effect {
             HostEffect::Control(ControlEffect::ToPeer { host, envelope, .. }) => {
-                self.count(from, &envelope);
+                self.count_bytes(from, &envelope);
                 let to = self.index(host);
                 if self.peer_cuts.contains(&(from, to)) {
                     return;
@@ -278,17 +279,19 @@
             }
             HostEffect::Traffic(TrafficEffect::ToBackend { datagram, .. }) => {
                 let bytes = encoded(&|buffer| codec::encode(&datagram, buffer).unwrap().to_vec());
-                self.outside.push(Outside::ToBackend { host: from, bytes });
+                self.outgoing
+                    .push(OutgoingDatagram::ToBackend { host: from, bytes });
             }
             HostEffect::Traffic(TrafficEffect::ToCaller(reply)) => {
                 let bytes = encoded(&|buffer| codec::encode(&reply, buffer).unwrap().to_vec());
-                self.outside.push(Outside::ToCaller { host: from, bytes });
+                self.outgoing
+                    .push(OutgoingDatagram::ToCaller { host: from, bytes });
             }
             _ => {}
         }
     }
 
-    fn count(&mut self, from: usize, envelope: &PeerEnvelope) {
+    fn count_bytes(&mut self, from: usize, envelope: &PeerEnvelope) {
         if !self.counting {
             return;
         }
@@ -314,7 +317,7 @@
         for _ in 0..copies {
             let due = self.now + self.rng.random_range(0..=self.faults.delay);
             self.sequence += 1;
-            self.wire.insert((due, self.sequence), (to, packet()));
+            self.in_flight.insert((due, self.sequence), (to, packet()));
         }
     }
 
@@ -323,11 +326,11 @@
         self.cuts.insert((other, one));
     }
 
-    /// Lets time pass up to `self.now + micros`, event by event.
-    pub fn pass(&mut self, micros: u64) {
+    /// Advances the time to `self.now + micros`, event by event.
+    pub fn advance(&mut self, micros: u64) {
         let end = self.now + micros;
         loop {
-            let packet = self.wire.first_key_value().map(|(key, _)| key.0);
+            let packet = self.in_flight.first_key_value().map(|(key, _)| key.0);
             let ticks = self.hosts.iter().filter(|host| host.engine.is_some());
             let tick = ticks
                 .map(|host| host.next_tick.max(host.paused_until))
@@ -344,7 +347,7 @@
     }
 
     fn deliver_due(&mut self) {
-        while let Some(entry) = self.wire.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
@@ -352,8 +355,9 @@
             let (to, packet) = entry.remove();
             let paused_until = self.hosts[to].paused_until;
             if self.now < paused_until {
-                // It waits in the socket of the paused process.
-                self.wire.insert((paused_until, sequence), (to, packet));
+                // The message waits in the socket of the paused process.
+                self.in_flight
+                    .insert((paused_until, sequence), (to, packet));
                 continue;
             }
             match packet {
@@ -386,7 +390,7 @@
     }
 
     /// The hosts that hold an unexpired lease on `shard` by their own clocks,
-    /// paused ones included.
+    /// including paused hosts.
     pub fn holders(&self, shard: ShardId) -> Vec<usize> {
         let hosts = (0..self.hosts.len()).filter(|index| {
             let engine = self.hosts[*index].engine.as_ref();
