--- a/crates/cardamomwinch_coordination/src/control/home_dispatch.rs
+++ b/crates/cardamomwinch_coordination/src/control/home_dispatch.rs
@@ -30,7 +30,9 @@
 }
 
 impl ControlEngine {
-    pub(crate) fn note_home_event(&mut self, now: Timestamp) {
+    /// To be called before each event is handled, so that the home table detects
+    /// a pause of the process and changes of the host list.
+    pub(crate) fn prepare_homes(&mut self, now: Timestamp) {
         let (homes, context) = homes_and_context!(self);
         homes.note_event(now, &context);
     }
--- a/crates/cardamomwinch_coordination/src/control/membership/exchange.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/exchange.rs
@@ -25,7 +25,7 @@
 /// The minimum number of hosts in a block.
 const MIN_BLOCK_LENGTH: usize = 4;
 /// The maximum number of claims in an answer, so that it fits into a datagram.
-pub(super) const DIFFERENCE_LIMIT: usize = 60;
+pub(super) const MAX_DIFFERENCE_CLAIMS: usize = 60;
 
 /// When the next exchange is due, and with which host.
 #[derive(Debug, Default)]
@@ -38,13 +38,18 @@
 
 impl ExchangeSchedule {
     /// Returns whether an exchange is due, and schedules the next one if so.
-    /// `missing` is whether some listed hosts are still unknown.
-    pub(super) fn due(&mut self, now: Timestamp, missing: bool, jitter: &mut JitterSource) -> bool {
+    /// `hosts_missing` is whether some listed hosts are still unknown.
+    pub(super) fn due(
+        &mut self,
+        now: Timestamp,
+        hosts_missing: bool,
+        jitter: &mut JitterSource,
+    ) -> bool {
         let started = *self.started.get_or_insert(now);
         if now < self.next {
             return false;
         }
-        let catching_up = missing && now.since(started) < CATCH_UP_DURATION;
+        let catching_up = hosts_missing && now.since(started) < CATCH_UP_DURATION;
         let fast = self.fast_exchanges_left > 0;
         self.fast_exchanges_left = self.fast_exchanges_left.saturating_sub(1);
         let interval = if catching_up || fast {
--- a/crates/cardamomwinch_coordination/src/control/membership/links.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/links.rs
@@ -26,7 +26,7 @@
     /// ended.
     last_received: Timestamp,
     /// When the current round began; absent if none is in progress.
-    probed: Option<Timestamp>,
+    round_started: Option<Timestamp>,
     rounds: u32,
     /// The position of the host to probe next.
     next_host: usize,
@@ -71,7 +71,7 @@
         };
         link.last_received = now;
         link.ever_received = true;
-        link.probed = None;
+        link.round_started = None;
         link.rounds = 0;
         std::mem::take(&mut link.cut)
     }
@@ -81,7 +81,7 @@
     pub(super) fn reset_probes(&mut self, now: Timestamp) {
         for (_, link) in self.links.iter_mut() {
             link.last_received = now;
-            link.probed = None;
+            link.round_started = None;
             link.rounds = 0;
         }
     }
@@ -124,7 +124,7 @@
         jitter: &mut JitterSource,
     ) {
         let idle = self.links.iter_mut().filter(|(_, link)| {
-            link.probed.is_none() && now.since(link.last_received) >= LINK_SILENCE
+            link.round_started.is_none() && now.since(link.last_received) >= LINK_SILENCE
         });
         let Some((domain, link)) = idle.min_by_key(|(_, link)| link.last_received) else {
             return;
@@ -163,8 +163,8 @@
 
 impl DomainLink {
     fn is_probe_overdue(&self, now: Timestamp) -> bool {
-        let probed = self.probed;
-        probed.is_some_and(|probed| now.since(probed) >= STEP_TIMEOUT)
+        let started = self.round_started;
+        started.is_some_and(|started| now.since(started) >= STEP_TIMEOUT)
     }
 
     fn step(
@@ -179,21 +179,21 @@
         if searching && self.rounds < CUT_ROUNDS {
             return self.probe(now, domain, actions);
         }
-        // Only the domain is marked. If each of its hosts were claimed dead, all
-        // these claims and the refutations after the cut would cause a storm of
+        // Only the domain is marked as cut off. If each of its hosts were claimed dead, all
+        // these claims and the refutations after the cut would cause a burst of
         // messages.
         if searching && connected() {
             self.cut = true;
             actions.cut.push(domain);
         }
         // The next probe waits until this link is due again.
-        self.probed = None;
+        self.round_started = None;
         self.rounds = 0;
         self.last_received = now.before(LINK_SILENCE);
     }
 
     fn probe(&mut self, now: Timestamp, domain: DomainId, actions: &mut LinkActions) {
-        self.probed = Some(now);
+        self.round_started = Some(now);
         let count = if self.rounds < SINGLE_ROUNDS { 1 } else { 2 };
         actions.pings.push(LinkPings { domain, count });
     }
--- a/crates/cardamomwinch_coordination/src/control/membership/list_history.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/list_history.rs
@@ -6,7 +6,7 @@
 use cardamomwinch_state::prelude::{HostId, HostListVersion, HostTable, SortedVector};
 
 /// The number of versions that are kept.
-const LIST_LIMIT: usize = 4;
+const MAX_LISTS: usize = 4;
 
 /// The hosts of the last few versions of the list, ordered by identifier.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     pub(super) fn adopt(&mut self, hosts: &HostTable) {
         let ids = hosts.hosts.keys().copied().collect();
         self.lists.insert(hosts.version, ids);
-        while self.lists.len() > LIST_LIMIT {
+        while self.lists.len() > MAX_LISTS {
             let Some(oldest) = self.lists.keys().next().copied() else {
                 return;
             };
--- a/crates/cardamomwinch_coordination/src/control/membership/members.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/members.rs
@@ -59,7 +59,8 @@
     }
 
     /// Keeps the greater of the known claim and `standing`, and returns whether
-    /// `standing` was new.
+    /// `standing` was new. Claims are compared by incarnation, then by refutation
+    /// count, and of otherwise equal claims the one that says dead is greater.
     ///
     /// A host that resumes after a pause or a delayed rumour can repeat a claim
     /// that was refuted meanwhile. Such a claim has a lower incarnation or
--- a/crates/cardamomwinch_coordination/src/control/membership/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/mod.rs
@@ -53,8 +53,8 @@
 /// no other host reachable.
 pub const ISOLATED_AFTER: time::Duration = time::Duration::from_millis(1200);
 /// A gap between ticks of at least this length means that the process was
-/// paused.
-pub const PAUSE_GAP: time::Duration = time::Duration::from_millis(1000);
+/// paused. The gap in [`crate::bounds`] applies to events of any kind instead.
+pub const TICK_PAUSE_GAP: time::Duration = time::Duration::from_millis(1000);
 
 /// A pong without a digest means that the peer has the digest of the ping. If
 /// the own digest has not changed for this long, the ping carried this digest.
@@ -265,13 +265,13 @@
     /// Detects a pause of the process by a gap between ticks and resets what is
     /// in progress.
     ///
-    /// Without this, all probes would time out during the pause, and this host
-    /// would then claim that its neighbours are dead and spread rumours that were
-    /// refuted long ago. No host is considered reachable until a ping sent after
+    /// Without the reset, the probes would seem to have timed out during the
+    /// pause: this host would claim that its neighbours are dead, and spread
+    /// rumours that were refuted long ago. No host is considered reachable until a ping sent after
     /// the pause is answered, because messages that the socket buffered during
     /// the pause do not show the current state.
     fn detect_pause(&mut self, now: Timestamp) {
-        let paused = |tick: Timestamp| now.since(tick) >= PAUSE_GAP;
+        let paused = |tick: Timestamp| now.since(tick) >= TICK_PAUSE_GAP;
         if !self.last_tick.is_some_and(paused) {
             return;
         }
--- a/crates/cardamomwinch_coordination/src/control/membership/peers.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/peers.rs
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Removes hosts that are not in `hosts` and sent nothing recently. The
-    /// others are kept, so that old messages of a host that is listed again are
-    /// still recognised as replayed.
+    /// Removes hosts that are not in `hosts` and sent nothing recently. Unlisted
+    /// hosts are kept for a while, so that old messages of a host that is listed
+    /// again are still recognised as replayed.
     pub(super) fn retain_listed(&mut self, now: Timestamp, hosts: &HostTable) {
         self.peers.retain(|host, state| {
             hosts.get(*host).is_some() || now.since(state.last_received) < PEER_RETENTION
--- a/crates/cardamomwinch_coordination/src/control/membership/receiving.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/receiving.rs
@@ -8,8 +8,8 @@
 use cardamomwinch_protocol::prelude::PeerEnvelope;
 use cardamomwinch_state::prelude::{HostId, HostListVersion, RefutationCount, Timestamp};
 
-use crate::control::membership::exchange::{self, DIFFERENCE_LIMIT};
-use crate::control::membership::rumours::PIGGYBACK_LIMIT;
+use crate::control::membership::exchange::{self, MAX_DIFFERENCE_CLAIMS};
+use crate::control::membership::rumours::MAX_ATTACHED_RUMOURS;
 use crate::control::membership::{
     MembershipContext, MembershipOutput, MembershipSend, PeerMembership,
 };
@@ -18,7 +18,7 @@
 /// of another.
 const RELAYED_PING_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// The maximum number of pings on behalf of others at the same time.
-const RELAYED_PING_LIMIT: usize = 64;
+const MAX_RELAYED_PINGS: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
 struct RelayedPing {
@@ -43,7 +43,7 @@
         self.pings.retain(|ping| {
             ping.until > now && (ping.requester, ping.target) != (requester, target)
         });
-        if self.pings.len() < RELAYED_PING_LIMIT {
+        if self.pings.len() < MAX_RELAYED_PINGS {
             let until = now.after(RELAYED_PING_TIMEOUT);
             self.pings.push(RelayedPing {
                 requester,
@@ -81,8 +81,8 @@
         // claim that it is dead, which the answer to its ping contains.
         let trusted = !self.members.is_dead(sender);
         if trusted && let Some(batch) = &message.header.rumours {
-            let repair = message.content == MembershipContent::Difference;
-            self.apply_rumours(context, batch, repair);
+            let from_exchange = message.content == MembershipContent::Difference;
+            self.apply_rumours(context, batch, from_exchange);
         } else if let Some(batch) = &message.header.rumours {
             self.apply_rumours_about_self(context, batch);
         }
@@ -90,7 +90,7 @@
         if trusted {
             self.report_relayed_pings(context, envelope, message.header.refutation, output);
         }
-        self.push_news(context, output);
+        self.push_rumours(context, output);
         output.events.append(&mut self.events);
     }
 
@@ -105,7 +105,7 @@
         let sender = envelope.sender;
         match &message.content {
             MembershipContent::Ping => {
-                let mut header = self.header(context, sender, PIGGYBACK_LIMIT);
+                let mut header = self.header(context, sender, MAX_ATTACHED_RUMOURS);
                 if message.digest() != Some(context.digest) {
                     header.digest = Some(context.digest);
                 }
@@ -159,7 +159,7 @@
         &mut self,
         context: &MembershipContext<'_>,
         batch: &RumourBatch,
-        repair: bool,
+        from_exchange: bool,
     ) {
         for rumour in &batch.rumours {
             let Some(host) = self.list_history.host(batch.list, rumour.position) else {
@@ -169,7 +169,7 @@
                 self.refute(context, rumour.standing);
             } else if context.hosts.get(host).is_some() {
                 // A claim from an exchange has already spread as a rumour.
-                if self.merge_claim(host, rumour.standing) && repair {
+                if self.merge_claim(host, rumour.standing) && from_exchange {
                     self.rumours.withdraw(host);
                 }
             }
@@ -218,7 +218,7 @@
         if claims.is_empty() {
             return;
         }
-        let rumours = self.jitter.sample(&claims, DIFFERENCE_LIMIT);
+        let rumours = self.jitter.sample(&claims, MAX_DIFFERENCE_CLAIMS);
         let mut header = self.header(context, sender, 0);
         header.rumours = Some(RumourBatch { list, rumours });
         let content = MembershipContent::Difference;
@@ -300,7 +300,7 @@
         content: MembershipContent,
         output: &mut MembershipOutput,
     ) {
-        let mut header = self.header(context, host, PIGGYBACK_LIMIT);
+        let mut header = self.header(context, host, MAX_ATTACHED_RUMOURS);
         if content == MembershipContent::Ping {
             header.digest = Some(context.digest);
         }
--- a/crates/cardamomwinch_coordination/src/control/membership/ring.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/ring.rs
@@ -112,7 +112,7 @@
     pub(super) fn start(&mut self, now: Timestamp, host: HostId, last_received: Timestamp) -> bool {
         if self.probes.contains_key(&host)
             || self.is_deferred(now, host)
-            || now.since(last_received) < silence_limit(host, last_received)
+            || now.since(last_received) < silence_timeout(host, last_received)
         {
             return false;
         }
@@ -169,7 +169,7 @@
 /// The limit varies with every message. With a fixed one, two neighbours could
 /// synchronise: both would always ping at the same moment and both answer,
 /// which doubles the number of messages.
-fn silence_limit(host: HostId, last_received: Timestamp) -> time::Duration {
+fn silence_timeout(host: HostId, last_received: Timestamp) -> time::Duration {
     let spread = RING_SPREAD.as_micros() as u64;
     let offset = flow::mix(host.get() ^ last_received.get()) % spread;
     RING_INTERVAL - RING_SPREAD / 2 + time::Duration::from_micros(offset)
--- a/crates/cardamomwinch_coordination/src/control/membership/rumours.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/rumours.rs
@@ -8,21 +8,21 @@
 /// How often a rumour is sent in addition to the logarithm of the fleet size.
 const EXTRA_REPEATS: u32 = 2;
 /// The maximum number of queued rumours. The exchange repairs what is dropped.
-const QUEUE_LIMIT: usize = 64;
+const MAX_QUEUED_RUMOURS: usize = 64;
 /// The maximum number of rumours that are attached to a probe.
-pub(super) const PIGGYBACK_LIMIT: usize = 8;
+pub(super) const MAX_ATTACHED_RUMOURS: usize = 8;
 /// The maximum number of rumours in a message that carries only rumours.
-pub(super) const PUSH_LIMIT: usize = 24;
+pub(super) const MAX_PUSHED_RUMOURS: usize = 24;
 /// The minimum interval between pushes.
 const PUSH_INTERVAL: time::Duration = time::Duration::from_millis(50);
 /// The encoded size of a rumour in bytes.
-const RUMOUR_COST: ByteCount = ByteCount::new(13);
+const RUMOUR_BYTES: ByteCount = ByteCount::new(13);
 /// The size in bytes of a message that carries only rumours, without them.
-const PUSH_COST: ByteCount = ByteCount::new(90);
+const PUSH_BYTES: ByteCount = ByteCount::new(90);
 /// The refill rate of the rumour budget in bytes per second.
 const BUDGET_BYTES_PER_SECOND: u64 = 150;
 /// The maximum burst of rumours in bytes.
-const BUDGET_LIMIT: ByteCount = ByteCount::new(1200);
+const MAX_BURST_BYTES: ByteCount = ByteCount::new(1200);
 
 #[derive(Debug, Clone, Copy)]
 struct QueuedRumour {
@@ -47,7 +47,7 @@
         if earned > 0 {
             self.refilled = now;
             let left = self.left.saturating_add(ByteCount::new(earned));
-            self.left = left.min(BUDGET_LIMIT);
+            self.left = left.min(MAX_BURST_BYTES);
         }
     }
 
@@ -76,7 +76,7 @@
             queued: Vec::new(),
             max_times_sent: EXTRA_REPEATS,
             budget: ByteBudget {
-                left: BUDGET_LIMIT,
+                left: MAX_BURST_BYTES,
                 refilled: Timestamp::ZERO,
             },
             has_unpushed: false,
@@ -100,7 +100,7 @@
             times_sent: 0,
         });
         self.has_unpushed = true;
-        if self.queued.len() > QUEUE_LIMIT {
+        if self.queued.len() > MAX_QUEUED_RUMOURS {
             self.drop_most_sent();
         }
     }
@@ -130,7 +130,7 @@
             return false;
         }
         self.budget.refill(now);
-        let cost = ByteCount::new(PUSH_COST.get() * messages as u64);
+        let cost = ByteCount::new(PUSH_BYTES.get() * messages as u64);
         if !self.budget.spend(cost) {
             return false;
         }
@@ -148,7 +148,7 @@
         self.queued.sort_by_key(|rumour| rumour.times_sent);
         let mut taken = Vec::new();
         for rumour in self.queued.iter_mut().take(limit) {
-            if !self.budget.spend(RUMOUR_COST) {
+            if !self.budget.spend(RUMOUR_BYTES) {
                 break;
             }
             rumour.times_sent += 1;
--- a/crates/cardamomwinch_coordination/src/control/membership/ticking.rs
+++ b/crates/cardamomwinch_coordination/src/control/membership/ticking.rs
@@ -6,7 +6,7 @@
 use cardamomwinch_state::prelude::{DomainId, HostId};
 
 use crate::control::membership::ring::{ProbeAction, ProbeEvidence, RETRY_INTERVAL};
-use crate::control::membership::rumours::PUSH_LIMIT;
+use crate::control::membership::rumours::MAX_PUSHED_RUMOURS;
 use crate::control::membership::{
     ISOLATED_AFTER, MembershipContext, MembershipEvent, MembershipOutput, MembershipSend,
     PeerMembership,
@@ -31,7 +31,7 @@
         self.probe_links(context, output);
         self.probe_lost_host(context, output);
         self.start_exchange(context, output);
-        self.push_news(context, output);
+        self.push_rumours(context, output);
         output.events.append(&mut self.events);
     }
 
@@ -114,13 +114,13 @@
         output: &mut MembershipOutput,
     ) {
         self.send(context, target, MembershipContent::Ping, output);
-        let mut near = self.alive_in_domain();
-        near.retain(|host| *host != target);
-        let far = self.alive_in_other_domains();
+        let mut own_domain = self.alive_in_domain();
+        own_domain.retain(|host| *host != target);
+        let other_domains = self.alive_in_other_domains();
         // One helper of the own domain; the rest come from other domains.
-        let mut helpers = self.jitter.sample(&near, 1);
+        let mut helpers = self.jitter.sample(&own_domain, 1);
         let missing = HELPER_COUNT - helpers.len();
-        helpers.extend(self.jitter.sample(&far, missing));
+        helpers.extend(self.jitter.sample(&other_domains, missing));
         for helper in helpers {
             let content = MembershipContent::IndirectPing { target };
             self.send(context, helper, content, output);
@@ -192,8 +192,11 @@
     }
 
     fn start_exchange(&mut self, context: &MembershipContext<'_>, output: &mut MembershipOutput) {
-        let missing = self.members.len() + 1 < context.hosts.hosts.len();
-        if !self.exchange.due(context.now, missing, &mut self.jitter) {
+        let hosts_missing = self.members.len() + 1 < context.hosts.hosts.len();
+        if !self
+            .exchange
+            .due(context.now, hosts_missing, &mut self.jitter)
+        {
             return;
         }
         let Some(host) = self.choose_exchange_partner() else {
@@ -214,20 +217,21 @@
         if let Some(host) = self.exchange.take_preferred() {
             return Some(host);
         }
-        let near = self.alive_in_domain();
-        let far = self.alive_in_other_domains();
-        let prefer_far = near.is_empty() || self.jitter.below(OTHER_DOMAIN_EXCHANGE_PERIOD) == 0;
-        let candidates = if prefer_far && !far.is_empty() {
-            far
+        let own_domain = self.alive_in_domain();
+        let other_domains = self.alive_in_other_domains();
+        let prefer_other =
+            own_domain.is_empty() || self.jitter.below(OTHER_DOMAIN_EXCHANGE_PERIOD) == 0;
+        let candidates = if prefer_other && !other_domains.is_empty() {
+            other_domains
         } else {
-            near
+            own_domain
         };
         self.jitter.sample(&candidates, 1).first().copied()
     }
 
     /// Sends new rumours to a few hosts immediately instead of waiting for the
     /// next probe.
-    pub(super) fn push_news(
+    pub(super) fn push_rumours(
         &mut self,
         context: &MembershipContext<'_>,
         output: &mut MembershipOutput,
@@ -236,12 +240,12 @@
         if !self.rumours.begin_push(context.now, messages) {
             return;
         }
-        let near = self.alive_in_domain();
-        let far = self.alive_in_other_domains();
-        let mut targets = self.jitter.sample(&near, DOMAIN_PUSHES);
-        targets.extend(self.jitter.sample(&far, OTHER_DOMAIN_PUSHES));
+        let own_domain = self.alive_in_domain();
+        let other_domains = self.alive_in_other_domains();
+        let mut targets = self.jitter.sample(&own_domain, DOMAIN_PUSHES);
+        targets.extend(self.jitter.sample(&other_domains, OTHER_DOMAIN_PUSHES));
         for host in targets {
-            let header = self.header(context, host, PUSH_LIMIT);
+            let header = self.header(context, host, MAX_PUSHED_RUMOURS);
             let content = MembershipContent::Rumours;
             let message = MembershipMessage { header, content };
             output.sends.push(MembershipSend { host, message });
--- a/crates/cardamomwinch_coordination/src/control/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/mod.rs
@@ -37,8 +37,8 @@
 use crate::snapshot::ServingPhase;
 
 /// A host that has received nothing from peers or the platform for this long no
-/// longer acts on its state until it is confirmed. Peers send several times a
-/// second, so packet loss alone does not cause such a gap.
+/// longer acts on its accepted state until that state is confirmed again. Peers
+/// send several times a second, so packet loss alone does not cause such a gap.
 const CONTACT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// The control decisions of one host.
@@ -137,7 +137,7 @@
 
     /// Handles `event` at `now` and emits the effects into `sink`.
     pub fn handle<S: ControlSink>(&mut self, now: Timestamp, event: ControlEvent, sink: &mut S) {
-        self.note_home_event(now);
+        self.prepare_homes(now);
         self.detect_pause(now, sink);
         match event {
             ControlEvent::Start => {
@@ -200,10 +200,10 @@
     fn probe_loads<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         let configuration = self.publisher.configuration();
         self.health.follow(now, configuration, self.homes.shards());
-        for question in self.health.due_questions(now, configuration) {
+        for probe in self.health.due_questions(now, configuration) {
             sink.emit(ControlEffect::AskLoad {
-                backend: question.backend,
-                address: question.address,
+                backend: probe.backend,
+                address: probe.address,
             });
         }
     }
@@ -302,8 +302,8 @@
         }
     }
 
-    /// How long the accepted state may be relied on without contact to peers or
-    /// the platform.
+    /// The time until which the accepted state may be relied on without further
+    /// contact to peers or the platform.
     ///
     /// A host that is cut off from all of them would otherwise continue to send
     /// packets to server addresses that have been assigned to another service
--- a/crates/cardamomwinch_coordination/src/control/peer_messages.rs
+++ b/crates/cardamomwinch_coordination/src/control/peer_messages.rs
@@ -57,6 +57,8 @@
             if let PeerMessage::Configuration(message) = &envelope.message {
                 // A host that is starting or has an old list also accepts
                 // configuration from hosts that its own list does not contain.
+                // This is safe because merging never replaces newer state by
+                // older.
                 return self.handle_configuration_message(now, envelope.sender, message, sink);
             }
             return sink.emit(ControlEffect::Count(Counter::PeerUnlisted));
--- a/crates/cardamomwinch_coordination/src/control/publication.rs
+++ b/crates/cardamomwinch_coordination/src/control/publication.rs
@@ -40,8 +40,8 @@
     }
 
     /// Puts a configuration in force. Servers that it no longer contains are
-    /// retained as long as a kept generation contains them, so that their open
-    /// flows continue. Flows with a token do not depend on this, since the token
+    /// retained until no kept generation contains them, so that their open flows
+    /// continue. Flows with a token do not depend on this, because the token
     /// contains the server.
     pub(crate) fn adopt(
         &mut self,
@@ -158,7 +158,12 @@
     let reachable = peers
         .filter(|host| host.id != identity.host)
         .filter(|host| membership.is_reachable(now, host.id));
-    let (near, far): (Vec<_>, Vec<_>) = reachable.partition(|host| host.domain == identity.domain);
-    let chosen = if near.is_empty() { far } else { near };
+    let (own_domain, other_domains): (Vec<_>, Vec<_>) =
+        reachable.partition(|host| host.domain == identity.domain);
+    let chosen = if own_domain.is_empty() {
+        other_domains
+    } else {
+        own_domain
+    };
     chosen.into_iter().map(|host| host.id).collect()
 }
--- a/crates/cardamomwinch_coordination/src/decision.rs
+++ b/crates/cardamomwinch_coordination/src/decision.rs
@@ -52,8 +52,7 @@
     Refused,
     /// Answered with "outcome unknown".
     OutcomeUnknown,
-    /// The home no longer expects an answer in time to a request that it sent, for
-    /// this reason.
+    /// The home gave up a request that it sent, for this reason.
     GivenUp(GivingUpCause),
     /// A copy of a request that is already known.
     Duplicate,
--- a/crates/cardamomwinch_coordination/src/lib.rs
+++ b/crates/cardamomwinch_coordination/src/lib.rs
@@ -23,11 +23,11 @@
 //! };
 //! let keys = AuthenticationKeys::new(SecretKey::new([7; 32]), None);
 //! let mut engine = HostBuilder::new(identity, keys).build();
-//! let mut asked_platform = false;
+//! let mut called_platform = false;
 //! engine.handle(Timestamp::new(1), HostEvent::Control(ControlEvent::Start), &mut |effect: HostEffect<'_>| {
-//!     asked_platform |= matches!(effect, HostEffect::Control(ControlEffect::Platform(_)));
+//!     called_platform |= matches!(effect, HostEffect::Control(ControlEffect::Platform(_)));
 //! });
-//! assert!(asked_platform, "a cold host asks the platform first");
+//! assert!(called_platform, "a starting host calls the platform first");
 //! ```
 
 pub mod bounds;
--- a/crates/cardamomwinch_coordination/src/routing/generations.rs
+++ b/crates/cardamomwinch_coordination/src/routing/generations.rs
@@ -171,9 +171,9 @@
         self.generations.insert(position, kept);
     }
 
-    /// Marks generations as settled by which no host places new flows any longer.
-    /// While a domain is `cut_off`, none is marked, since the version in force
-    /// there is unknown.
+    /// Marks a generation as settled once no host places new flows by it any
+    /// longer. While a domain is `cut_off`, none is marked, because the version in
+    /// force there is unknown.
     pub fn settle(&mut self, now: Timestamp, cut_off: bool) {
         for kept in &mut self.generations {
             let end = kept.superseded.map(|end| end.after(ADOPTION_OVERLAP));
--- a/crates/cardamomwinch_coordination/src/routing/placement.rs
+++ b/crates/cardamomwinch_coordination/src/routing/placement.rs
@@ -10,9 +10,9 @@
     pub server: u64,
     /// Whether the lookup table selects this server for the flow.
     pub by_table: bool,
-    /// Running and waiting requests per thousand slots.
+    /// Running and waiting requests per thousand usable slots.
     pub load: u64,
-    /// Open flows per thousand of the weight that the servers share.
+    /// Open flows per thousand units of the server's weight.
     pub flows: u64,
 }
 
@@ -24,7 +24,7 @@
     const NAME: &'static str;
 
     /// Returns the position of the chosen server in `options`, which are ordered
-    /// by identifier. Absent only if `options` is empty.
+    /// by identifier; `None` only if `options` is empty.
     fn choose(&self, hash: FlowHash, options: &[PlacementOption]) -> Option<usize>;
 }
 
--- a/crates/cardamomwinch_coordination/src/snapshot.rs
+++ b/crates/cardamomwinch_coordination/src/snapshot.rs
@@ -26,7 +26,7 @@
 /// The right of this host to act as the home of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HomeLease {
-    /// From this time on, this host dispatches nothing for the shard.
+    /// This host acts as the home until this time, and then dispatches nothing.
     pub held_until: Timestamp,
     /// Requests that were sent before this time may be known only to an earlier
     /// home.
--- a/crates/cardamomwinch_coordination/tests/membership_messages.rs
+++ b/crates/cardamomwinch_coordination/tests/membership_messages.rs
@@ -67,7 +67,7 @@
     RumourBatch { list, rumours }
 }
 
-fn take(
+fn handle(
     membership: &mut PeerMembership,
     now: Timestamp,
     envelope: &PeerEnvelope,
@@ -122,7 +122,7 @@
     let mut accusing = envelope(1, 7, 1);
     let claim = rumour(&hosts, own.host, own.incarnation.get(), true);
     accusing.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
-    let output = take(&mut membership, START, &accusing);
+    let output = handle(&mut membership, START, &accusing);
     let sends = output.sends.iter();
     let mut headers = sends.map(|send| &send.message.header);
     assert!(headers.all(|header| header.refutation == RefutationCount::new(1)));
@@ -149,17 +149,17 @@
     let mut membership = PeerMembership::default();
     let hosts = hosts();
     let (paused, third) = (identity(1).host, identity(2).host);
-    take(&mut membership, START, &envelope(2, 9, 1));
+    handle(&mut membership, START, &envelope(2, 9, 1));
     let mut accusing = envelope(3, 5, 1);
     let claim = rumour(&hosts, paused, 7, true);
     accusing.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
-    take(&mut membership, START, &accusing);
+    handle(&mut membership, START, &accusing);
     assert_eq!(membership.reachability(paused), Reachability::Dead);
 
     let mut late = envelope(1, 7, 900);
     let claim = rumour(&hosts, third, 9, true);
     late.message = PeerMessage::Membership(message(MembershipContent::Ping, Some(claim)));
-    let output = take(&mut membership, START, &late);
+    let output = handle(&mut membership, START, &late);
     assert_eq!(membership.reachability(paused), Reachability::Dead);
     assert_eq!(membership.reachability(third), Reachability::Alive);
     let answer = output
@@ -174,7 +174,7 @@
     if let PeerMessage::Membership(message) = &mut refuted.message {
         message.header.refutation = RefutationCount::new(1);
     }
-    take(&mut membership, START, &refuted);
+    handle(&mut membership, START, &refuted);
     assert_eq!(membership.reachability(paused), Reachability::Alive);
 }
 
--- a/crates/cardamomwinch_coordination/tests/routing_changes.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_changes.rs
@@ -128,9 +128,9 @@
 // After a change, every flow has sent data, so the homes of the newest candidates
 // have been notified of flows that are on another server than their table
 // selects. Then the home of that server crashes and its pins are lost. The next
-// home has no pin and asks the home of the newest candidate, which refers back to
-// it. The datagram was relayed in a circle and dropped, and the caller received
-// no more replies.
+// home has no pin and relays packets to the home of the newest candidate, which
+// relays them back. They were relayed in a circle and dropped, and the caller
+// received no more replies.
 #[parameterized(drain = { drained }, add = { added }, preset = { swapped })]
 fn flow_without_token_survives_the_loss_of_its_home_after_others_were_notified(
     change: fn(Vec<BackendEntry>) -> Vec<BackendEntry>,
