--- a/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
@@ -53,9 +53,9 @@
 pub(crate) enum HomeRoute {
     /// This thread is the home.
     Here,
-    /// Another thread or host is the home and was sent the datagram, or the datagram was
-    /// dropped because the home is changing at this moment.
-    Forwarded,
+    /// The datagram was sent to the thread or host that is the home, or dropped because
+    /// the home is changing at this moment.
+    Handled,
     /// No home is reachable.
     Unreachable,
 }
@@ -163,7 +163,7 @@
         };
         match self.pass_to_home(context, routed, shard, frame) {
             HomeRoute::Here => self.serve_at_home(context, routed, claim),
-            HomeRoute::Forwarded => {}
+            HomeRoute::Handled => {}
             HomeRoute::Unreachable => Self::answer_without_home(context, routed, Some(claim)),
         }
     }
@@ -207,18 +207,18 @@
         if context.snapshot.lease_at(shard, context.now).is_some() {
             if self.frozen.is_frozen(shard, context.now) {
                 context.count(Counter::FrozenDropped);
-                return HomeRoute::Forwarded;
+                return HomeRoute::Handled;
             }
             if self.place.owns(shard) {
                 return HomeRoute::Here;
             }
             context.decide(DecisionReason::RelayedToThread, subject);
             context.pass_to_thread(self.place.owner(shard), frame);
-            return HomeRoute::Forwarded;
+            return HomeRoute::Handled;
         }
         if self.returned_from_next_home(context, routed, shard) {
             context.count(Counter::FrozenDropped);
-            return HomeRoute::Forwarded;
+            return HomeRoute::Handled;
         }
         let home = context.snapshot.shard(shard).home;
         let other = home.filter(|host| *host != self.identity.host);
@@ -234,21 +234,22 @@
             let hosts_differ = context.snapshot.hosts_are_new(context.now);
             if hosts_differ || self.frozen.is_moving(shard, context.now) {
                 context.count(Counter::FrozenDropped);
-                return HomeRoute::Forwarded;
+                return HomeRoute::Handled;
             }
             return HomeRoute::Unreachable;
         };
         subject.peer = Some(host);
         context.decide(DecisionReason::RelayedToHome, subject);
-        HomeRoute::Forwarded
+        HomeRoute::Handled
     }
 
     /// Whether a datagram comes back from the host to which the shard was handed over.
     ///
     /// Prevents a datagram from being relayed back and forth until its hops are used up,
-    /// which takes only milliseconds: until the next home has its lease, it considers this
-    /// host, which has released the shard, the home. The caller's next copy finds the
-    /// lease. A datagram that a third host relayed here is relayed once more.
+    /// which takes only milliseconds: the next home considers this host the home until it
+    /// has the lease, so it relays the datagram back. By the time of the caller's next
+    /// copy it has the lease. A datagram that a third host relayed here is relayed once
+    /// more.
     fn returned_from_next_home<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -286,10 +287,10 @@
     /// not.
     ///
     /// A datagram that comes back is dropped, so that it is not relayed back and forth: a
-    /// home that had no processor time for a moment relays it to a peer, which considers
-    /// this host the home. Its hops would be used up, and its request answered with
-    /// "outcome unknown", within two milliseconds. By the time of the caller's next copy
-    /// this host may act again.
+    /// home that had no processor time for a short time relays it to a peer, which
+    /// considers this host the home. Its hops would be used up, and its request answered
+    /// with "outcome unknown", within two milliseconds. By the time of the caller's next
+    /// copy this host may act again.
     fn relay_to_peer<S: TrafficSink>(
         context: &mut EventContext<'_, S>,
         datagram: &CallerDatagram<'_>,
--- a/crates/cardamomwinch_coordination/src/traffic/context.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/context.rs
@@ -122,8 +122,8 @@
         self.sink.emit(TrafficEffect::ToCaller(reply));
     }
 
-    /// Tells the caller that the request, or the opening, was not run. Only the home of
-    /// the flow may send this, after it has recorded the refusal.
+    /// Replies to the caller that the request, or the opening, was not run. Only the home
+    /// of the flow may send this, after it has recorded the refusal.
     pub(crate) fn refuse(
         &mut self,
         flow: FlowKey,
@@ -146,7 +146,7 @@
         self.reply(flow, kind);
     }
 
-    /// Tells the caller that the outcome of its request is not known.
+    /// Replies to the caller that the outcome of its request is unknown.
     pub(crate) fn outcome_unknown(
         &mut self,
         flow: FlowKey,
--- a/crates/cardamomwinch_coordination/src/traffic/dispatching.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/dispatching.rs
@@ -163,7 +163,7 @@
     }
 }
 
-/// Tells the server that nobody waits for the answer any longer.
+/// Notifies the server that no caller waits for the answer any longer.
 pub(crate) fn cancel<S: TrafficSink>(
     context: &mut EventContext<'_, S>,
     key: &RequestKey,
--- a/crates/cardamomwinch_coordination/src/traffic/effect.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/effect.rs
@@ -19,7 +19,7 @@
     ToCaller(CallerReply<'a>),
     /// Send a datagram to a backend server.
     ToBackend {
-        /// Where the server receives datagrams.
+        /// The address of the server.
         address: net::SocketAddr,
         /// The datagram.
         datagram: BackendDatagram<'a>,
@@ -28,7 +28,7 @@
     Relay {
         /// The host.
         host: HostId,
-        /// Where it receives relayed datagrams.
+        /// Its address for relayed datagrams.
         address: net::SocketAddr,
         /// The datagram.
         envelope: RelayEnvelope<'a>,
--- a/crates/cardamomwinch_coordination/src/traffic/event.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/event.rs
@@ -23,7 +23,8 @@
     ReleaseShard {
         /// The hand-over.
         hand_over: HandOverId,
-        /// When the shard thaws, if this host still holds its lease.
+        /// The shard stays frozen until this time, if this host still holds its lease
+        /// then.
         frozen_until: Timestamp,
     },
     /// The hand-over was aborted: resume serving the shard.
--- a/crates/cardamomwinch_coordination/src/traffic/give_up_rules.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/give_up_rules.rs
@@ -26,11 +26,14 @@
     ///
     /// Without this, a request would keep its slot and its caller would get no reply if
     /// the request, its answer, or the copy of the answer for this home was lost. A long
-    /// request that the server counts must not be considered lost. Only overdue requests
-    /// are given up. None is given up if a datagram may still be under way in either
-    /// direction; if the server has sent answers that have not arrived, which they may do
-    /// until the next report; or while all `slots` are busy, because the server may hold
-    /// the request in a queue of its own, which it does not report.
+    /// request that the server counts must not be considered lost, so only overdue
+    /// requests are given up, and none
+    ///
+    /// - because of a datagram that may still be under way in either direction,
+    /// - if the server has sent answers that have not arrived; they have until the next
+    ///   report,
+    /// - while all `slots` are busy, because the server may hold the request in a queue of
+    ///   its own, which it does not report.
     pub fn apply_report(
         &mut self,
         now: Timestamp,
@@ -80,8 +83,8 @@
     pub fn release_overdue(&mut self, now: Timestamp) {
         let last_reply = self.last_reply;
         for slot in &mut self.running {
-            // A server that has replied to nothing since may be stuck with all requests
-            // that it was sent, and must not get more.
+            // A server that has replied to nothing since the request was sent may be stuck
+            // with all requests that it was sent, and must not get more.
             let over = now >= slot.counted_until;
             if slot.overdue && slot.counted && over && last_reply > slot.sent {
                 slot.counted = false;
--- a/crates/cardamomwinch_coordination/src/traffic/handover.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/handover.rs
@@ -35,7 +35,7 @@
     held_back: HeldReplies,
 }
 
-/// Shards that are being handed over.
+/// Shards that are being handed over. A frozen shard is not served until it thaws.
 #[derive(Debug, Default)]
 pub(crate) struct FrozenShards {
     shards: SortedVector<ShardId, FrozenShard>,
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Packs the state of the shard. If it does not all fit, the chunks tell the next home
-    /// that an earlier home may know any request sent until now.
+    /// Packs the state of the shard. If it does not all fit, the chunks state that an
+    /// earlier home may know any request sent until now.
     fn export<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -138,10 +138,11 @@
     }
 
     /// The pins of flows that move with `shard`: flows on its servers, and flows on other
-    /// servers whose datagrams the lookup table leads to its home. The first list holds
-    /// the pins that the next home needs. Their flows are not on the server that the table
-    /// selects, and either the caller echoes no token, or the flow was opened so recently
-    /// that a copy of the opening may still arrive, which would be placed and run again.
+    /// servers for which the lookup table selects a server of the shard. The first list
+    /// holds the pins that the next home needs. Their flows are not on the server that the
+    /// table selects, and either the caller echoes no token, or the flow was opened so
+    /// recently that a copy of the opening may still arrive, which would be placed and run
+    /// again.
     fn pins_of<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
@@ -242,7 +243,7 @@
             }
             pin.counted = false;
             pin.role = PinRole::Redirect;
-            // The lookup table may still lead its datagrams here.
+            // Its datagrams may still arrive here because of the lookup table.
             let found_by = server_by_table(snapshot, flow).map(|entry| snapshot.shard_of(entry));
             let elsewhere = found_by.filter(|found_by| *found_by != shard);
             pin.shard = elsewhere.unwrap_or(shard);
@@ -261,8 +262,8 @@
         self.thaw(context);
     }
 
-    /// Sends to their home, or applies, the replies held back for shards that are no
-    /// longer frozen.
+    /// Processes the replies that were held back for shards that are no longer frozen:
+    /// relays them to the home, or applies them here.
     pub(crate) fn thaw<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
         let now = context.now;
         self.frozen.awaiting_lease.retain(|_, until| now < *until);
--- a/crates/cardamomwinch_coordination/src/traffic/handover_items.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/handover_items.rs
@@ -123,8 +123,8 @@
             };
             (*backend, state)
         }
-        // Its caller was told that the outcome is unknown, and the next home must not
-        // reply otherwise.
+        // Its caller was sent "outcome unknown", and the next home must not reply
+        // otherwise.
         RequestState::Running(running) if running.given_up => (NO_BACKEND, RecordState::Unknown),
         RequestState::Running(running) => (running.backend, running_state(running)),
         RequestState::Answered { attempt, kept } => {
@@ -172,7 +172,8 @@
 
 /// Converts a record that was handed over with `shard` into one of this host.
 ///
-/// # Errors Returns an error if the parts are inconsistent.
+/// # Errors
+/// Returns an error if the parts are inconsistent.
 pub(crate) fn keyed_record(
     item: RecordItem,
     shard: ShardId,
--- a/crates/cardamomwinch_coordination/src/traffic/held_replies.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/held_replies.rs
@@ -4,8 +4,8 @@
 use cardamomwinch_protocol::prelude::BackendReply;
 
 /// At most this many replies are held back for one shard, or for a starting host; further
-/// replies are dropped. One host handles the answers of twice as many requests while a
-/// home moves.
+/// replies are dropped. While a home moves, one host may receive answers to twice as many
+/// requests.
 const HELD_BACK_LIMIT: usize = 256;
 
 /// Encoded replies in order of arrival, bounded in number.
--- a/crates/cardamomwinch_coordination/src/traffic/mod.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/mod.rs
@@ -85,7 +85,7 @@
     /// Replies that arrived before this host knew any other host.
     pub(crate) early_replies: HeldReplies,
     last_event: Timestamp,
-    woke_at: Option<Timestamp>,
+    resumed_at: Option<Timestamp>,
 }
 
 impl TrafficEngine {
@@ -112,7 +112,7 @@
             frozen: FrozenShards::default(),
             early_replies: HeldReplies::default(),
             last_event: Timestamp::ZERO,
-            woke_at: None,
+            resumed_at: None,
             bounds,
         }
     }
@@ -246,20 +246,20 @@
     fn detect_pause<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
         let gap = context.now.since(self.last_event);
         if self.last_event > Timestamp::ZERO && gap > self.bounds.sleep_gap {
-            self.woke_at = Some(context.now);
+            self.resumed_at = Some(context.now);
             context.count(Counter::WokeLate);
         }
         self.last_event = self.last_event.max(context.now);
         if self
-            .woke_at
-            .is_some_and(|woke_at| context.snapshot.made > woke_at)
+            .resumed_at
+            .is_some_and(|resumed_at| context.snapshot.made > resumed_at)
         {
-            self.woke_at = None;
+            self.resumed_at = None;
         }
     }
 
     /// Whether this thread may make decisions by `snapshot`.
     pub(crate) fn may_act(&self, now: Timestamp, snapshot: &RoutingSnapshot) -> bool {
-        self.woke_at.is_none() && now < snapshot.fresh_until
+        self.resumed_at.is_none() && now < snapshot.fresh_until
     }
 }
--- a/crates/cardamomwinch_coordination/src/traffic/opening.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/opening.rs
@@ -67,7 +67,8 @@
         // The sender started recently and knows no older generation, or this home has an
         // outdated configuration and does not know the newer candidate: the search starts
         // again with the first candidate. A home that itself started recently does not
-        // know the older candidate that it is asked about, and keeps the order.
+        // know the older candidate that it is asked about, and continues the search in the
+        // given order.
         let known = list.contains(search.candidate.backend);
         let out_of_order = search.tried.is_empty() && (known || !snapshot.history_missing);
         let first = list.iter().next().filter(|_| out_of_order);
--- a/crates/cardamomwinch_coordination/src/traffic/packing.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/packing.rs
@@ -44,14 +44,16 @@
 
     /// Adds an item.
     ///
-    /// # Errors Returns an error if the item does not fit.
+    /// # Errors
+    /// Returns an error if the item does not fit.
     pub(crate) fn add(&mut self, item: HandOverItem) -> Result<(), HandOverFullError> {
         self.add_within(item, usize::from(CHUNK_LIMIT) - RESERVED_CHUNKS)
     }
 
     /// Adds an item that may use the reserved chunks.
     ///
-    /// # Errors Returns an error if the item does not fit.
+    /// # Errors
+    /// Returns an error if the item does not fit.
     pub(crate) fn add_last(&mut self, item: HandOverItem) -> Result<(), HandOverFullError> {
         self.add_within(item, CHUNK_LIMIT.into())
     }
--- a/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
@@ -22,8 +22,7 @@
 const MAX_PINS_CHECKED: usize = 2048;
 /// A learned pin is removed after this time without use.
 const LEARNED_IDLE: time::Duration = time::Duration::from_secs(60);
-/// If the table is full, pins whose loss a search can make up for are removed after this
-/// time.
+/// If the table is full, pins that a search can replace are removed after this time.
 const SEARCHABLE_IDLE: time::Duration = time::Duration::from_secs(600);
 
 /// At most this many flows of one part are announced in one sweep.
--- a/crates/cardamomwinch_coordination/src/traffic/replies.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/replies.rs
@@ -15,8 +15,8 @@
 use crate::traffic::requests::{KEPT_PARTS_LIMIT, RequestKey};
 use crate::traffic::{HOP_LIMIT, TrafficEngine};
 
-/// A reply that was relayed this many times has met hosts that disagree about the home. It
-/// is sent to the host that sent the request, which was the home at that time.
+/// A reply that was relayed this many times has passed hosts that disagree about the home.
+/// It is sent to the host that sent the request, which was the home at that time.
 const DISAGREEING_HOPS: u8 = 2;
 
 impl TrafficEngine {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Tells the caller that its flow is open, and sends it its token. This happens only
-    /// after the server's reply: if the opening is lost on the way to the server, the
+    /// Notifies the caller that its flow is open, with the token of the flow. This happens
+    /// only after the server's reply: if the opening is lost on the way to the server, the
     /// caller must repeat the opening instead of sending data for a flow that is not open.
     pub(crate) fn send_opened<S: TrafficSink>(
         &self,
--- a/crates/cardamomwinch_coordination/src/traffic/reply_effects.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/reply_effects.rs
@@ -152,7 +152,7 @@
         let busy = ledger.busy();
         ledger.estimate.note_shed(context.now, slots, busy);
         if given_up {
-            // Its caller was told that the request may have run, so it must not run later.
+            // Its caller was sent "outcome unknown", so the request must not run later.
             self.requests
                 .replace_state(hash, key, RequestState::Unknown);
         } else if entry.is_some() && self.may_retry(context, &slot, attempt, pause) {
--- a/crates/cardamomwinch_coordination/src/traffic/requests.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/requests.rs
@@ -99,9 +99,9 @@
     pub kept: Vec<KeptPart>,
     /// Whether every part that arrived was kept.
     pub complete: bool,
-    /// Whether the caller was told that the outcome is unknown. An answer that arrives
-    /// later is still processed: it frees the slot and adds to the service times, which
-    /// would otherwise never include long requests.
+    /// Whether the caller was sent "outcome unknown". An answer that arrives later is
+    /// still processed: it frees the slot and adds to the service times, which would
+    /// otherwise never include long requests.
     pub given_up: bool,
 }
 
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Whether it was sent, and its caller was told that the outcome is unknown.
+    /// Whether it was sent to its server, and its caller was sent "outcome unknown".
     pub const fn is_given_up(&self) -> bool {
         match self {
             Self::Running(running) => running.given_up,
@@ -272,7 +272,8 @@
 
     /// Adds or replaces the record of a request.
     ///
-    /// # Errors Returns an error for a new request if the table is full.
+    /// # Errors
+    /// Returns an error for a new request if the table is full.
     pub fn insert(
         &mut self,
         hash: FlowHash,
--- a/crates/cardamomwinch_coordination/src/traffic/resolve.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/resolve.rs
@@ -87,9 +87,9 @@
 
     /// Whether `pin` determines the server of a flow. A pin that was only learned, or was
     /// placed by this thread as an earlier home, may be outdated. This is harmless for
-    /// data of an open flow, because a server that does not hold the flow replies so. An
-    /// opening, however, would be placed on a server where no other host looks for the
-    /// flow.
+    /// data of an open flow, because a server that does not hold the flow replies that it
+    /// does not. An opening, however, would be placed on a server where no other host
+    /// looks for the flow.
     fn is_conclusive<S: TrafficSink>(
         &self,
         context: &EventContext<'_, S>,
--- a/crates/cardamomwinch_coordination/src/traffic/retry_budget.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/retry_budget.rs
@@ -15,21 +15,21 @@
 }
 
 impl RetryBudgets {
-    fn of(&mut self, service: ServiceId) -> &mut u32 {
+    fn balance_mut(&mut self, service: ServiceId) -> &mut u32 {
         self.credits
             .get_or_insert_with(service, || RETRY_COST * BURST)
     }
 
     /// Records a first try, which earns `percent` hundredths of a retry.
     pub fn note_first_try(&mut self, service: ServiceId, percent: u32) {
-        let credit = self.of(service);
+        let credit = self.balance_mut(service);
         *credit = (*credit + percent).min(RETRY_COST * BURST);
     }
 
     /// Takes a retry from the budget; returns whether it covered the retry. At zero per
     /// cent no retries are made.
     pub fn take(&mut self, service: ServiceId, percent: u32) -> bool {
-        let credit = self.of(service);
+        let credit = self.balance_mut(service);
         if percent == 0 || *credit < RETRY_COST {
             return false;
         }
--- a/crates/cardamomwinch_coordination/src/traffic/running_slot.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/running_slot.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// When the final reply about a request that was accepted at `begun` must be sent.
-pub fn final_reply_due(begun: Timestamp, deadline: Timestamp) -> Timestamp {
-    let share = deadline.since(begun) / FINAL_REPLY_DIVISOR;
+/// When the final reply about a request that was accepted at the time `accepted` must be sent.
+pub fn final_reply_due(accepted: Timestamp, deadline: Timestamp) -> Timestamp {
+    let share = deadline.since(accepted) / FINAL_REPLY_DIVISOR;
     deadline.before(FINAL_REPLY_MARGIN.min(share))
 }
--- a/crates/cardamomwinch_coordination/src/traffic/searching.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/searching.rs
@@ -55,7 +55,7 @@
         };
         match self.pass_to_home(context, routed, shard, frame) {
             HomeRoute::Here => self.search_at_home(context, routed, search),
-            HomeRoute::Forwarded => {}
+            HomeRoute::Handled => {}
             HomeRoute::Unreachable => self.skip_home(context, routed, search),
         }
     }
@@ -69,7 +69,7 @@
         // Guards against a loop: the redirect may lead to a home that was already asked
         // and has no pin any longer, for example after it died. The datagram would be
         // dropped each time, and the caller would get no reply. A copy of an opening must
-        // follow its redirect nevertheless, or else must not be placed.
+        // still follow its redirect, because it must not be placed anywhere else.
         let opens = routed.datagram.kind == CallerKind::Open;
         let redirect = self.redirect_of(routed);
         let redirect = redirect.filter(|next| opens || !search.tried.contains(next.backend));
@@ -147,9 +147,9 @@
         }
     }
 
-    /// Sends the datagram to the candidate, which replies if it does not hold the flow. A
-    /// server that does not hold a flow runs none of its requests, so asking one server
-    /// after another runs none twice.
+    /// Sends the datagram to the candidate, which replies that the flow is unknown if it
+    /// does not hold it. A server that does not hold a flow runs none of its requests, so
+    /// asking one server after another runs none twice.
     fn ask_server<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
@@ -338,8 +338,8 @@
             announced: ConfigurationVersion::ZERO,
             echoes_token: false,
         };
-        // If the table is nearly full, the room is left to flows that need a pin more; the
-        // home is then asked each time.
+        // If the table is nearly full, the remaining room is reserved for flows that
+        // depend on a pin; the home is then asked each time.
         if !self.pins_nearly_full() && self.insert_pin(context, hash, flow, pin) {
             context.count(Counter::FlowLearned);
         }
--- a/crates/cardamomwinch_coordination/src/traffic/slots.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/slots.rs
@@ -5,8 +5,8 @@
 //!
 //! It uses three inexact inputs. A shed is certain, but applies to one instant. A load
 //! report is delayed, and may be too high or too low. The warm share is a guess. So none
-//! of them ever raises the number of usable slots above the configured one less the home's
-//! own count, and none lowers it below one.
+//! of them ever raises the number of usable slots above the configured number minus the
+//! home's own count, and none lowers it below one.
 
 use std::time;
 
@@ -111,8 +111,8 @@
     }
 
     /// Records an answer. If a server permanently reports other work but answers requests
-    /// and sheds none, its reports are ignored for a while. If they were correct, the next
-    /// shed ends that.
+    /// and sheds none, its reports are ignored for a while. If the reports were correct,
+    /// the server soon sheds a request, after which they are used again.
     pub(crate) fn note_answer(&mut self, now: Timestamp) {
         self.pause = FIRST_PAUSE;
         if self.reported == 0 {
--- a/crates/cardamomwinch_coordination/src/traffic/taking_over.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/taking_over.rs
@@ -11,8 +11,8 @@
 use crate::traffic::requests::RunningRequest;
 use crate::traffic::serving;
 
-/// The lease follows the imported state within this time, or not at all.
-const TAKE_OVER_GRACE: time::Duration = time::Duration::from_secs(2);
+/// The lease of an imported shard must arrive within this time.
+const LEASE_ARRIVAL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 impl TrafficEngine {
     /// Queues a request that waited at the earlier home.
@@ -70,7 +70,7 @@
         let Some(taken_over_at) = ledger.taken_over_at else {
             return false;
         };
-        if !held && context.now.since(taken_over_at) < TAKE_OVER_GRACE {
+        if !held && context.now.since(taken_over_at) < LEASE_ARRIVAL_TIMEOUT {
             return true;
         }
         ledger.taken_over_at = None;
--- a/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
@@ -28,8 +28,8 @@
 const SEARCH_LIFETIME: time::Duration = time::Duration::from_secs(5);
 
 impl TrafficEngine {
-    /// Relays the reply to the host that sent the datagram, which knows why it did, and to
-    /// the home, which keeps the counts.
+    /// Relays the reply to the host that sent the datagram, which knows why it was sent,
+    /// and to the home, which keeps the counts.
     pub(crate) fn route_unknown_flow<S: TrafficSink>(
         &mut self,
         context: &mut EventContext<'_, S>,
--- a/crates/cardamomwinch_coordination/tests/admission_slots.rs
+++ b/crates/cardamomwinch_coordination/tests/admission_slots.rs
@@ -329,7 +329,7 @@
 /// Guards against memory that grows with each configuration change: the counts of a server
 /// that was removed must be dropped.
 #[test]
-fn counts_of_servers_that_are_gone_are_forgotten() {
+fn counts_of_removed_servers_are_dropped() {
     let mut bench = EngineBench::new(3, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 500);
--- a/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
@@ -360,7 +360,7 @@
     }
 }
 
-fn entry_host(name: &str, number: u8) -> (HostId, HostEntry) {
+fn host_entry(name: &str, number: u8) -> (HostId, HostEntry) {
     let address = |port| net::SocketAddr::from(([10, 2, 0, number], port));
     let entry = HostEntry {
         id: host(name),
@@ -396,7 +396,7 @@
     let addresses = servers.iter().map(|held| (held.address, held.service));
     let hosts = HostTable {
         version: HostListVersion::new(1),
-        hosts: [entry_host("muc-nord-1", 1), entry_host("muc-nord-2", 2)]
+        hosts: [host_entry("muc-nord-1", 1), host_entry("muc-nord-2", 2)]
             .into_iter()
             .collect(),
     };
--- a/crates/cardamomwinch_coordination/tests/replies_brought_home.rs
+++ b/crates/cardamomwinch_coordination/tests/replies_brought_home.rs
@@ -22,7 +22,7 @@
 }
 
 /// A host that considers `home` the home of the server.
-fn host_beside(home: &str) -> EngineBench {
+fn host_with_home(home: &str) -> EngineBench {
     let mut bench = EngineBench::of_host(OTHER, 1, 2, TrafficBounds::default());
     bench.lose_home(Some(host(home)));
     bench
@@ -34,7 +34,7 @@
 /// seconds, and refuse the next request as if the server were full.
 #[test]
 fn a_starting_host_relays_replies_once_it_knows_the_home() {
-    let mut bench = host_beside(HOME);
+    let mut bench = host_with_home(HOME);
     bench.snapshot.phase = ServingPhase::Starting;
     let server = bench.server();
     bench.reply(1, server, answer());
@@ -63,7 +63,7 @@
 /// the home.
 #[test]
 fn a_reply_relayed_back_and_forth_is_sent_to_the_sender_of_the_request() {
-    let mut bench = host_beside("muc-nord-3");
+    let mut bench = host_with_home("muc-nord-3");
     let reply = BackendReply {
         flow: admission_support::flow(1),
         backend: bench.server(),
@@ -121,7 +121,7 @@
 /// the requests waits.
 #[test]
 fn a_host_without_the_lease_relays_a_reply_to_the_home_that_sent_the_request() {
-    let mut bench = host_beside(OTHER);
+    let mut bench = host_with_home(OTHER);
     let reply = BackendReply {
         flow: admission_support::flow(1),
         backend: bench.server(),
--- a/crates/cardamomwinch_coordination/tests/requests_at_most_once.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_at_most_once.rs
@@ -21,7 +21,12 @@
     Unknown,
 }
 
-fn bring_to(bench: &mut EngineBench, token: RoutingToken, header: RequestHeader, stage: Stage) {
+fn advance_to_stage(
+    bench: &mut EngineBench,
+    token: RoutingToken,
+    header: RequestHeader,
+    stage: Stage,
+) {
     if stage == Stage::Queued || stage == Stage::Refused {
         for number in 100..102 {
             let filler = bench.header(number, false, 5000);
@@ -59,7 +64,7 @@
     let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, false, 8000);
-    bring_to(&mut bench, token, header, stage);
+    advance_to_stage(&mut bench, token, header, stage);
     bench.send_request(1, token, header);
     let output = bench.take();
     assert!(output.runs().is_empty(), "ran twice: {output:?}");
@@ -114,7 +119,7 @@
 /// attempt, and no retry is left. The first attempt may have run, so the reply must not be
 /// "not run".
 #[test]
-fn a_request_that_may_have_run_is_never_called_not_run() {
+fn a_request_that_may_have_run_never_gets_not_run() {
     let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     let header = bench.header(1, true, 9000);
@@ -143,7 +148,7 @@
 /// while every slot and the queue are full. The request has run before, so it must not be
 /// refused as "not run".
 #[test]
-fn a_repeated_download_is_never_called_not_run() {
+fn a_repeated_download_never_gets_not_run() {
     let mut bench = EngineBench::new(1, 1);
     let token = bench.open(1);
     let header = bench.header(1, true, 9000);
@@ -316,7 +321,7 @@
 }
 
 /// A new flow opens with a request while every slot and the queue are full. The caller
-/// gets "not run" for its request, and its flow is open once the server replies so. The
+/// gets "not run" for its request, and its flow is open once the server confirms it. The
 /// server must have received the opening, or the caller's next packet would reach an
 /// unknown flow and the session would break.
 #[test]
--- a/crates/cardamomwinch_coordination/tests/requests_given_up.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_given_up.rs
@@ -81,8 +81,8 @@
 }
 
 /// The home of a server loses its lease while a request waits for a slot. The request was
-/// never sent, but only the next home may reply so: it must be relayed there, and must not
-/// be sent from here when a slot becomes free.
+/// never sent, but only the next home may reply "not run": it must be relayed there, and
+/// must not be sent from here when a slot becomes free.
 #[test]
 fn a_waiting_request_goes_to_the_next_home_when_the_lease_is_lost() {
     let mut bench = EngineBench::new(1, 2);
@@ -446,7 +446,7 @@
 /// request was sent and arrived much later, for example because the control thread of the
 /// home had no processor time.
 #[test]
-fn a_request_that_was_sent_after_the_report_was_asked_for_is_not_given_up() {
+fn a_request_that_was_sent_after_the_report_was_requested_is_not_given_up() {
     let mut bench = EngineBench::new(1, 2);
     let token = bench.open(1);
     bench.take();
--- a/crates/cardamomwinch_coordination/tests/requests_searched.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_searched.rs
@@ -11,7 +11,7 @@
 use cardamomwinch_protocol::prelude::*;
 
 /// The caller whose flow is on a server of another home.
-const STRANGER: u16 = 9;
+const UNKNOWN_FLOW: u16 = 9;
 const LONGEST_WAIT: time::Duration = time::Duration::from_secs(10);
 
 /// The home of one server with one slot, which a request of a known flow occupies.
@@ -25,8 +25,8 @@
 }
 
 /// Sends a request of a flow without a token, for which this home has no pin.
-fn send_from_stranger(bench: &mut EngineBench, header: RequestHeader) {
-    let datagram = CallerDatagram::carry(flow(STRANGER), None, b"payload");
+fn send_from_unknown_flow(bench: &mut EngineBench, header: RequestHeader) {
+    let datagram = CallerDatagram::carry(flow(UNKNOWN_FLOW), None, b"payload");
     bench.receive(datagram.with_request(header));
 }
 
@@ -53,12 +53,12 @@
     }
     bench.take();
     let header = bench.header(1, false, 9000);
-    send_from_stranger(&mut bench, header);
+    send_from_unknown_flow(&mut bench, header);
     let output = bench.take();
     assert!(output.runs().is_empty(), "{output:?}");
     assert_unknown(&output, header);
     // A further copy gets the same reply.
-    send_from_stranger(&mut bench, header);
+    send_from_unknown_flow(&mut bench, header);
     assert_unknown(&bench.take(), header);
 }
 
@@ -68,7 +68,7 @@
 fn a_copy_that_waited_too_long_gives_an_unknown_outcome_for_a_flow_that_may_be_elsewhere() {
     let (mut bench, _) = busy_home();
     let header = bench.header(1, false, 9000);
-    send_from_stranger(&mut bench, header);
+    send_from_unknown_flow(&mut bench, header);
     assert!(bench.take().final_replies(request(1)).is_empty());
     bench.advance(LONGEST_WAIT);
     assert_unknown(&bench.take(), header);
@@ -81,13 +81,13 @@
 fn a_shed_copy_gives_an_unknown_outcome_for_a_flow_that_may_be_elsewhere() {
     let mut bench = EngineBench::new(1, 1);
     let header = bench.header(1, false, 9000);
-    send_from_stranger(&mut bench, header);
+    send_from_unknown_flow(&mut bench, header);
     let mut final_replies = Vec::new();
     for _ in 0..20 {
         let output = bench.take();
         final_replies.extend(output.final_replies(header.id).into_iter().cloned());
         if let Some(sent) = output.runs().first() {
-            bench.shed(STRANGER, sent);
+            bench.shed(UNKNOWN_FLOW, sent);
         }
         bench.advance_ms(500);
     }
