--- a/crates/cardamomwinch_coordination/tests/requests_given_up.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_given_up.rs
@@ -254,7 +254,7 @@
     assert_eq!(
         bench.take().runs().len(),
         1,
-        "message to come back after {after:?}"
+        "not sent after the wait of {after:?}"
     );
 }
 
