--- a/crates/cardamomwinch_coordination/src/forwarding/deliveries.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/deliveries.rs
@@ -3,7 +3,7 @@
 //! Guards against resets of flows whose servers are alive. While the link of a host is
 //! full, for instance because other hosts load a large configuration from it, the host
 //! loses what it sends to all servers for a tenth of a second, and callers repeat
-//! themselves. If the host sees only one or two flows of each server, two losses in a row
+//! their packets. If the host sees only one or two flows of each server, two losses in a row
 //! would look like a dead server. So a loss counts against a server only if a packet that
 //! was sent to any server at about the same time was delivered.
 
@@ -18,7 +18,7 @@
 const BUCKET_COUNT: usize = 200;
 /// A delivery must lie at most this many buckets before the loss, and another one at most
 /// this many after it: a tenth of a second each. The least busy hosts forward 25 packets a
-/// second that are answered at once, which is enough to assess five losses in six. Full
+/// second that are answered at once, which is enough to assess five of six losses. Full
 /// links lose everything for longer than that.
 const MAX_BUCKET_DISTANCE: u64 = 5;
 
@@ -27,9 +27,9 @@
 /// same time as a loss are then no evidence. A dead server never answers.
 const MIN_LATE_SERVERS: usize = 2;
 /// How long each of them counts: the time in which a host with a narrow link sends a large
-/// configuration to others, and drops packets now and then. It is long rather than short,
-/// because a reset of a flow whose server is alive breaks a promise to the caller, while a
-/// late reset only costs its caller time.
+/// configuration to others, and drops packets now and then. It is long, because a reset of a
+/// working flow breaks it, while a late reset of a flow on a dead server only costs its
+/// caller time.
 const LATE_RETENTION: time::Duration = time::Duration::from_secs(4);
 
 /// The times at which packets that were delivered had been sent.
@@ -60,8 +60,8 @@
     /// caller would have sent it again.
     pub fn note(&mut self, sent_at: Timestamp) {
         let bucket = bucket_of(sent_at);
-        let held = &mut self.buckets[bucket as usize % BUCKET_COUNT];
-        *held = bucket.max(*held);
+        let stored = &mut self.buckets[bucket as usize % BUCKET_COUNT];
+        *stored = bucket.max(*stored);
     }
 
     /// Records that `server` answered only after a repetition.
--- a/crates/cardamomwinch_coordination/src/forwarding/directory.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/directory.rs
@@ -20,11 +20,11 @@
 /// The state of a server by its entry in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerPhase {
-    /// It takes new flows.
+    /// It accepts new flows.
     Active,
-    /// It is about to stop and takes no new flows.
+    /// It is about to stop and accepts no new flows.
     Draining,
-    /// Its entry can no longer be parsed. It takes no new flows; open flows continue until
+    /// Its entry can no longer be parsed. It receives no new flows; open flows continue until
     /// the entry is removed.
     Unreadable,
     /// Its entry vanished although the server was not draining.
@@ -89,14 +89,14 @@
 }
 
 /// The sort key of a server: by service, and within a service by failure domain.
-type ServicePlace = (ServiceId, DomainId, BackendId);
+type ServiceKey = (ServiceId, DomainId, BackendId);
 
 /// All known servers, indexed by token and by service.
 #[derive(Debug, Clone, Default)]
 pub struct ServerDirectory {
     servers: SortedVector<BackendId, ServerRecord>,
     tokens: Vec<(FlowToken, BackendId)>,
-    services: Vec<ServicePlace>,
+    services: Vec<ServiceKey>,
     evacuations: EvacuationTable,
     /// The highest revision that changed a server, or ended an evacuation, that was removed
     /// from this directory since.
@@ -132,10 +132,10 @@
     /// The server of `token` in a flow of `route`. If two known servers share the token,
     /// the one that `route` leads to is preferred; the other one does not hold the flow.
     pub fn find(&self, token: FlowToken, route: Option<&RouteEntry>) -> Option<&ServerRecord> {
-        let start = self.tokens.partition_point(|(held, _)| *held < token);
+        let start = self.tokens.partition_point(|(known, _)| *known < token);
         let same = self.tokens[start..]
             .iter()
-            .take_while(|(held, _)| *held == token);
+            .take_while(|(known, _)| *known == token);
         let mut servers = same.filter_map(|(_, id)| self.servers.get(id));
         let first = servers.next()?;
         let fits = |server: &ServerRecord| route.is_none_or(|route| route.leads_to(server.service));
@@ -147,12 +147,12 @@
 
     /// The servers of `service`.
     pub fn of_service(&self, service: ServiceId) -> impl Iterator<Item = &ServerRecord> {
-        self.records(self.places(service, None))
+        self.records(self.keys_of(service, None))
     }
 
     /// The number of servers of `service`, in `domain` if one is given.
     pub fn count(&self, service: ServiceId, domain: Option<DomainId>) -> usize {
-        self.places(service, domain).len()
+        self.keys_of(service, domain).len()
     }
 
     /// At most `limit` servers of `service`, in `domain` if one is given: consecutive ones
@@ -164,30 +164,28 @@
         subject: u64,
         limit: usize,
     ) -> impl Iterator<Item = &ServerRecord> {
-        let places = self.places(service, domain);
-        let start = if places.len() > limit {
-            (subject % places.len() as u64) as usize
+        let keys = self.keys_of(service, domain);
+        let start = if keys.len() > limit {
+            (subject % keys.len() as u64) as usize
         } else {
             0
         };
-        let (before, after) = places.split_at(start);
+        let (before, after) = keys.split_at(start);
         self.records(after).chain(self.records(before)).take(limit)
     }
 
-    fn places(&self, service: ServiceId, domain: Option<DomainId>) -> &[ServicePlace] {
-        let is_before = |place: &ServicePlace| {
-            place.0 < service
-                || (place.0 == service && domain.is_some_and(|domain| place.1 < domain))
+    fn keys_of(&self, service: ServiceId, domain: Option<DomainId>) -> &[ServiceKey] {
+        let is_before = |key: &ServiceKey| {
+            key.0 < service || (key.0 == service && domain.is_some_and(|domain| key.1 < domain))
         };
-        let fits = |place: &ServicePlace| {
-            place.0 == service && domain.is_none_or(|domain| place.1 == domain)
-        };
-        let places = &self.services[self.services.partition_point(is_before)..];
-        &places[..places.partition_point(fits)]
+        let fits =
+            |key: &ServiceKey| key.0 == service && domain.is_none_or(|domain| key.1 == domain);
+        let keys = &self.services[self.services.partition_point(is_before)..];
+        &keys[..keys.partition_point(fits)]
     }
 
-    fn records<'a>(&'a self, places: &'a [ServicePlace]) -> impl Iterator<Item = &'a ServerRecord> {
-        places.iter().filter_map(|(_, _, id)| self.servers.get(id))
+    fn records<'a>(&'a self, keys: &'a [ServiceKey]) -> impl Iterator<Item = &'a ServerRecord> {
+        keys.iter().filter_map(|(_, _, id)| self.servers.get(id))
     }
 
     /// The evacuations of failure domains, including those that ended recently.
@@ -223,7 +221,8 @@
     ///
     /// Guards against overload of servers that were all restarted during an evacuation of
     /// their domain, before their entries show the restart. So all servers of the domain
-    /// count as cold after its evacuation, until their entries are written again.
+    /// count as cold for `cold_start` after its evacuation, or until their entries are
+    /// written again.
     pub fn cold_until(&self, server: &ServerRecord, cold_start: time::Duration) -> Timestamp {
         match self.evacuations.ended(server.domain) {
             Some((at, revision)) if server.changed <= revision => {
@@ -239,8 +238,8 @@
     }
 
     /// Records what the store contains about several servers, except those of which a later
-    /// record is known. The indexes are rebuilt once and not for each server, because an
-    /// update of hundreds of servers would take a host of a large fleet seconds.
+    /// record is known. The indexes are rebuilt once and not for each server; otherwise an
+    /// update of hundreds of servers takes seconds in a large fleet.
     pub fn note_all(&mut self, records: impl IntoIterator<Item = ServerRecord>) {
         let mut moved = false;
         for record in records {
@@ -248,12 +247,12 @@
                 continue;
             }
             let record = self.keep_draining(record);
-            let place = (record.service, record.domain);
+            let key = (record.service, record.domain);
             let known = self.servers.insert(record.id, record);
-            moved |= known.is_none_or(|known| (known.service, known.domain) != place);
+            moved |= known.is_none_or(|known| (known.service, known.domain) != key);
         }
         if moved {
-            self.index();
+            self.rebuild_indexes();
         }
     }
 
@@ -340,7 +339,7 @@
                 self.servers.insert(record.id, record);
             }
         }
-        self.index();
+        self.rebuild_indexes();
     }
 
     /// The servers that changed after `revision`; `None` if some of them were removed from
@@ -354,17 +353,17 @@
     }
 
     /// Applies the servers that a peer knows at `revision`, which is later than what is
-    /// known here. `records` are those that changed, or all servers if `all` is set.
+    /// known here. `records` are those that changed, or all servers if `is_full_list`.
     pub fn merge(
         &mut self,
         records: Vec<ServerRecord>,
-        all: bool,
+        is_full_list: bool,
         revision: StoreRevision,
         now: Timestamp,
     ) {
         let (listed, left): (Vec<_>, Vec<_>) =
             records.into_iter().partition(ServerRecord::is_listed);
-        if all {
+        if is_full_list {
             self.replace(listed, &[], revision, now);
         } else {
             self.note_all(listed);
@@ -394,7 +393,7 @@
             !expired
         });
         if self.servers.len() != before {
-            self.index();
+            self.rebuild_indexes();
             changed = true;
         }
         if let Some(revision) = self.evacuations.expire(now) {
@@ -404,12 +403,12 @@
         changed
     }
 
-    fn index(&mut self) {
+    fn rebuild_indexes(&mut self) {
         let token = |server: &ServerRecord| (FlowToken::of_server(server.id), server.id);
         self.tokens = self.servers.values().map(token).collect();
         self.tokens.sort_unstable();
-        let place = |server: &ServerRecord| (server.service, server.domain, server.id);
-        self.services = self.servers.values().map(place).collect();
+        let key = |server: &ServerRecord| (server.service, server.domain, server.id);
+        self.services = self.servers.values().map(key).collect();
         self.services.sort_unstable();
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/engine.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine.rs
@@ -29,8 +29,8 @@
 
 /// The interval at which [`ForwardingEngine::tick`] must be called.
 pub const TICK_PERIOD: time::Duration = time::Duration::from_millis(100);
-/// A flow with an unknown token is reset only if the view was confirmed this much later
-/// than the first packet of the flow came. Only then does it show that no such server exists.
+/// A flow with an unknown token is reset only if the view is current as of this long after
+/// the first packet of the flow. An older view may lack a new server.
 const UNKNOWN_TOKEN_DELAY: time::Duration = time::Duration::from_millis(150);
 
 /// Carries out the decisions of the engine about the current packet, and about flows that
@@ -43,7 +43,7 @@
     /// Sends a reset to the caller of `flow`. `acknowledged` is the position up to which
     /// the caller has acknowledged the stream of its server.
     fn reset_flow(&mut self, flow: &FlowKey, acknowledged: u32);
-    /// Keeps the current packet; it is handled again with the next view.
+    /// Holds the current packet, which is handled again with the next view.
     fn hold(&mut self);
     /// Measures the time from an opening to the caller's first packet after it, which
     /// shows that a server confirmed the opening.
@@ -65,6 +65,7 @@
     deliveries: DeliveryRecord,
     flow_lifetimes: FlowLifetimes,
     unknown_flows: UnknownFlows,
+    /// The number of flows that are not watched because the table was full.
     unwatched: u64,
     server_starts: ServerStarts,
     server_reach: ServerReach,
@@ -248,6 +249,7 @@
         }
     }
 
+    /// Stops watching the current flow. Only a close by the caller measures its lifetime.
     fn stop_watching(&mut self, context: &PacketContext<'_>) {
         let watched = self.watch.remove(context.hash, &context.packet.flow);
         if context.packet.kind == PacketKind::Closing
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/open_flows.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/open_flows.rs
@@ -18,12 +18,13 @@
 /// The number of repetitions that is needed if only the flow itself shows it. Callers
 /// send again after 200 ms and 600 ms; the second copy shows two losses in a row.
 const SINGLE_FLOW_COPIES: u32 = 2;
-/// Copies that come sooner than this were duplicated by the network.
+/// The minimum time between the first sending and such a copy. Copies that come sooner were
+/// duplicated by the network.
 const SINGLE_FLOW_SILENCE: time::Duration = time::Duration::from_millis(500);
 
 impl ForwardingEngine {
-    /// Updates the state of the flow and of its server from the packet. Returns how often
-    /// its data were sent without an acknowledgement.
+    /// Updates the state of the flow and of its server from the packet. Returns the silence
+    /// of the flow.
     pub(super) fn observe<S: ForwardingSink>(
         &mut self,
         context: &PacketContext<'_>,
@@ -86,7 +87,7 @@
         if silence.copies > 0 {
             self.server_reach.note_repetition(server.id, silence.since);
         }
-        if silence.losses > 0 && watched.begin_silence() {
+        if silence.losses > 0 && watched.count_silence_once() {
             self.progress
                 .note_silent_flow(server.id, silence.since, now);
             self.report_silence(server.id, now);
@@ -129,9 +130,9 @@
     ///
     /// On an idempotent route the caller sends its request again on another flow. There
     /// one repetition is enough if the server is no longer in the store, or if several
-    /// flows get no acknowledgement, on this host or on several. Three losses in a row on
-    /// one flow are enough as well if the server made no progress in the meantime, because
-    /// hosts of large fleets see only one or two flows of each server.
+    /// flows get no acknowledgement, on this host or on several. One flow that sent the same
+    /// data three times is enough as well if the server made no progress in the meantime,
+    /// because hosts of large fleets see only one or two flows of each server.
     ///
     /// On other routes a reset is of no use while an answer may still come. There the flow
     /// is reset only if the server has left the store for good.
@@ -163,8 +164,8 @@
         self.progress.is_silence_reliable(now) && !self.deliveries.is_link_lossy(now)
     }
 
-    /// Records that the data of a flow were lost three times in a row. Returns whether that
-    /// shows that the server is dead.
+    /// Records that the caller has sent the same data three times without an acknowledgement,
+    /// if it has. Returns whether that shows that the server is dead.
     pub(super) fn note_triple_loss(
         &mut self,
         context: &PacketContext<'_>,
--- a/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine/openings.rs
@@ -88,7 +88,7 @@
     }
 
     /// Counts a new flow against the limit of `server`, if it is cold.
-    fn note_cold(&mut self, context: &PacketContext<'_>, server: &ServerRecord) {
+    fn count_cold_opening(&mut self, context: &PacketContext<'_>, server: &ServerRecord) {
         if self
             .permission(context, server.service)
             .is_rate_limited(server)
@@ -132,7 +132,7 @@
         };
         let watched = WatchedFlow::opening(server.id, copy, context.is_idempotent(), context.now);
         self.start_watching(context, watched);
-        self.note_cold(context, &server);
+        self.count_cold_opening(context, &server);
         self.progress.note_opening(server.id, context.now);
         self.recent_openings.note(caller, server.id, context.now);
         sink.send(&server, FlowToken::of_server(server.id));
@@ -150,8 +150,8 @@
         sink: &mut S,
     ) {
         let earlier = watched.server;
-        // Copies that were queued together, in this process or before it, arrive in one
-        // burst and do not show that the server is silent.
+        // Copies that were queued together, in this process or on their way to it, arrive in
+        // one burst and do not show that the server is silent.
         let is_late = context.now.since(watched.seen_at) >= flow_watch::MIN_RESEND_INTERVAL;
         let is_copy = match watched.stage {
             FlowStage::Opening { copy: last, .. } => copy > last && is_late,
@@ -191,7 +191,7 @@
             }
             watched.counted = true;
             self.progress.add_flow(server.id, context.now);
-            self.note_cold(context, &server);
+            self.count_cold_opening(context, &server);
             ForwardingOutcome::OpeningMoved
         };
         watched.move_opening(server.id, copy);
--- a/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
@@ -8,7 +8,7 @@
 use crate::forwarding::beliefs::store_call::StoreRevision;
 
 /// How long an evacuation that ended is kept, so that its end reaches hosts that still
-/// consider it active. No host that serves has data that is older than this.
+/// consider it active. No host forwards with data that is older than this.
 const ENDED_RETENTION: time::Duration = time::Duration::from_secs(60);
 /// How long an evacuation stays active that is missing from a store after its restore from
 /// a backup. Operators write it again within about two seconds.
@@ -155,17 +155,17 @@
     /// Removes evacuations that ended too long ago. Returns the highest revision at which
     /// one of the removed evacuations ended.
     pub fn expire(&mut self, now: Timestamp) -> Option<StoreRevision> {
-        let mut forgotten = None;
+        let mut removed_revision = None;
         self.domains.retain(|_, record| {
             let keep = match record.phase {
                 EvacuationPhase::Lasting | EvacuationPhase::Missing { .. } => true,
                 EvacuationPhase::Ended { at } => now.since(at) <= ENDED_RETENTION,
             };
             if !keep {
-                forgotten = forgotten.max(Some(record.changed));
+                removed_revision = removed_revision.max(Some(record.changed));
             }
             keep
         });
-        forgotten
+        removed_revision
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/explanation.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/explanation.rs
@@ -85,11 +85,11 @@
     };
     let limiter = ColdLimiter::default();
     let permission = FlowPermission::new(view, service, &route.regions, &limiter, now);
-    let takes_flows = |server: &&ServerRecord| {
+    let accepts_flows = |server: &&ServerRecord| {
         server.phase == ServerPhase::Active && permission.admits_domain(server.domain)
     };
     let servers = view.directory.of_service(service);
-    let active: Vec<&ServerRecord> = servers.filter(takes_flows).collect();
+    let active: Vec<&ServerRecord> = servers.filter(accepts_flows).collect();
     let is_own_domain = |server: &&&ServerRecord| view.domain == Some(server.domain);
     let own_domain: Vec<_> = active
         .iter()
--- a/crates/cardamomwinch_coordination/src/forwarding/flow_watch.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/flow_watch.rs
@@ -22,13 +22,14 @@
 
 /// Callers always wait longer than this before they send anything again.
 pub const MIN_RESEND_INTERVAL: time::Duration = time::Duration::from_millis(150);
-/// A caller that sends nothing for this long has its answer, or waits for a server that
-/// received the request. It is a few times the usual duration of a request.
+/// A caller that sends nothing for this long has its answer, or its server has acknowledged
+/// the request. It is a few times the usual duration of a request.
 const MIN_IDLE_TIME: time::Duration = time::Duration::from_secs(1);
 /// The most data that one packet carries, in bytes.
 const MAX_PACKET_BYTES: u32 = 1_200;
 
-/// How often, and since when, the data of a flow were sent without an acknowledgement.
+/// How often, and since when, the data of a flow were sent without an acknowledgement. A
+/// caller repeats all packets of a request in one round, which counts as one copy.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct FlowSilence {
     /// How often the same data were sent again without progress.
@@ -229,8 +230,8 @@
     /// only with the next request, so a flow also counts as idle after some time without a
     /// packet.
     pub fn is_idle(&self, now: Timestamp) -> bool {
-        let answered = self.copies == 0 && now.since(self.seen_at) >= MIN_IDLE_TIME;
-        self.pending.is_none() || answered
+        let is_quiet = self.copies == 0 && now.since(self.seen_at) >= MIN_IDLE_TIME;
+        self.pending.is_none() || is_quiet
     }
 
     /// Records data. Returns how often the same data were sent before without progress, and
@@ -282,7 +283,7 @@
 
     /// Returns true once after each progress of the flow, so that a flow counts only once as
     /// silent, however often its caller repeats itself.
-    pub const fn begin_silence(&mut self) -> bool {
+    pub const fn count_silence_once(&mut self) -> bool {
         !std::mem::replace(&mut self.silence_counted, true)
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/mod.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/mod.rs
@@ -6,14 +6,14 @@
 //! the server, the server passes it to the caller, and the caller sends it in each later
 //! packet. Everything else each host decides on its own:
 //!
-//! - [`beliefs`] keeps the routes and servers that are in force up to date: when they were
-//!   last confirmed, and which source to query next.
+//! - [`beliefs`] keeps the known routes and servers up to date, and decides which source to
+//!   query next.
 //! - [`view`] is the immutable result, which forwarding reads.
 //! - [`permission`] decides which servers may take a new flow: none of an evacuated
 //!   failure domain, none outside the regions of the route, and none that is cold and has
 //!   received its share of new flows.
 //! - [`placement`] chooses the server of a new flow.
-//! - [`progress`] tracks which servers are silent by what callers send again, and
+//! - [`progress`] detects silent servers by the packets that callers repeat, and
 //!   [`server_reports`] by what all hosts of a domain have observed.
 //! - [`engine`] decides about each packet.
 //! - [`explanation`] shows operators what would be decided.
@@ -42,7 +42,5 @@
 pub mod server_reach;
 pub mod server_reports;
 pub mod server_starts;
-
 pub mod unknown_flows;
-
 pub mod view;
--- a/crates/cardamomwinch_coordination/src/forwarding/placement.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/placement.rs
@@ -50,7 +50,7 @@
     /// An active server in the failure domain of this host. Flows within a domain survive
     /// if it is cut off, and cost no traffic between domains. For short flows also an
     /// active server in another domain, whose load then counts as higher.
-    OwnDomain,
+    Preferred,
     /// An active server in another domain.
     OtherDomain,
     /// A server whose entry vanished recently; used only if there is no other.
@@ -145,7 +145,7 @@
 
     /// Whether no server outside the samples can be much better.
     fn is_good_enough(&self, key: &ServerKey) -> bool {
-        let saw_own_domain = || {
+        let covers_own_domain = || {
             let own_domain = self
                 .domain
                 .map(|_| self.directory.count(self.service, self.domain));
@@ -156,8 +156,8 @@
                 .is_some_and(|domain| self.permission.admits_domain(domain))
         };
         let is_good = match key.rank {
-            ServerRank::SpillOver | ServerRank::OwnDomain => true,
-            ServerRank::OtherDomain => saw_own_domain() || !may_stay(),
+            ServerRank::SpillOver | ServerRank::Preferred => true,
+            ServerRank::OtherDomain => covers_own_domain() || !may_stay(),
             ServerRank::Vanished | ServerRank::Suspected => false,
         };
         is_good && !key.avoided
@@ -186,7 +186,7 @@
             ServerPhase::Vanished { .. } => Some(ServerRank::Vanished),
             ServerPhase::Active if self.is_suspected(server.id) => Some(ServerRank::Suspected),
             ServerPhase::Active if self.domain == Some(server.domain) => {
-                Some(ServerRank::OwnDomain)
+                Some(ServerRank::Preferred)
             }
             ServerPhase::Active => {
                 let response = self.progress.response(server.id, self.now);
@@ -195,7 +195,7 @@
                 Some(if takes_spill_over {
                     ServerRank::SpillOver
                 } else if self.is_short {
-                    ServerRank::OwnDomain
+                    ServerRank::Preferred
                 } else {
                     ServerRank::OtherDomain
                 })
@@ -230,8 +230,8 @@
         let goal_percent = mean.as_micros() as u64 * 100 / goal;
         let excess = goal_percent.saturating_sub(SPILL_START_PERCENT);
         let part = excess * MAX_SPILL_PERCENT / (SPILL_FULL_PERCENT - SPILL_START_PERCENT);
-        let turn = flow::mix(self.subject ^ SPILL_SALT) % 100;
-        (turn < part.min(MAX_SPILL_PERCENT)).then_some(mean)
+        let percentile = flow::mix(self.subject ^ SPILL_SALT) % 100;
+        (percentile < part.min(MAX_SPILL_PERCENT)).then_some(mean)
     }
 
     /// The mean response time of the servers of the own domain.
@@ -269,10 +269,10 @@
     fn crossing_load(&self) -> u64 {
         let (mut flows, mut slots, mut domains) = (0, 0, Vec::new());
         let servers = self.sample(None);
-        let takes_flows = |server: &&ServerRecord| {
+        let accepts_flows = |server: &&ServerRecord| {
             server.phase == ServerPhase::Active && self.permission.admits_domain(server.domain)
         };
-        for server in servers.filter(takes_flows) {
+        for server in servers.filter(accepts_flows) {
             flows += u64::from(self.progress.flows(server.id));
             slots += u64::from(server.slots.get());
             if !domains.contains(&server.domain) {
--- a/crates/cardamomwinch_coordination/src/forwarding/progress.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/progress.rs
@@ -3,8 +3,9 @@
 //! show that they were not acknowledged, and an acknowledgement that advances proves that
 //! the server is alive.
 //!
-//! A server is called silent towards a flow while the caller repeats itself and acknowledges
-//! nothing new from the server. A flow is called silent in that case, too.
+//! Callers repeat a packet, that is they send a copy of it, until it is acknowledged or they
+//! give up. A server is called silent towards a flow while the caller repeats packets and
+//! acknowledges nothing new from the server. A flow is called silent in that case, too.
 
 use std::time;
 
@@ -68,7 +69,8 @@
     silent_flows: u32,
     /// When the first data were sent that were not acknowledged since `progress_at`.
     silent_since: Timestamp,
-    /// Whether the data of one flow were lost three times in a row since `progress_at`.
+    /// Whether one flow has sent the same data three times without an acknowledgement since
+    /// `progress_at`.
     triple_loss: bool,
     /// Until when the server receives no new flows, because it did not answer an opening.
     suspected_until: Timestamp,
@@ -293,21 +295,21 @@
         entry.overdue = None;
     }
 
-    /// Records that a request sent to `server` at `asked_at` is overdue. Returns all requests
+    /// Records that a request sent to `server` at `sent_at` is overdue. Returns all requests
     /// that became overdue since it last answered one.
     pub fn note_overdue(
         &mut self,
         server: BackendId,
-        asked_at: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
     ) -> ServerSilence {
         let entry = self.entry(server, now);
         let overdue = entry.overdue.get_or_insert(ServerSilence {
             flows: 0,
-            since: asked_at,
+            since: sent_at,
         });
         overdue.flows += 1;
-        overdue.since = overdue.since.min(asked_at);
+        overdue.since = overdue.since.min(sent_at);
         *overdue
     }
 
--- a/crates/cardamomwinch_coordination/src/forwarding/record.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/record.rs
@@ -43,8 +43,8 @@
     /// The server of the flow is silent or has left the store; the flow was reset when its
     /// caller repeated data.
     SilentServerReset,
-    /// The server of the flow is dead or has restarted; the flow, which waits for no answer
-    /// or only for idempotent requests, was reset before its caller sends anything more.
+    /// The server of the flow is dead or has restarted; the flow, which is idle or
+    /// idempotent, was reset before its caller sends anything more.
     AbsentServerReset,
 }
 
--- a/crates/cardamomwinch_coordination/src/forwarding/server_reports.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_reports.rs
@@ -34,7 +34,7 @@
 /// The maximum number of reports of silence about one server: more than a conclusion needs.
 const MAX_SILENT_REPORTS: usize = 4;
 /// The maximum number of reports: those about a whole failure domain that fails, and about
-/// some more servers. It limits what hosts send when very much fails at once.
+/// some more servers. It limits what hosts send when many servers fail at the same time.
 const MAX_REPORTS: usize = 1_024;
 
 /// Identifies the process of a host that reports. A restarted process has another one.
@@ -241,8 +241,8 @@
         }
         let known = self.reports_about(report.server, report.subject);
         let silent = known.filter(|kept| kept.report.silence.is_some());
-        let adds = report.silence.is_none() || silent.count() < MAX_SILENT_REPORTS;
-        adds && self.reports.len() < MAX_REPORTS
+        let is_wanted = report.silence.is_none() || silent.count() < MAX_SILENT_REPORTS;
+        is_wanted && self.reports.len() < MAX_REPORTS
     }
 
     fn reports_about(
--- a/crates/cardamomwinch_coordination/tests/forwarding_false_alarms.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_false_alarms.rs
@@ -226,8 +226,8 @@
     assert_eq!(host.tick(at(4_602)).ended, []);
 }
 
-/// Guards against a host without processor time for 400 ms that receives requests together
-/// with their copies, and considers them three flows without an answer.
+/// Guards against a host that, after a process pause of 400 ms, receives requests together with
+/// their copies and considers them three flows without an answer.
 #[test]
 fn a_host_that_was_paused_for_400_ms_resets_no_flow() {
     let mut host = host_of_two(12);
