--- a/crates/cardamomwinch_coordination/src/control/adoption/accepted.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/accepted.rs
@@ -175,8 +175,9 @@
         }
     }
 
-    /// The offer to a host that holds `known`: the documents that it lacks. `asked`
-    /// is the time at which that host sent its query, by its own clock.
+    /// The difference from a host that holds `known`: an offer of the documents that
+    /// it lacks. `asked` is the time at which that host sent its query, by its own
+    /// clock.
     pub fn difference(
         &self,
         known: &KnownDocuments,
--- a/crates/cardamomwinch_coordination/src/control/adoption/calls.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/calls.rs
@@ -11,7 +11,8 @@
 
 /// The backoff after a first failure, before jitter.
 const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(250);
-/// A call is given up if it has no outcome this long after its wait has ended.
+/// A call without an outcome is given up this long after its wait at the platform
+/// has ended.
 const LOST_CALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// Identifies a call. A read and a watch of the same key are separate calls, so that
--- a/crates/cardamomwinch_coordination/src/control/adoption/confirmation.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/confirmation.rs
@@ -93,7 +93,7 @@
 
     /// Whether to read the platform for this comparison. After a pause, peers get
     /// some time to answer first.
-    pub(crate) fn asks_platform(&self, now: Timestamp) -> bool {
+    pub(crate) fn reads_platform(&self, now: Timestamp) -> bool {
         let delay = match self.cause {
             ConfirmationCause::Start => time::Duration::ZERO,
             ConfirmationCause::Resume => START_WAIT / 2,
@@ -144,16 +144,21 @@
     }
 
     /// Decides whether the comparison is complete. `peers` is the number of other
-    /// listed hosts, or `None` before there is a list. `behind` means that a newer
-    /// root document is known and not yet in force; after a pause the host waits for
-    /// it, but not longer than [`UNCONFIRMED_WAIT`].
-    pub(crate) fn decide(&mut self, now: Timestamp, peers: Option<usize>, behind: bool) {
+    /// listed hosts, or `None` before there is a list. `newer_root_pending` means
+    /// that a newer root document is known and not yet in force; after a pause the
+    /// host waits for it, but not longer than [`UNCONFIRMED_WAIT`].
+    pub(crate) fn decide(
+        &mut self,
+        now: Timestamp,
+        peers: Option<usize>,
+        newer_root_pending: bool,
+    ) {
         if let Some(peers) = peers.filter(|_| !self.done) {
             self.peers_known_since.get_or_insert(now);
             self.done = match self.cause {
                 ConfirmationCause::Start => self.has_support(now) && self.has_waited(now, peers),
                 ConfirmationCause::Resume => {
-                    self.has_support(now) && (!behind || self.is_late(now))
+                    self.has_support(now) && (!newer_root_pending || self.is_late(now))
                 }
             };
         }
--- a/crates/cardamomwinch_coordination/src/control/adoption/exchange.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/exchange.rs
@@ -14,7 +14,8 @@
 
 /// A peer that does not answer within this time is replaced by another one. Queries
 /// and answers get lost, and the last host of a fleet to adopt a change is one that
-/// loses several in a row. A difference that takes longer to send may arrive twice.
+/// loses several in a row. Documents that take longer to send may arrive twice, from
+/// two peers.
 const QUERY_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 /// The most remembered peers that may hold something newer.
 const MAX_AHEAD_PEERS: usize = 4;
@@ -90,8 +91,8 @@
         }
     }
 
-    /// The peer to query now. Only one is queried at a time, so that a large
-    /// difference is not sent by several peers at once.
+    /// The peer to query now. Only one is queried at a time, so that several peers do
+    /// not send the same large documents at once.
     pub(crate) fn next_query(
         &mut self,
         now: Timestamp,
--- a/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
@@ -73,7 +73,7 @@
 pub struct ConfigurationAdoption {
     identity: HostIdentity,
     state: AcceptedState,
-    /// Parts of a difference that is too large for one message. They are merged
+    /// Parts of an offer that is too large for one message. They are merged
     /// into `state` together with the last part, so that no mixture of old and new
     /// fragments comes into force.
     staged: AcceptedState,
@@ -214,8 +214,8 @@
         let confirmed = self.confirmation.is_done();
         // A newer root document is known, but not in force until its fragments
         // were read. Until then the configuration in force is outdated.
-        let behind = self.pending.is_some();
-        self.confirmation.decide(now, peers, behind);
+        let newer_root_pending = self.pending.is_some();
+        self.confirmation.decide(now, peers, newer_root_pending);
         if self.confirmation.is_done() && !confirmed {
             self.exchange.begin_announcing(now);
         }
--- a/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/pending.rs
@@ -43,8 +43,8 @@
         self.root.stamp.revision
     }
 
-    /// Takes over the fragments that were read for an earlier root document.
-    pub(crate) fn take_fragments(&mut self, earlier: Self) {
+    /// Keeps the fragments that were read for an earlier root document.
+    pub(crate) fn reuse_fragments(&mut self, earlier: Self) {
         self.fragments = earlier.fragments;
     }
 
--- a/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
@@ -66,7 +66,7 @@
         peers: &R,
         effects: &mut Vec<AdoptionEffect>,
     ) {
-        if self.confirmation.asks_platform(now) {
+        if self.confirmation.reads_platform(now) {
             if !self.confirmation.has_read_root() {
                 self.call(now, read(PlatformKey::Root), effects);
             }
@@ -89,7 +89,7 @@
 
     /// The teams whose fragments are to be read: those that the pending root
     /// document waits for. If there is none, readers read those whose newest fragment
-    /// is older than the root document in force lists.
+    /// is older than the one listed in the root document in force.
     fn wanted_teams(&self, now: Timestamp, reads: bool) -> Vec<String> {
         if let Some(pending) = &self.pending {
             return pending.wanted(now, &self.state).cloned().collect();
@@ -97,12 +97,12 @@
         let Some(root) = self.state.root.as_ref().filter(|_| reads) else {
             return Vec::new();
         };
-        let behind = root
+        let outdated = root
             .document
             .teams
             .iter()
             .filter(|(team, listed)| self.state.newest_revision(team) < listed.get());
-        behind.map(|(team, _)| team.clone()).collect()
+        outdated.map(|(team, _)| team.clone()).collect()
     }
 
     /// Handles the outcome of a call.
@@ -164,8 +164,8 @@
                 PlatformKey::Team(_) => {}
             }
         }
-        // Counts answers of a platform that has gone back to older documents: their
-        // revision is lower than the accepted one.
+        // Counts answers of a platform that returns older documents than before:
+        // their revision is lower than the accepted one.
         if published.revision < held {
             effects.push(AdoptionEffect::Count(Counter::PlatformStale));
         }
@@ -225,7 +225,7 @@
                 let reads_from = now.after(self.stagger(now, revision, peers));
                 let mut begun = PendingRoot::new(root, now, reads_from);
                 if let Some(earlier) = self.pending.take() {
-                    begun.take_fragments(earlier);
+                    begun.reuse_fragments(earlier);
                 }
                 self.pending = Some(begun);
             }
--- a/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
@@ -56,9 +56,9 @@
         else {
             return;
         };
-        // A third host can acquire the shard and let its lease expire no earlier
-        // than one lease after the release. From then on, records may be missing
-        // here.
+        // The records are valid until one lease after the release. Later, a third
+        // host may have held the shard and let its lease expire, so that records
+        // are missing here.
         let limits = context.limits;
         let valid_until = commit
             .released
@@ -123,11 +123,11 @@
     ///
     /// Guards against a hand-over to a host that has just started and may not acquire
     /// the lease yet, because other hosts may rely on voters that it does not know. If
-    /// the shard was handed over at once, it had no home for four seconds: the requests
-    /// of the holder, from which the new host would have learned that no earlier voters
-    /// count, ended with the hand-over. Callers saw requests with an unknown outcome
-    /// when a host was added. A claimant that learns nothing acquires the lease by
-    /// itself once every host must have adopted the list.
+    /// the shard were handed over at once, it would have no home for four seconds: the
+    /// new host learns from the requests of the holder that no earlier voters count,
+    /// and the holder stops sending requests after the hand-over. Callers would see
+    /// requests with an unknown outcome when a host is added. A claimant that does not
+    /// learn this can acquire the lease once every host must have adopted the list.
     pub(super) fn better_claimant(
         &self,
         now: Timestamp,
--- a/crates/cardamomwinch_coordination/src/control/homes/holders.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/holders.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Hosts of `domain` that may currently receive shards, as this host sees it.
+    /// Hosts of `domain` that may currently receive shards, as known to this host.
     pub fn candidates(
         &self,
         now: Timestamp,
--- a/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
@@ -38,7 +38,7 @@
 pub struct ImportedHandOver {
     /// The commit of the former holder.
     pub commit: HandOverCommit,
-    /// The records are complete from this time on.
+    /// Requests sent before this time may be missing from the records.
     pub records_since: Timestamp,
 }
 
--- a/crates/cardamomwinch_coordination/src/control/homes/leases.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/leases.rs
@@ -1,4 +1,7 @@
 //! The leases that this host requests and holds as a candidate.
+//!
+//! A round is one batch of requests or releases. Rounds are numbered, so that a
+//! grant can be matched with its request.
 
 use std::time;
 
@@ -34,9 +37,10 @@
 pub struct InheritedRecords {
     /// The hand-over.
     pub hand_over: HandOverId,
-    /// The records are complete from this time on.
+    /// Requests sent before this time may be missing from the records.
     pub records_since: Timestamp,
-    /// From this time on another host may have held the shard in between.
+    /// The records are valid until this time. Later, another host may have held
+    /// the shard since the hand-over.
     pub valid_until: Timestamp,
 }
 
@@ -289,7 +293,8 @@
         }
     }
 
-    /// Extends the lease, or acquires it. Returns `true` if it was acquired.
+    /// Extends the lease, or acquires it if `may_begin` is set. Returns `true` if it
+    /// was acquired.
     fn renew(&mut self, now: Timestamp, skew: time::Duration, may_begin: bool) -> bool {
         let running = self.lease.filter(|lease| now < lease.held_until);
         let lease = match running {
@@ -318,9 +323,9 @@
         begun
     }
 
-    /// The time since which the records are complete. Without a hand-over this is
+    /// The time before which records may be missing. Without a hand-over this is
     /// `now` plus the clock skew: an earlier home may have accepted requests until
-    /// just now, by the clock of callers that run ahead.
+    /// now, and the clocks of callers may be ahead by the skew.
     fn records_since(&self, now: Timestamp, skew: time::Duration) -> Timestamp {
         let inherited = self.inherited.filter(|records| now < records.valid_until);
         inherited.map_or(now.after(skew), |records| records.records_since)
--- a/crates/cardamomwinch_coordination/src/control/homes/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/mod.rs
@@ -38,8 +38,8 @@
 pub const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 /// Every host has adopted a new list of hosts within this time. A host that has
 /// just started waits for this time plus one lease before it relies on its own
-/// list alone: a holder that adopted the list late may still hold a lease from
-/// earlier voters until then.
+/// list alone, because a holder that adopted the list late may hold a lease that
+/// earlier voters granted.
 const MAX_ADOPTION_TIME: time::Duration = time::Duration::from_secs(3);
 
 /// The state of the control engine that decisions about homes depend on.
@@ -134,9 +134,11 @@
     host: HostId,
     /// When the last request arrived.
     last_request: Timestamp,
-    /// When the first request arrived after the last one of another host.
+    /// When its first request arrived. Starts again after a request of another
+    /// host.
     first_request: Timestamp,
-    /// Whether the host knows that no lease relies on earlier voters.
+    /// Whether the host reports that only the current voters count; see
+    /// [`voter_sets`].
     settled: bool,
 }
 
@@ -147,7 +149,7 @@
     successor: LeaseSuccessor,
 }
 
-/// The homes of all shards as this host sees them, with its own leases and the
+/// The homes of all shards as known to this host, with its own leases and the
 /// grants that it has made as a voter.
 #[derive(Debug, Default)]
 pub struct HomeTable {
@@ -201,8 +203,8 @@
     /// duration of a lease.
     pub fn note_event(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
         let lease = context.limits.home_lease;
-        let slept = self.started.is_some() && now.since(self.last_event) > lease;
-        if slept {
+        let paused = self.started.is_some() && now.since(self.last_event) > lease;
+        if paused {
             self.leases.give_up_all();
             self.outgoing.abort_all();
             self.incoming.abort_all();
@@ -295,8 +297,9 @@
                     // The sender was the home after any earlier hand-over, so
                     // the records of that hand-over are no longer complete.
                     self.leases.forget_inherited_before(chunk.hand_over);
-                    // The receipt names the last round of this host to the
-                    // holder. No release may be sent in a later round.
+                    // Stops repeating a release of this shard: the receipt names
+                    // the last round of this host, and a release of a later round
+                    // would count as a release of the new grant.
                     self.releases.remove(&chunk.hand_over.shard);
                     let round = self.leases.last_round();
                     self.incoming
--- a/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
@@ -60,7 +60,8 @@
     ///
     /// Guards against a successor that restarts during the hand-over: it has lost
     /// the chunks of its earlier incarnation, so the hand-over would seem complete
-    /// although it is not. It times out instead.
+    /// although it is not. Receipts of the new incarnation are ignored, and the
+    /// hand-over times out.
     fn record_receipt(&mut self, sender: CandidateLife, receipt: ChunkReceipt) -> bool {
         let incarnation = sender.incarnation;
         let known = self.acknowledged_by.unwrap_or(LeaseSuccessor {
@@ -120,9 +121,9 @@
     /// Begins to hand over `shard`.
     ///
     /// Guards against a control thread that is delayed just before it gives up the
-    /// lease while the traffic thread continues: unless the control thread thaws
-    /// the shard, it stays frozen until every lease published before that point
-    /// has expired.
+    /// lease while the traffic thread continues: the shard stays frozen until every
+    /// lease in a published snapshot has expired, unless the control thread thaws it
+    /// before.
     pub fn begin(
         &mut self,
         now: Timestamp,
--- a/crates/cardamomwinch_coordination/src/control/homes/requesting.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/requesting.rs
@@ -102,17 +102,17 @@
             return;
         }
         self.releases.retain(|shard, _| !wanted.contains(shard));
-        let mut asked: SortedVector<HostId, Vec<ShardId>> = SortedVector::new();
+        let mut receivers: SortedVector<HostId, Vec<ShardId>> = SortedVector::new();
         for shard in wanted {
             let holder = self.holders.learned(now, context, *shard);
             let mut hosts = self.leases.voters(*shard);
             hosts.extend(holder.filter(|holder| !hosts.contains(holder)));
             for host in hosts {
-                asked.get_or_insert_with(host, Vec::new).push(*shard);
+                receivers.get_or_insert_with(host, Vec::new).push(*shard);
             }
         }
         let round = self.leases.open_round(now, context.limits);
-        for (host, shards) in asked.iter() {
+        for (host, shards) in receivers.iter() {
             let request = self.leases.request(now, context, round, shards);
             if *host == context.identity.host {
                 self.vote_for_self(now, context, &request, out);
--- a/crates/cardamomwinch_coordination/src/control/homes/views.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/views.rs
@@ -1,5 +1,5 @@
-//! The homes as this host sees them, and the notices about its own shards that
-//! it sends to other failure domains.
+//! The homes as known to this host, and the notices about its own shards that it
+//! sends to other failure domains.
 
 use std::time;
 
@@ -54,8 +54,8 @@
     ///
     /// Guards against datagrams that are relayed to a stopped host until its
     /// heartbeats are missed. Some of them are answers of backend servers, which
-    /// are not sent again. The notice is sent once; a host that does not receive
-    /// it relays to this host until the heartbeats are missed.
+    /// are not sent again. The notice is sent once; a host that does not receive it
+    /// relays to this host until it considers this host unreachable.
     pub(super) fn announce_stop(
         &self,
         now: Timestamp,
--- a/crates/cardamomwinch_coordination/src/control/homes/voter_sets.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/voter_sets.rs
@@ -6,8 +6,8 @@
 //! of earlier voters therefore needs a majority of them as well. It drops a set of
 //! earlier voters once a majority of that set has granted it the shard under a
 //! list that no longer names them as the voters: from then on they refuse every
-//! candidate that goes by an older list. Earlier voters that the current list no
-//! longer contains are ignored.
+//! candidate with an older list. Earlier voters that the current list no longer
+//! contains are ignored.
 
 use cardamomwinch_protocol::peer::homes::EarlierHosts;
 use cardamomwinch_state::prelude::{HostId, HostListVersion, HostTable, ShardId, Timestamp};
@@ -116,12 +116,12 @@
     /// majority of the oldest voters that still count. No other host can have
     /// acquired the lease meanwhile, because that takes their majority too.
     pub fn extendable_until(&self, grants: &[ReceivedGrant]) -> Timestamp {
-        self.granted_until(0, grants)
+        self.set_granted_until(0, grants)
     }
 
     /// Until when the earlier voters at `position`, or the current ones if there
     /// are none at `position`, have granted the shard.
-    fn granted_until(&self, position: usize, grants: &[ReceivedGrant]) -> Timestamp {
+    fn set_granted_until(&self, position: usize, grants: &[ReceivedGrant]) -> Timestamp {
         match self.earlier.get(position) {
             Some(set) => set.granted_until(grants),
             None => majority_until(&self.current, grants),
@@ -139,7 +139,7 @@
                 .filter(|grant| grant.host_list >= oldest.replaced_in)
                 .collect();
             let settled =
-                now < oldest.granted_until(&updated) && now < self.granted_until(1, grants);
+                now < oldest.granted_until(&updated) && now < self.set_granted_until(1, grants);
             if !settled {
                 return;
             }
@@ -154,16 +154,16 @@
             true => self.voters.len(),
             false => ranking::majority(self.voters.len()),
         };
-        granted_until(&self.voters, needed, grants)
+        votes_until(&self.voters, needed, grants)
     }
 }
 
 /// Until when a majority of `voters` has granted the shard.
 fn majority_until(voters: &[HostId], grants: &[ReceivedGrant]) -> Timestamp {
-    granted_until(voters, ranking::majority(voters.len()), grants)
+    votes_until(voters, ranking::majority(voters.len()), grants)
 }
 
-fn granted_until(voters: &[HostId], needed: usize, grants: &[ReceivedGrant]) -> Timestamp {
+fn votes_until(voters: &[HostId], needed: usize, grants: &[ReceivedGrant]) -> Timestamp {
     let mut ends: Vec<Timestamp> = voters
         .iter()
         .filter_map(|voter| grants.iter().find(|grant| grant.voter == *voter))
--- a/crates/cardamomwinch_coordination/src/control/homes/voters.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/voters.rs
@@ -17,12 +17,12 @@
 //! - A release passes the grant on to the successor that it names, and to no
 //!   other host. Any other host may still trust records that it inherited from an
 //!   earlier hand-over, and would run again the requests that were run since.
-//!   That trust ends one lease after that hand-over, and a grant excludes all
-//!   other hosts for the same time.
+//!   Such records are valid for one lease after the hand-over, which is also how
+//!   long a grant excludes other hosts.
 //! - Messages of one host may overtake each other. A delayed release does not
-//!   pass on a grant that its sender requested, or was named for, after it sent
-//!   the release. Requests may arrive in any order, because a grant only adds a
-//!   promise.
+//!   pass on a grant that its sender requested, or received as a named successor,
+//!   after it sent the release. Requests may arrive in any order, because a grant
+//!   only adds a promise.
 
 use std::time;
 
@@ -58,9 +58,9 @@
     /// The latest round in which the holder requested the shard. Releases up to
     /// this round concern earlier grants.
     pub round: LeaseRound,
-    /// Whether the previous holder has named this one as its successor and the
-    /// shard has not been granted to it yet. Its first request is then checked
-    /// like that of any new holder.
+    /// Whether the holder was named as successor by the previous holder and has not
+    /// been granted the shard yet. Its first request is then checked like that of any
+    /// new holder.
     pub is_named: bool,
 }
 
@@ -168,19 +168,19 @@
             return Some(grant);
         }
         let domain = entry.domain;
-        let asked = time::Duration::from_millis(request.lease_millis.into());
-        let until = now.after(asked.min(MAX_GRANT_DURATION));
-        let known = self.domains.get(&domain);
-        let changed = known.map(|known| known.changed_in);
+        let requested = time::Duration::from_millis(request.lease_millis.into());
+        let until = now.after(requested.min(MAX_GRANT_DURATION));
+        let domain_hosts = self.domains.get(&domain);
+        let changed_in = domain_hosts.map(|known| known.changed_in);
         if !request.unsettled.is_empty() {
-            grant.earlier = known.map_or_else(Vec::new, |known| known.earlier.clone());
+            grant.earlier = domain_hosts.map_or_else(Vec::new, |known| known.earlier.clone());
         }
         let may_be_new = ranking::may_hold(entry, domain)
-            && changed.is_some_and(|changed| request.host_list >= changed);
+            && changed_in.is_some_and(|changed_in| request.host_list >= changed_in);
         for index in request.wanted.iter(request.shard_count) {
             let shard = ShardId { domain, index };
             let known = self.grants.get(&shard);
-            let own = known.filter(|known| known.holder == candidate);
+            let own_grant = known.filter(|known| known.holder == candidate);
             let running = known.filter(|known| now < known.until);
             let allowed = running.map_or(may_be_new, |known| {
                 known.holder == candidate && (may_be_new || !known.is_named)
@@ -190,8 +190,8 @@
             }
             let promise = VoterGrant {
                 holder: candidate,
-                until: own.map_or(until, |own| own.until.max(until)),
-                round: own.map_or(request.round, |own| own.round.max(request.round)),
+                until: own_grant.map_or(until, |own| own.until.max(until)),
+                round: own_grant.map_or(request.round, |own| own.round.max(request.round)),
                 is_named: false,
             };
             self.grants.insert(shard, promise);
--- a/crates/cardamomwinch_coordination/tests/adoption_platform.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_platform.rs
@@ -25,7 +25,7 @@
 /// newer version must come into force.
 #[test]
 fn an_older_answer_is_never_adopted() {
-    let mut fleet = TestFleet::settled(NINE, 1);
+    let mut fleet = TestFleet::serving(NINE, 1);
     let old = fleet.platform.copy_of_values();
     fleet.publish_root("peak");
     let list = fleet.shape.host_list(|host| host != 8);
@@ -61,7 +61,7 @@
         domains,
         per_domain,
     };
-    let mut fleet = TestFleet::settled(shape, 2);
+    let mut fleet = TestFleet::serving(shape, 2);
     fleet.platform.set_unavailable(true);
     fleet.run_for(seconds(60));
     fleet.expect_everywhere("ordinary");
@@ -82,7 +82,7 @@
 /// fragments were read.
 #[test]
 fn a_slow_platform_causes_no_mixture_of_documents() {
-    let mut fleet = TestFleet::settled(NINE, 3);
+    let mut fleet = TestFleet::serving(NINE, 3);
     fleet.platform.delay = time::Duration::from_millis(500);
     fleet.run_for(seconds(2));
     let fragment = adoption_support::documents::fragment("search", "desk", 7010, 9010);
@@ -108,7 +108,7 @@
 /// still be switched.
 #[test]
 fn a_root_document_does_not_wait_forever() {
-    let mut fleet = TestFleet::settled(NINE, 4);
+    let mut fleet = TestFleet::serving(NINE, 4);
     let fragment = adoption_support::documents::fragment("search", "desk", 7010, 9010);
     fleet.publish_team("search", &fragment);
     fleet.publish_root("peak");
@@ -128,7 +128,7 @@
 /// documents in force must stay.
 #[test]
 fn missing_keys_change_nothing() {
-    let mut fleet = TestFleet::settled(NINE, 5);
+    let mut fleet = TestFleet::serving(NINE, 5);
     for key in [
         PlatformKey::Root,
         PlatformKey::Hosts,
--- a/crates/cardamomwinch_coordination/tests/adoption_refusal.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_refusal.rs
@@ -18,7 +18,7 @@
     per_domain: 2,
 };
 
-fn settle(fleet: &mut TestFleet) {
+fn run_until_adopted(fleet: &mut TestFleet) {
     fleet.run_for(time::Duration::from_secs(4));
     fleet.expect_same_state();
 }
@@ -49,11 +49,11 @@
 /// platform.
 #[test]
 fn a_malformed_fragment_is_refused_alone() {
-    let mut fleet = TestFleet::settled(SIX, 1);
+    let mut fleet = TestFleet::serving(SIX, 1);
     let bad = fleet.publish_team("vault", "{\"team\": \"vault\",, }");
     fleet.publish_team("search", &documents::fragment("search", "desk", 7005, 9005));
     fleet.publish_root("peak");
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.expect_everywhere("peak");
     for (_, host) in fleet.running() {
         assert_eq!(services(host), ["desk", "docvault"]);
@@ -71,7 +71,7 @@
         &documents::fragment("vault", "docvault", 7006, 9006),
     );
     fleet.publish_root("ordinary");
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     for (_, host) in fleet.running() {
         assert_eq!(refused(host), [], "the repaired fragment is in force");
         assert!(
@@ -89,13 +89,13 @@
 /// cut off.
 #[test]
 fn a_conflicting_fragment_leaves_the_last_accepted_one() {
-    let mut fleet = TestFleet::settled(SIX, 2);
+    let mut fleet = TestFleet::serving(SIX, 2);
     let bad = fleet.publish_team(
         "vault",
         &documents::fragment("vault", "docvault", 7001, 9009),
     );
     fleet.publish_root("peak");
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.expect_everywhere("peak");
     for (_, host) in fleet.running() {
         assert_eq!(services(host), ["desk", "docvault"]);
@@ -113,7 +113,7 @@
     // The other team no longer uses the address, so the fragment can be in force.
     fleet.publish_team("search", &documents::fragment("search", "desk", 7008, 9001));
     fleet.publish_root("ordinary");
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     for (_, host) in fleet.running() {
         assert_eq!(refused(host), []);
         let address = "127.0.0.1:7001".parse().unwrap();
@@ -128,14 +128,14 @@
 #[parameterized(malformed = { "{" }, conflicting = { r#"{"team": "vault", "presets": {}, "services": {"docvault": {
     "address": "127.0.0.1:7001", "backends": {}}}}"# })]
 fn a_host_that_starts_gets_the_last_accepted_fragment_from_peers(bad: &str) {
-    let mut fleet = TestFleet::settled(SIX, 3);
+    let mut fleet = TestFleet::serving(SIX, 3);
     fleet.publish_team("vault", bad);
     fleet.publish_root("peak");
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.crash(1);
     fleet.run_for(time::Duration::from_secs(5));
     fleet.start(1);
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.expect_everywhere("peak");
     assert_eq!(services(&fleet.hosts[1]), ["desk", "docvault"]);
     assert_eq!(refused(&fleet.hosts[1]), refused(&fleet.hosts[0]));
@@ -147,7 +147,7 @@
 #[parameterized(malformed = { Some("[]") }, missing = { None }, conflicting = { Some(r#"{"team": "news",
     "presets": {}, "services": {"notices": {"address": "127.0.0.1:7001", "backends": {}}}}"#) })]
 fn only_the_new_team_is_missing(text: Option<&str>) {
-    let mut fleet = TestFleet::settled(SIX, 4);
+    let mut fleet = TestFleet::serving(SIX, 4);
     let mut teams = fleet.platform.team_revisions();
     teams.push(("news".into(), 3));
     if let Some(text) = text {
@@ -155,7 +155,7 @@
     }
     let revision = fleet.publish(PlatformKey::Root, &documents::root("peak", &teams));
     fleet.published.insert(revision, "peak".into());
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.expect_everywhere("peak");
     for (_, host) in fleet.running() {
         assert_eq!(services(host), ["desk", "docvault"]);
@@ -188,9 +188,9 @@
 /// and the next valid document must come into force.
 #[parameterized(root = { PlatformKey::Root }, hosts = { PlatformKey::Hosts })]
 fn a_malformed_shared_document_changes_nothing(key: PlatformKey) {
-    let mut fleet = TestFleet::settled(SIX, 5);
+    let mut fleet = TestFleet::serving(SIX, 5);
     let revision = fleet.publish(key.clone(), "{\"preset\": ");
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.expect_everywhere("ordinary");
     let readers = fleet.readers();
     assert!(!readers.is_empty());
@@ -204,7 +204,7 @@
     let hosts = fleet.shape.host_list(|_| true);
     fleet.publish(PlatformKey::Hosts, &hosts);
     fleet.publish_root("peak");
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.expect_everywhere("peak");
     for (_, host) in fleet.running() {
         assert_eq!(refused(host), []);
@@ -217,7 +217,7 @@
 /// hosts must have the same configuration in force.
 #[test]
 fn conflicting_fragments_of_two_separated_groups_converge() {
-    let mut fleet = TestFleet::settled(SIX, 6);
+    let mut fleet = TestFleet::serving(SIX, 6);
     fleet.cut = Box::new(|from, to| (from < 2) != (to < 2));
     fleet.cut_platform(|host| host < 2);
     fleet.publish_team(
@@ -232,7 +232,7 @@
     fleet.cut_platform(|host| host >= 2);
     fleet.run_for(time::Duration::from_secs(12));
     fleet.cut = Box::new(|_, _| false);
-    settle(&mut fleet);
+    run_until_adopted(&mut fleet);
     fleet.expect_everywhere("maintenance");
     let first = fleet.hosts[0].snapshot.configuration.clone();
     for (_, host) in fleet.running() {
--- a/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_spreading.rs
@@ -29,7 +29,7 @@
 /// because the only message that announced the new one to it was lost.
 #[parameterized(calm = { 1, 0.0, 2 }, lossy = { 2, 0.05, 20 }, lossier = { 3, 0.2, 60 }, other_seed = { 4, 0.2, 60 })]
 fn a_switch_is_in_force_on_every_host(seed: u64, loss: f64, delay: u64) {
-    let mut fleet = TestFleet::settled(NINE, seed);
+    let mut fleet = TestFleet::serving(NINE, seed);
     fleet.loss = loss;
     fleet.delay = time::Duration::from_millis(delay);
     for preset in ["peak", "ordinary", "maintenance"] {
@@ -46,7 +46,7 @@
 /// change.
 #[parameterized(at_once = { 1, 0 }, while_reading = { 2, 6 }, while_announcing = { 3, 12 }, later = { 4, 40 })]
 fn a_change_survives_a_crash_of_its_readers(seed: u64, after: u64) {
-    let mut fleet = TestFleet::settled(NINE, seed);
+    let mut fleet = TestFleet::serving(NINE, seed);
     let readers = fleet.readers();
     assert_eq!(readers.len(), 6);
     fleet.publish_team("search", &documents::fragment("search", "desk", 7001, 9101));
@@ -70,7 +70,7 @@
         domains: 3,
         per_domain: 8,
     };
-    let mut fleet = TestFleet::settled(shape, 5);
+    let mut fleet = TestFleet::serving(shape, 5);
     assert_eq!(fleet.readers().len(), 6);
     let from = fleet.now;
     fleet.run_for(time::Duration::from_secs(60));
@@ -84,7 +84,7 @@
 /// must send it the changes.
 #[test]
 fn a_domain_without_the_platform_learns_from_the_others() {
-    let mut fleet = TestFleet::settled(NINE, 6);
+    let mut fleet = TestFleet::serving(NINE, 6);
     fleet.cut_platform(|host| host < 3);
     fleet.run_for(time::Duration::from_secs(2));
     fleet.publish_root("peak");
@@ -96,7 +96,7 @@
 /// configuration, and its old one must not spread to the others.
 #[test]
 fn a_domain_that_was_cut_off_catches_up() {
-    let mut fleet = TestFleet::settled(NINE, 7);
+    let mut fleet = TestFleet::serving(NINE, 7);
     fleet.cut_platform(|host| host < 3);
     fleet.cut = Box::new(|from, to| (from < 3) != (to < 3));
     fleet.publish_root("peak");
@@ -120,7 +120,7 @@
 /// hosts would keep an earlier preset.
 #[parameterized(one = { 8, 0 }, two = { 9, 3 }, three = { 10, 30 }, four = { 11, 300 })]
 fn the_last_of_two_racing_switches_wins(seed: u64, apart: u64) {
-    let mut fleet = TestFleet::settled(NINE, seed);
+    let mut fleet = TestFleet::serving(NINE, seed);
     fleet.loss = 0.1;
     fleet.delay = time::Duration::from_millis(50);
     for preset in ["peak", "maintenance", "peak", "ordinary", "maintenance"] {
@@ -138,7 +138,7 @@
 /// changes, and must end with the same list as all others.
 #[test]
 fn lists_of_hosts_spread_like_presets() {
-    let mut fleet = TestFleet::settled(NINE, 12);
+    let mut fleet = TestFleet::serving(NINE, 12);
     fleet.loss = 0.1;
     for gone in [8, 2, 5] {
         let list = fleet.shape.host_list(|host| host != gone);
--- a/crates/cardamomwinch_coordination/tests/adoption_starting.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_starting.rs
@@ -39,7 +39,7 @@
 /// running host must never have some of the parts in force without the others.
 #[test]
 fn a_large_configuration_comes_in_parts() {
-    let mut fleet = TestFleet::settled(NINE, 15);
+    let mut fleet = TestFleet::serving(NINE, 15);
     for (index, team) in ["search", "vault", "news", "desk"].iter().enumerate() {
         let port = 7100 + index as u16;
         let service = format!("{team}-service");
@@ -68,7 +68,7 @@
 /// list of hosts and knows no peer, so its peers must contact it.
 #[parameterized(calm = { 1, 0.0 }, lossy = { 2, 0.1 })]
 fn a_host_starts_from_peers_alone(seed: u64, loss: f64) {
-    let mut fleet = TestFleet::settled(NINE, seed);
+    let mut fleet = TestFleet::serving(NINE, seed);
     fleet.loss = loss;
     fleet.platform.set_unavailable(true);
     for host in 0..9 {
@@ -83,7 +83,7 @@
 /// would be cut off although that server still has their flow.
 #[parameterized(calm = { 21, 0.0 }, lossy = { 22, 0.1 })]
 fn a_rolling_restart_keeps_the_earlier_tables(seed: u64, loss: f64) {
-    let mut fleet = TestFleet::settled(NINE, seed);
+    let mut fleet = TestFleet::serving(NINE, seed);
     let old = fleet.hosts[0].snapshot.configuration.backends.clone();
     for port in [9101, 9102] {
         fleet.publish_team("search", &documents::fragment("search", "desk", 7001, port));
@@ -113,7 +113,7 @@
 /// start from the platform alone after a short wait for peers.
 #[test]
 fn a_host_starts_from_the_platform_alone() {
-    let mut fleet = TestFleet::settled(NINE, 3);
+    let mut fleet = TestFleet::serving(NINE, 3);
     fleet.publish_root("peak");
     fleet.cut = Box::new(|_, _| true);
     restart(&mut fleet, 4);
@@ -127,7 +127,7 @@
         domains: 1,
         per_domain: 1,
     };
-    TestFleet::settled(shape, 4);
+    TestFleet::serving(shape, 4);
 }
 
 /// Guards against hosts that wait for each other when the whole fleet starts at once.
@@ -137,7 +137,7 @@
         domains: 4,
         per_domain: 10,
     };
-    let fleet = TestFleet::settled(shape, 5);
+    let fleet = TestFleet::serving(shape, 5);
     fleet.expect_same_state();
 }
 
@@ -146,7 +146,7 @@
 /// to backend servers that had been removed hours before.
 #[parameterized(near = { 6, 2 }, far = { 7, 60 }, lossy = { 8, 20 })]
 fn a_starting_host_adopts_the_newest_version(seed: u64, delay: u64) {
-    let mut fleet = TestFleet::settled(NINE, seed);
+    let mut fleet = TestFleet::serving(NINE, seed);
     let old = fleet.platform.copy_of_values();
     fleet.publish_root("peak");
     fleet.run_for(seconds(3));
@@ -164,7 +164,7 @@
 /// change to them.
 #[test]
 fn a_starting_host_announces_a_newer_version() {
-    let mut fleet = TestFleet::settled(NINE, 9);
+    let mut fleet = TestFleet::serving(NINE, 9);
     fleet.cut_platform(|host| host != 0);
     fleet.crash(0);
     fleet.publish_root("peak");
@@ -185,7 +185,7 @@
     platform_down: bool,
     peers_cut: bool,
 ) {
-    let mut fleet = TestFleet::settled(NINE, seed);
+    let mut fleet = TestFleet::serving(NINE, seed);
     fleet.pause(4, seconds(30));
     fleet.run_for(seconds(10));
     fleet.publish_root("peak");
@@ -212,7 +212,7 @@
 /// the platform: addresses may have been reassigned to other servers meanwhile.
 #[test]
 fn a_paused_host_without_any_answer_does_not_serve() {
-    let mut fleet = TestFleet::settled(NINE, 13);
+    let mut fleet = TestFleet::serving(NINE, 13);
     fleet.pause(4, seconds(30));
     fleet.run_for(seconds(10));
     fleet.platform.set_unavailable(true);
@@ -232,7 +232,7 @@
 /// each other.
 #[test]
 fn a_domain_that_was_paused_as_a_whole_serves_again() {
-    let mut fleet = TestFleet::settled(NINE, 14);
+    let mut fleet = TestFleet::serving(NINE, 14);
     for host in 0..3 {
         fleet.pause(host, seconds(20));
     }
@@ -256,7 +256,7 @@
 #[parameterized(first = { 1 }, second = { 3 }, third = { 4 }, fourth = { 5 }, fifth = { 7 }, sixth = { 9 })]
 fn an_answer_from_before_a_pause_does_not_count(after: u64) {
     for seed in 20..26 {
-        let mut fleet = TestFleet::settled(NINE, seed);
+        let mut fleet = TestFleet::serving(NINE, seed);
         let paused = (0..9).find(|host| !fleet.readers().contains(host)).unwrap();
         fleet.publish_root("peak");
         fleet.run_for(time::Duration::from_millis(after));
@@ -281,7 +281,7 @@
 #[test]
 fn a_platform_answer_from_before_a_pause_does_not_count() {
     for after in [1, 2, 3, 4, 6] {
-        let mut fleet = TestFleet::settled(NINE, 30 + after);
+        let mut fleet = TestFleet::serving(NINE, 30 + after);
         fleet.cut = Box::new(|_, _| true);
         fleet.crash(4);
         fleet.run_for(seconds(2));
--- a/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/adoption_support/mod.rs
@@ -155,7 +155,7 @@
     }
 
     /// Creates a fleet in which every host serves under the preset "ordinary".
-    pub fn settled(shape: FleetShape, seed: u64) -> Self {
+    pub fn serving(shape: FleetShape, seed: u64) -> Self {
         let mut fleet = Self::new(shape, seed);
         fleet.publish_ordinary("ordinary");
         for host in 0..fleet.hosts.len() {
--- a/crates/cardamomwinch_coordination/tests/homes_cost.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_cost.rs
@@ -22,7 +22,7 @@
 /// Bytes per second that a host may send for leases, headers included.
 const BUDGET: usize = 700;
 
-fn settled(seed: u64) -> SimulatedNetwork {
+fn with_all_homes(seed: u64) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(seed, NINE, SHARDS);
     let all: Vec<usize> = (0..NINE.len()).collect();
     network.publish(&all, &[]);
@@ -41,7 +41,7 @@
 /// the budget.
 #[test]
 fn leases_cost_no_more_than_their_budget() {
-    let mut network = settled(1);
+    let mut network = with_all_homes(1);
     network.counting = true;
     let seconds = 60;
     network.advance(seconds as u64 * 1_000_000);
@@ -65,7 +65,7 @@
 #[test]
 fn a_stop_hands_over_every_shard_and_a_start_gets_them_back() {
     for seed in 0..10 {
-        let mut network = settled(seed);
+        let mut network = with_all_homes(seed);
         let domain = DomainId::from_name("bud-angyal");
         let shards: Vec<ShardId> = (0..SHARDS).map(|index| ShardId { domain, index }).collect();
         let held: Vec<ShardId> = shards
--- a/crates/cardamomwinch_coordination/tests/homes_hand_over.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_hand_over.rs
@@ -151,8 +151,8 @@
         let datagram: BackendDatagram<'_> = codec::decode(bytes).unwrap();
         if datagram.kind == BackendKind::Open {
             // A server confirms that it has opened a flow, and the host answers the
-            // caller. The confirmation always goes to the first host, so that it
-            // takes no random number.
+            // caller. The confirmation always goes to the first host, so that no
+            // random number is drawn for it.
             let up = (0..HOSTS.len()).find(|host| self.network.is_up(*host));
             let host = up.unwrap();
             let reply = BackendReply {
--- a/crates/cardamomwinch_coordination/tests/homes_leases.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_leases.rs
@@ -25,9 +25,9 @@
 const DOMAIN_HOSTS: std::ops::Range<usize> = 0..5;
 const SHARDS: u16 = 2;
 const STEP: u64 = 25_000;
-/// A host that has just started relies on its own list only after all running
-/// hosts have adopted it. This takes 3 s, less the difference of two clocks; the
-/// host waits for one lease more.
+/// Running hosts must adopt a list at most this long after a host has started with
+/// it, in microseconds: 3 s less the difference of two clocks. The started host waits
+/// for one lease more before it relies on its own list.
 const MAX_LIST_LAG: u64 = 2_900_000;
 
 /// The totals of a run.
@@ -151,10 +151,10 @@
         }
     }
 
-    /// Starts a host with the newest list. Does nothing if a running host of the
-    /// domain will adopt that list later than a starting host waits for: if the
-    /// voters had just started as well, no host could report the earlier voters to
-    /// it (docs/design/home-leases.md, what cannot hold).
+    /// Starts a host with the newest list. Does nothing if a running host will adopt
+    /// that list only after a starting host has stopped waiting: if the voters had
+    /// just started as well, no host could report the earlier voters to it
+    /// (docs/design/home-leases.md, what cannot hold).
     fn start(&mut self, host: usize) {
         let limit = self.network.now + MAX_LIST_LAG;
         let mut pending = self.due.iter();
@@ -390,7 +390,7 @@
             .map(|host| (random.random_range(0..24), *host))
             .collect();
         turns.sort_unstable();
-        let mut homeless = 0;
+        let mut gap = 0;
         for step in 0..320 {
             while let Some((_, host)) = turns.pop_if(|(turn, _)| 24 - *turn <= step) {
                 if host == 2 {
@@ -400,12 +400,12 @@
                 }
             }
             network.advance(25_000);
-            homeless = if network.all_held(domain, 8) {
+            gap = if network.all_held(domain, 8) {
                 0
             } else {
-                homeless + 25
+                gap + 25
             };
-            longest = longest.max((homeless, seed));
+            longest = longest.max((gap, seed));
         }
     }
     let (millis, seed) = longest;
--- a/crates/cardamomwinch_coordination/tests/homes_releases.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_releases.rs
@@ -147,8 +147,8 @@
 /// shard, and its commit reaches the successor late. A third host, which received
 /// the records of an earlier hand-over, requests the lease first. It would assume
 /// that its records are complete and run a request again. This happened when a
-/// release freed the shard for any host: mistake `ReleasedToAnybody` of the
-/// specification.
+/// release freed the shard for any host: the mistake `ReleasedToAnybody` of the
+/// specification in the crate cardamomwinch_model.
 #[test]
 fn released_shard_is_granted_to_the_named_successor_alone() {
     let mut bench = VoterBench::new();
