--- a/crates/cardamomwinch_coordination/tests/homes_hand_over.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_hand_over.rs
@@ -22,7 +22,7 @@
 const SHARDS: u16 = 4;
 
 /// Hosts, backend servers and callers.
-struct TestBench {
+struct NetworkBench {
     network: SimulatedNetwork,
     /// How many times each request was run.
     runs: BTreeMap<RequestId, u32>,
@@ -46,7 +46,7 @@
     }
 }
 
-impl TestBench {
+impl NetworkBench {
     fn new(seed: u64, slots: u32) -> Self {
         Self::with_limits(seed, slots, 2_000, 2_000)
     }
@@ -264,7 +264,7 @@
 /// home knew that the request was running when it stopped.
 #[test]
 fn a_request_that_runs_during_a_stop_is_not_run_again() {
-    let mut bench = TestBench::new(1, 2);
+    let mut bench = NetworkBench::new(1, 2);
     let flow = bench.open(1);
     let home = bench.home(&flow);
     bench.service_time = Some(1_000_000);
@@ -314,7 +314,7 @@
 /// is taken, or sends twice.
 #[test]
 fn a_request_that_waits_during_a_stop_runs_once_at_the_next_home() {
-    let mut bench = TestBench::new(2, 1);
+    let mut bench = NetworkBench::new(2, 1);
     let flow = bench.open(1);
     let home = bench.home(&flow);
     // Shorter than the half second that a request may wait for a slot.
@@ -348,7 +348,7 @@
 #[test]
 fn an_answer_by_another_domain_just_after_a_stop_reaches_the_next_home() {
     for seed in 20..30 {
-        let mut bench = TestBench::new(seed, 1);
+        let mut bench = NetworkBench::new(seed, 1);
         let flow = bench.open(1);
         let home = bench.home(&flow);
         // Longer than the test: the answer is delivered by hand below.
@@ -396,7 +396,7 @@
 /// without a hand-over.
 #[test]
 fn a_request_of_a_home_that_crashed_is_answered_as_unknown() {
-    let mut bench = TestBench::new(3, 2);
+    let mut bench = NetworkBench::new(3, 2);
     let flow = bench.open(1);
     let home = bench.home(&flow);
     bench.service_time = None;
@@ -423,7 +423,7 @@
 /// exactly the flows that it has.
 #[test]
 fn flows_not_on_the_server_of_the_table_keep_their_servers() {
-    let mut bench = TestBench::with_limits(4, 2, 3, 2_000);
+    let mut bench = NetworkBench::with_limits(4, 2, 3, 2_000);
     let mut pins = BTreeMap::new();
     for number in 0..60 {
         let datagram = CallerDatagram {
@@ -467,7 +467,7 @@
     }
 }
 
-fn check_flows(bench: &mut TestBench, pins: &BTreeMap<FlowKey, BackendId>) {
+fn check_flows(bench: &mut NetworkBench, pins: &BTreeMap<FlowKey, BackendId>) {
     bench.network.outgoing.clear();
     for (flow, backend) in pins {
         let host = bench.any_host();
@@ -501,7 +501,7 @@
 /// hand-overs are aborted because acknowledgements are missing.
 #[test]
 fn an_aborted_hand_over_leaves_everything_with_the_home() {
-    let mut bench = TestBench::with_limits(5, 1, 2_000, 5_000);
+    let mut bench = NetworkBench::with_limits(5, 1, 2_000, 5_000);
     let flow = bench.open(1);
     let home = bench.home(&flow);
     bench.service_time = Some(300_000);
@@ -536,7 +536,7 @@
 /// into the hand-over.
 #[test]
 fn requests_that_do_not_fit_into_a_hand_over_do_not_run_again() {
-    let mut bench = TestBench::with_limits(6, 1_000, 2_000, 10_000);
+    let mut bench = NetworkBench::with_limits(6, 1_000, 2_000, 10_000);
     // No delay, so that none of the many chunks overtakes another and is sent again.
     bench.network.faults.delay = 0;
     let flow = bench.open(1);
@@ -550,7 +550,7 @@
         })
         .collect();
     let token = bench.tokens.get(&flow).copied();
-    let send_all = |bench: &mut TestBench, host: usize| {
+    let send_all = |bench: &mut NetworkBench, host: usize| {
         for header in &headers {
             let datagram = CallerDatagram::carry(flow, token, &payload).with_request(*header);
             bench.network.fabric(host, FabricDatagram::Caller(datagram));
@@ -578,7 +578,7 @@
 fn nothing_runs_twice_while_homes_move() {
     let mut totals = (0, 0, 0, 0);
     for seed in 100..130 {
-        let mut bench = TestBench::new(seed, 2);
+        let mut bench = NetworkBench::new(seed, 2);
         bench.network.faults = Faults {
             loss: 0.03,
             doubled: 0.05,
@@ -637,7 +637,7 @@
 }
 
 /// Stops or crashes one host at a time, and starts it again after three seconds.
-fn replace(bench: &mut TestBench, stopping: Option<(usize, u64)>) -> Option<(usize, u64)> {
+fn replace(bench: &mut NetworkBench, stopping: Option<(usize, u64)>) -> Option<(usize, u64)> {
     let now = bench.network.now;
     match stopping {
         None if bench.network.rng.random_bool(0.02) => {
