--- a/crates/cardamomwinch_coordination/src/control/health/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/mod.rs
@@ -5,8 +5,8 @@
 //! Both endpoint and traffic may mislead; what the home observes itself takes precedence. A
 //! server that answers requests is healthy, whatever its endpoint reports. A server that
 //! leaves requests unanswered, while others of its failure domain answer, is ejected: it
-//! gets no new flows, but keeps those it has. If no server of a domain answers, the fault
-//! is probably in between, and none is ejected.
+//! gets no new flows, but keeps those it has. If no server of a domain answers, the network
+//! between them and this host is probably at fault, and none is ejected.
 
 pub mod observation;
 pub(crate) mod probing;
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/mod.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/mod.rs
@@ -1,8 +1,8 @@
 //! Keeps the routes and servers that this host knows, learned from the store and from
 //! peers.
 //!
-//! Configuration versions and directory revisions only rise. The higher one wins, whether
-//! it comes from the store or from a peer that read the store.
+//! Configuration versions and directory revisions only increase. The higher one applies,
+//! whether it comes from the store or from a peer that read the store.
 
 pub mod own_servers;
 mod peer_exchange;
@@ -44,11 +44,11 @@
 
 /// How often a host that learns from another host checks whether it must read the store
 /// itself, because it has become a reader that other hosts depend on.
-const SOURCE_PERIOD: time::Duration = time::Duration::from_millis(300);
+const SOURCE_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
 /// How often a starting host checks whether another host has sent it everything, or whether
 /// it has to read the store after all.
-const START_PERIOD: time::Duration = time::Duration::from_millis(20);
+const START_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// Settings of a [`BeliefEngine`].
 #[derive(Debug, Clone)]
@@ -65,7 +65,7 @@
     pub flow_lifetime: time::Duration,
     /// How long the store holds a watch open until there is a change.
     pub watch_wait: time::Duration,
-    /// The most servers in one part of the full server list.
+    /// The maximum number of servers in one part of the full server list.
     pub list_part: usize,
 }
 
@@ -174,8 +174,8 @@
     store_failed_at: Option<Timestamp>,
     reader: StoreReader,
     peers: PeerList,
-    choice: SourceChoice,
-    start: StartupPlan,
+    source_choice: SourceChoice,
+    startup_plan: StartupPlan,
     transfer_slots: TransferSlots,
     /// The full server list that this host sends to hosts without data, or that it is
     /// receiving.
@@ -185,7 +185,7 @@
     /// The host to query next, as named by a host that was serving too many others.
     redirected_to: Option<net::SocketAddr>,
     source: ReadSource,
-    pause: time::Duration,
+    query_pause: time::Duration,
     /// Whether a peer has sent the servers that left before this host started.
     knows_left_servers: bool,
     /// The revision known when the last query was sent.
@@ -194,7 +194,7 @@
     queried_at: Option<Timestamp>,
     /// When the store sent the first page of the listing that is being read.
     listing_sent_at: Option<Timestamp>,
-    hosts_sent_at: Option<Timestamp>,
+    host_list_sent_at: Option<Timestamp>,
     /// Whether the last peer that answered knows other hosts than this one.
     knows_other_hosts: bool,
     own_services: OwnServices,
@@ -210,8 +210,8 @@
     /// Creates the engine of a host that has just started and has no data.
     pub fn new(settings: BeliefSettings, jitter_seed: u64) -> Self {
         let peers = PeerList::new(settings.address, settings.domain, &settings.seeds);
-        let is_named = settings.seeds.contains(&settings.address);
-        let queries_others = !is_named && !settings.seeds.is_empty();
+        let is_seed = settings.seeds.contains(&settings.address);
+        let queries_others = !is_seed && !settings.seeds.is_empty();
         Self {
             routes: sync::Arc::default(),
             directory: sync::Arc::default(),
@@ -221,19 +221,22 @@
             store_failed_at: None,
             reader: StoreReader::new(settings.watch_wait, jitter_seed),
             peers,
-            choice: SourceChoice::new(settings.address),
-            start: StartupPlan::new(peer_list::order_number(settings.address), queries_others),
+            source_choice: SourceChoice::new(settings.address),
+            startup_plan: StartupPlan::new(
+                peer_list::order_number(settings.address),
+                queries_others,
+            ),
             transfer_slots: TransferSlots::default(),
             server_list: ServerList::default(),
             previous_list: ServerList::default(),
             redirected_to: None,
             source: ReadSource::Store,
-            pause: peer_exchange::IDLE_PAUSE,
+            query_pause: peer_exchange::IDLE_PAUSE,
             knows_left_servers: false,
             queried_revision: StoreRevision::ZERO,
             queried_at: None,
             listing_sent_at: None,
-            hosts_sent_at: None,
+            host_list_sent_at: None,
             knows_other_hosts: true,
             own_services: OwnServices::default(),
             reports: sync::Arc::default(),
@@ -259,8 +262,8 @@
         }
     }
 
-    /// This host's share of the flows that cold servers accept. It is unknown while peers
-    /// may know hosts that this one does not.
+    /// This host's share of the new flows of cold servers; `None` while peers may know
+    /// hosts that this one does not.
     fn cold_share(&self) -> Option<ColdShare> {
         let knows_hosts = !self.knows_other_hosts || self.settings.seeds.is_empty();
         knows_hosts.then(|| ColdShare {
@@ -313,17 +316,19 @@
         self.choose_source(now);
         let age = now.since(self.as_of);
         if self.waits_for_server_list(now) {
-            return StoreCall::Pause(START_PERIOD);
+            return StoreCall::Pause(START_CHECK_INTERVAL);
         }
         if self.has_no_data() {
             return self.reader.next_call(age);
         }
         let watching = self.reader.is_watching();
         let may_skip_watch =
-            self.start.may_skip_watch(age, now) && self.store_failing_since.is_none();
+            self.startup_plan.may_skip_watch(age, now) && self.store_failing_since.is_none();
         match self.source {
-            ReadSource::Host(_) if watching => StoreCall::Pause(SOURCE_PERIOD),
-            ReadSource::Store if watching && may_skip_watch => StoreCall::Pause(SOURCE_PERIOD),
+            ReadSource::Host(_) if watching => StoreCall::Pause(SOURCE_CHECK_INTERVAL),
+            ReadSource::Store if watching && may_skip_watch => {
+                StoreCall::Pause(SOURCE_CHECK_INTERVAL)
+            }
             _ => self.reader.next_call(age),
         }
     }
@@ -331,12 +336,12 @@
     /// Whether this host waits for others to send it the server list, instead of listing
     /// the store.
     fn waits_for_server_list(&mut self, now: Timestamp) -> bool {
-        if !self.start.waits_for_listing(now) {
+        if !self.startup_plan.waits_for_listing(now) {
             return self.has_no_data()
-                && self.start.waits_for_hosts(now)
+                && self.startup_plan.waits_for_hosts(now)
                 && self.peers.seed_may_answer();
         }
-        self.has_no_data() || self.choice.host_to_query(&self.peers, now).is_some()
+        self.has_no_data() || self.source_choice.host_to_query(&self.peers, now).is_some()
     }
 
     /// Whether neither the store nor a peer has provided any data yet.
@@ -345,9 +350,9 @@
     }
 
     fn choose_source(&mut self, now: Timestamp) {
-        let host = self.choice.host_to_query(&self.peers, now);
+        let host = self.source_choice.host_to_query(&self.peers, now);
         let age = now.since(self.as_of);
-        let usable = host.filter(|_| !self.choice.must_read_store(age));
+        let usable = host.filter(|_| !self.source_choice.must_read_store(age));
         let source = usable.map_or(ReadSource::Store, ReadSource::Host);
         if source != self.source {
             self.source = source;
@@ -378,10 +383,10 @@
             StoreOutcome::Failed => self.note_store_failure(now),
             _ => self.note_store_answer(now),
         }
-        let follows = self.choice.host_to_query(&self.peers, now).is_some();
+        let has_source = self.source_choice.host_to_query(&self.peers, now).is_some();
         self.adopt_listed_routes(&outcome);
         let had_no_data = self.has_no_data();
-        if let Some(step) = self.reader.handle(outcome, follows) {
+        if let Some(step) = self.reader.handle(outcome, has_source) {
             self.apply_step(now, sent_at, step);
         }
         if had_no_data && !self.has_no_data() {
@@ -449,7 +454,7 @@
         });
     }
 
-    /// Drops what has expired. To be called every 500 ms.
+    /// Removes expired entries. Must be called every 500 ms.
     pub fn tick(&mut self, now: Timestamp) {
         let lifetime = self.settings.flow_lifetime;
         if self.directory.evacuations().has_missing() {
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_exchange.rs
@@ -36,18 +36,18 @@
 /// How often a host may exchange lists of known hosts with another one. A list takes up to
 /// three kilobytes. It is sent only if the two know different hosts; readers check at this
 /// interval whether they do.
-const HOST_EXCHANGE_PERIOD: time::Duration = time::Duration::from_secs(3);
+const HOST_LIST_INTERVAL: time::Duration = time::Duration::from_secs(3);
 
-/// How long a query of a host without data may wait at a peer that has just started, too.
-/// The host can query no other peer meanwhile.
+/// How long a query of a host without data may wait at a peer that has no data either.
+/// Until then the host can query no other peer.
 const START_WAIT: time::Duration = time::Duration::from_millis(300);
 /// The pause between two queries of a host without data that was not redirected.
 const START_PAUSE: time::Duration = time::Duration::from_millis(10);
 /// How often hosts exchange lists of known hosts while the last queried peer knows other
 /// hosts. Until the lists agree, too many hosts act as readers.
-const DIFFERING_EXCHANGE_PERIOD: time::Duration = time::Duration::from_millis(800);
+const DIFFERING_LIST_INTERVAL: time::Duration = time::Duration::from_millis(800);
 /// The same in the first seconds after a start, when all hosts are finding their source.
-const STARTUP_EXCHANGE_PERIOD: time::Duration = time::Duration::from_millis(300);
+const STARTUP_LIST_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
 /// How much an answer contains.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 
 impl AnswerExtent {
     /// Whether the answer includes routes and evacuations.
-    const fn includes_rest(&self) -> bool {
+    const fn includes_routes(&self) -> bool {
         match self {
             Self::Nothing { .. } => false,
             Self::Difference => true,
@@ -81,10 +81,10 @@
     /// Readers also query from time to time to learn of other hosts.
     pub fn next_peer(&mut self, now: Timestamp) -> Option<(net::SocketAddr, PeerQuestion)> {
         self.choose_source(now);
-        let hosts_due = self.hosts_are_due(now);
-        let (peer, wait) = self.peer_to_query(now, hosts_due)?;
-        let hosts = if hosts_due {
-            self.hosts_sent_at = Some(now);
+        let host_list_due = self.host_list_is_due(now);
+        let (peer, wait) = self.peer_to_query(now, host_list_due)?;
+        let hosts = if host_list_due {
+            self.host_list_sent_at = Some(now);
             self.hosts_to_send()
         } else {
             Vec::new()
@@ -110,13 +110,13 @@
     }
 
     /// Whether it is time to exchange lists of known hosts.
-    fn hosts_are_due(&mut self, now: Timestamp) -> bool {
+    fn host_list_is_due(&mut self, now: Timestamp) -> bool {
         let period = match self.knows_other_hosts {
-            true if self.start.is_starting(now) => STARTUP_EXCHANGE_PERIOD,
-            true => DIFFERING_EXCHANGE_PERIOD,
-            false => HOST_EXCHANGE_PERIOD,
+            true if self.startup_plan.is_starting(now) => STARTUP_LIST_INTERVAL,
+            true => DIFFERING_LIST_INTERVAL,
+            false => HOST_LIST_INTERVAL,
         };
-        let sent_at = self.hosts_sent_at;
+        let sent_at = self.host_list_sent_at;
         sent_at.is_none_or(|at| now.since(at) >= period)
     }
 
@@ -124,7 +124,7 @@
     fn peer_to_query(
         &mut self,
         now: Timestamp,
-        hosts_due: bool,
+        host_list_due: bool,
     ) -> Option<(net::SocketAddr, time::Duration)> {
         if let Some(host) = self.redirected_to.take() {
             return Some((host, START_WAIT));
@@ -138,13 +138,13 @@
             return Some((self.peers.next_seed()?, START_WAIT));
         }
         let starting = !self.knows_left_servers;
-        let source = self.choice.host_to_query(&self.peers, now);
+        let source = self.source_choice.host_to_query(&self.peers, now);
         if let Some(host) = source.filter(|_| !starting) {
             return Some((host, QUERY_WAIT));
         }
         let host = if starting || self.store_failing_since.is_some() {
             self.peers.next_in_rotation()
-        } else if hosts_due || self.start.is_starting(now) {
+        } else if host_list_due || self.startup_plan.is_starting(now) {
             self.peers.next_for_own_domain()
         } else {
             None
@@ -162,13 +162,13 @@
 
     /// How long to pause before the next query to a peer.
     pub const fn peer_pause(&self) -> time::Duration {
-        self.pause
+        self.query_pause
     }
 
     /// Handles the answer of `peer`, or its absence.
     pub fn handle_peer(&mut self, now: Timestamp, peer: net::SocketAddr, answer: Option<PeerWord>) {
-        let follows = self.choice.host_to_query(&self.peers, now) == Some(peer);
-        let is_useful = follows && self.choice.note_answer(now, answer.as_ref());
+        let is_source = self.source_choice.host_to_query(&self.peers, now) == Some(peer);
+        let is_useful = is_source && self.source_choice.note_answer(now, answer.as_ref());
         let previous_as_of = self.as_of;
         let reported = self.apply_reports_of(now, peer, answer.as_ref());
         match answer {
@@ -180,13 +180,13 @@
         }
         // A peer that answers at once without anything new has too many waiting queries.
         let learned = self.as_of >= previous_as_of.after(MIN_ADVANCE);
-        self.pause = match self.choice.host_to_query(&self.peers, now) {
+        self.query_pause = match self.source_choice.host_to_query(&self.peers, now) {
             _ if self.redirected_to.is_some() => time::Duration::ZERO,
             _ if self.has_no_data() => START_PAUSE,
             None => IDLE_PAUSE,
             Some(_) if is_useful && learned => QUERY_PAUSE,
             Some(_) if is_useful && reported => REPORT_PAUSE,
-            Some(_) if is_useful && self.start.waits_for_listing(now) => LISTING_PAUSE,
+            Some(_) if is_useful && self.startup_plan.waits_for_listing(now) => LISTING_PAUSE,
             Some(_) if is_useful => IDLE_PAUSE,
             Some(_) => USELESS_ANSWER_PAUSE,
         };
@@ -204,7 +204,7 @@
         self.store_failed_at = self.store_failed_at.max(store_failed_at);
         let revision = answer.revision;
         if let Some(ago) = answer.listing_age {
-            self.start.note_listing(now.before(ago));
+            self.startup_plan.note_listing(now.before(ago));
         }
         let servers = answer.servers.into_iter();
         let mut servers: Vec<_> = servers.map(|server| server.into_record(now)).collect();
@@ -219,7 +219,7 @@
             // The next query asks for the next part, for later changes, or for the whole
             // list again.
             self.redirected_to = Some(peer);
-            self.start.note_listing(now);
+            self.startup_plan.note_listing(now);
             if !fits {
                 self.server_list = ServerList::default();
                 return;
@@ -228,9 +228,8 @@
         }
         if revision == StoreRevision::ZERO {
             if answer.list.is_none() {
-                // A host that waits for the full list keeps its slot at the host it waits
-                // at.
-                let keeps_slot = self.start.waits_for_listing(now).then_some(peer);
+                // A host that waits for the full list keeps its transfer slot at that peer.
+                let keeps_slot = self.startup_plan.waits_for_listing(now).then_some(peer);
                 self.redirected_to = answer.query_instead.or(keeps_slot);
             }
             return;
@@ -247,7 +246,7 @@
         }
         if revision > self.revision {
             if answer.listing_age.is_none() {
-                self.start.forget_listing();
+                self.startup_plan.note_listing_received();
             }
             self.note_era(now, revision);
             let evacuations = answer.evacuations.into_iter();
@@ -371,8 +370,10 @@
         let limit = self.settings.list_part;
         let is_earlier = query
             .list
-            .is_some_and(|from| self.previous_list.holds(from));
-        let is_known = query.list.is_some_and(|from| self.server_list.holds(from));
+            .is_some_and(|from| self.previous_list.contains_position(from));
+        let is_known = query
+            .list
+            .is_some_and(|from| self.server_list.contains_position(from));
         let part = if is_earlier {
             self.previous_list.part_after(query.list, limit)
         } else {
@@ -429,11 +430,11 @@
             let domain = query.host.domain;
             domain.map_or_else(Vec::new, |domain| self.peers.hosts_in(domain))
         };
-        let includes_rest = extent.includes_rest();
+        let includes_routes = extent.includes_routes();
         let evacuations = self.directory.evacuations().iter();
         let sent = evacuations.filter(|one| match extent {
             AnswerExtent::Nothing { .. } => false,
-            AnswerExtent::Part(_) => includes_rest,
+            AnswerExtent::Part(_) => includes_routes,
             AnswerExtent::Difference => one.changed > query.revision,
         });
         let evacuations = sent
@@ -445,7 +446,7 @@
         } else {
             (Vec::new(), query.reports_received)
         };
-        let routes = includes_rest
+        let routes = includes_routes
             .then(|| self.routes.difference(query.version))
             .flatten();
         let mut answer = PeerWord {
@@ -496,6 +497,6 @@
         if reads {
             return Some(time::Duration::ZERO);
         }
-        self.start.listing_age(now)
+        self.startup_plan.listing_age(now)
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_list.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_list.rs
@@ -8,12 +8,12 @@
 
 use crate::forwarding::beliefs::peer_word::PeerHost;
 
-/// The most hosts of the own domain that are remembered: the first ones in the order. These
-/// are enough for every host to find a source, and the list is sent to hosts that know
-/// others.
+/// The maximum number of remembered hosts of the own domain: the first ones in the order.
+/// This is enough for every host to find a source, and limits the lists that hosts
+/// exchange.
 const MAX_OWN_DOMAIN_HOSTS: usize = 64;
-/// The most hosts of other domains that are remembered. They are queried when no host of
-/// the own domain has data.
+/// The maximum number of remembered hosts of other domains. They are queried when no host
+/// of the own domain has data.
 const MAX_OTHER_DOMAIN_HOSTS: usize = 32;
 /// After this many unanswered queries in a row a peer is forgotten, unless the settings
 /// name it: its address may no longer belong to a host.
@@ -32,6 +32,7 @@
 }
 
 impl PeerEntry {
+    /// Whether the peer is neither queried nor named to others, until it sends a query.
     const fn is_forgotten(&self) -> bool {
         self.missed_answers >= MAX_MISSED_ANSWERS && !self.is_seed
     }
@@ -226,9 +227,9 @@
         self.next_among(|_| true)
     }
 
-    /// The next peer in the rotation among those that know hosts of the own domain: hosts
-    /// of that domain and those named in the settings. All hosts know the latter, so no
-    /// small group of hosts knows only its own members.
+    /// The next peer in the rotation among hosts of the own domain and those named in the
+    /// settings, which know hosts of the own domain. All hosts know the latter, so no small
+    /// group of hosts knows only its own members.
     pub fn next_for_own_domain(&mut self) -> Option<net::SocketAddr> {
         let domain = Some(self.domain);
         self.next_among(|entry| entry.domain == domain || entry.is_seed)
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_word.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_word.rs
@@ -24,7 +24,8 @@
     pub revision: StoreRevision,
     /// The version of its configuration.
     pub version: ConfigurationVersion,
-    /// Whether a peer has sent it the servers that left before it started.
+    /// Whether a peer has sent it the servers that left before it started, which may still
+    /// have open flows.
     pub knows_left_servers: bool,
     /// Whether its calls to the store fail.
     pub store_fails: bool,
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
@@ -1,12 +1,12 @@
 //! Chooses the source that a host learns from: the store, or another host of its failure
 //! domain.
 //!
-//! All hosts sort the hosts of a domain in the same order. The first few read the store.
-//! Every other host queries one that precedes it, which answers as soon as it has something
-//! newer. There is no election and no agreement: hosts that know different hosts only make
-//! more calls to the store than necessary. Correctness depends on the age of the data,
-//! which every answer includes. When the data gets too old, a host queries another host and
-//! reads the store itself.
+//! All hosts sort the hosts of a domain in the same order. The first few are readers: they
+//! read the store. Every other host is a follower: it queries a host that precedes it, its
+//! source, which answers as soon as it has something newer. There is no election and no
+//! agreement: hosts that know different hosts only make more calls to the store than
+//! necessary. Correctness depends on the age of the data, which every answer includes. When
+//! the data gets too old, a host queries another host and reads the store itself.
 //!
 //! Otherwise the calls to the store would grow with the number of hosts, and each host
 //! would receive every listing and every change over its own link.
@@ -23,18 +23,19 @@
 /// A domain has one reader per this many hosts, so that the loss of a reader affects few of
 /// them.
 const HOSTS_PER_READER: usize = 8;
-/// The most readers of a domain. More of them only add calls to the store.
+/// The maximum number of readers of a domain. More of them only add calls to the store.
 const MAX_READERS: usize = 2;
-/// How many hosts query the same host. While nothing changes, each query takes half a
-/// kilobyte per second in both directions; a host may use two kilobytes per second.
+/// The number of hosts that query the same host. While nothing changes, each query takes
+/// half a kilobyte per second in both directions; a host may use two kilobytes per second.
 const FAN_OUT: usize = 4;
 /// How long a host uses another source after a useless answer. A host that the store
-/// refuses is still reachable, and would otherwise be queried in vain.
+/// refuses is still reachable, and its answers would stay useless.
 const FALLBACK_DURATION: time::Duration = time::Duration::from_secs(15);
-/// From this rank on hosts may not know all hosts that precede them, so that many compute
-/// the same rank. They spread their queries over the hosts after [`INNER_RANKS`].
+/// Hosts from this rank on may not know all hosts that precede them, so many of them
+/// compute the same rank. They spread their queries over predecessors whose rank is at
+/// least [`INNER_RANKS`].
 const SPREAD_RANK: usize = 48;
-/// Hosts below this rank are sources of hosts chosen by rank.
+/// Hosts below this rank are the sources of the hosts below [`SPREAD_RANK`].
 const INNER_RANKS: usize = SPREAD_RANK / FAN_OUT;
 /// After this many useless answers in a row the host reads the store.
 const MAX_USELESS_ANSWERS: usize = 2;
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/report_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/report_exchange.rs
@@ -3,8 +3,8 @@
 //! A host sends its reports to the host that it learns from, which passes them on in the
 //! same way, and receives those of others with the answers to its queries. Each host
 //! communicates with few others, whatever their number, and a report reaches the whole
-//! domain in a few steps. Reports don't go to other domains: while a domain is cut off, its
-//! servers are silent for other domains but still serve its own hosts.
+//! domain in a few steps. Reports are not sent to other domains: while a domain is cut off,
+//! its servers are silent for other domains but still serve its own hosts.
 
 use std::net;
 use std::sync;
@@ -31,7 +31,7 @@
 
     /// The reports to send now, and the host to send them to.
     pub fn next_reports(&mut self, now: Timestamp) -> Option<(net::SocketAddr, Vec<PeerReport>)> {
-        let host = self.choice.host_to_report_to(&self.peers, now)?;
+        let host = self.source_choice.host_to_report_to(&self.peers, now)?;
         let sent = self.reports_sent.filter(|(known, _)| *known == host);
         let sent = sent.map(|(_, serial)| serial).unwrap_or_default();
         self.reports_sent = Some((host, self.reports.serial()));
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
@@ -11,7 +11,8 @@
 use crate::forwarding::beliefs::store_call::StoreRevision;
 use crate::forwarding::directory::ServerRecord;
 
-/// The most servers in a part: some 25 kilobytes, which take 20 ms on a link of 10 Mbit/s.
+/// The maximum number of servers in a part: some 25 kilobytes, which take 20 ms on a link
+/// of 10 Mbit/s.
 pub const PART_LIMIT: usize = 512;
 /// A list older than this is not sent to further hosts, because their data would be too old
 /// on arrival.
@@ -102,7 +103,7 @@
     }
 
     /// Whether `from` is a position in this list.
-    pub fn holds(&self, from: ListPosition) -> bool {
+    pub fn contains_position(&self, from: ListPosition) -> bool {
         from.list == self.id && from.servers <= self.servers.len()
     }
 
@@ -119,7 +120,7 @@
     /// The part for a host that has received the list up to `from`, or nothing. `None` if
     /// this host has no further servers. A part has at most `limit` servers.
     pub fn part_after(&self, from: Option<ListPosition>, limit: usize) -> Option<ListPart> {
-        let known = from.filter(|from| self.holds(*from));
+        let known = from.filter(|from| self.contains_position(*from));
         let first = known.map_or(0, |from| from.servers);
         let last = self.servers.len().min(first + limit);
         let is_last = self.is_complete && last == self.servers.len();
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/startup.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/startup.rs
@@ -16,8 +16,8 @@
 
 use cardamomwinch_state::prelude::Timestamp;
 
-/// How long a host that has just started leaves the store to others. In this time the first
-/// hosts read it and three or four hosts in a row pass it on.
+/// How long a host that has just started does not call the store, because others do. In
+/// this time the first hosts read it and three or four hosts in a row pass it on.
 const STORE_DELAY: time::Duration = time::Duration::from_millis(150);
 /// Up to this much is added to [`STORE_DELAY`], so that hosts which receive nothing do not all
 /// list the store at the same moment: the first ones send the list to the others.
@@ -27,12 +27,13 @@
 /// the list restarts the wait, so the length of the list does not matter.
 const LISTING_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 /// How long after its start a host may not know the hosts that precede it in its domain,
-/// and so takes itself for a reader. It then learns from other hosts, as long as their data
+/// and so considers itself a reader. It then learns from other hosts, as long as their data
 /// is fresh, because otherwise all starting hosts would watch the store.
 const STARTUP_PERIOD: time::Duration = time::Duration::from_secs(4);
 /// Up to this age the data of a starting host is fresh.
 const MAX_FRESH_AGE: time::Duration = time::Duration::from_secs(1);
-/// The most hosts that receive the full list from a host at the same time, or wait for it.
+/// The maximum number of hosts that receive the full list from a host at the same time, or
+/// wait for it.
 const MAX_TRANSFERS: usize = 4;
 /// How long a host keeps its slot after it took it, even if it received the full list
 /// sooner. Otherwise the few hosts named in the settings would send a short list to all
@@ -42,7 +43,7 @@
 /// this time.
 const SLOT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Decides how long a starting host leaves the store to others.
+/// Decides how long a starting host does not call the store, because others do.
 #[derive(Debug)]
 pub struct StartupPlan {
     store_delay: time::Duration,
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Whether a host without data leaves the store to others at `now`, provided that one
-    /// of them may answer.
+    /// Whether a host without data does not call the store at `now`, provided that another
+    /// host may answer.
     pub fn waits_for_hosts(&mut self, now: Timestamp) -> bool {
         self.since_start(now) < self.store_delay
     }
@@ -79,8 +80,8 @@
         self.listing_known_at = self.listing_known_at.max(Some(at));
     }
 
-    /// Records that the data from that listing has arrived.
-    pub const fn forget_listing(&mut self) {
+    /// Records that the data of the listing has arrived.
+    pub const fn note_listing_received(&mut self) {
         self.listing_known_at = None;
     }
 
@@ -90,7 +91,7 @@
         age.filter(|age| *age < LISTING_TIMEOUT)
     }
 
-    /// Whether the host leaves the store to a host that is listing it.
+    /// Whether the host does not call the store, because another host is listing it.
     pub fn waits_for_listing(&self, now: Timestamp) -> bool {
         !self.store_delay.is_zero() && self.listing_age(now).is_some()
     }
@@ -122,7 +123,7 @@
 }
 
 /// Limits how many hosts receive the full list at the same time, and redirects the others
-/// to those.
+/// to those that receive it.
 #[derive(Debug, Default)]
 pub struct TransferSlots {
     slots: Vec<TransferSlot>,
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_changes.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_changes.rs
@@ -10,9 +10,9 @@
 use crate::forwarding::evacuations::{EvacuationPhase, EvacuationRecord};
 use crate::forwarding::routes::RouteDocument;
 
-/// More than this share of the listed servers, in percent, must vanish with one answer of
-/// the store to indicate an outage of the store that this host did not notice. Servers that
-/// fail independently, or with their machine, are fewer.
+/// If more than this percentage of the listed servers vanishes with one answer of the
+/// store, the store had an outage that this host did not notice. Servers that fail
+/// independently, or with their machine, are fewer.
 const OUTAGE_PERCENT: usize = 25;
 /// The least number of vanished servers that indicates an outage, so that one of three
 /// servers does not.
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_reader.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_reader.rs
@@ -106,7 +106,7 @@
         matches!(self.state, ReaderState::Watching { .. })
     }
 
-    /// The next call, if the data has the age `age`.
+    /// The next call. `age` is the age of the data.
     pub fn next_call(&mut self, age: time::Duration) -> StoreCall {
         if let Some(pause) = self.pause {
             return StoreCall::Pause(pause);
@@ -129,12 +129,12 @@
         }
     }
 
-    /// Handles the outcome of the call and returns what has been read completely. `follows`
+    /// Handles the outcome of the call and returns what has been read completely. `has_source`
     /// says whether another host informs this one as soon as that host reaches the store
     /// again.
-    pub fn handle(&mut self, outcome: StoreOutcome, follows: bool) -> Option<ReadStep> {
+    pub fn handle(&mut self, outcome: StoreOutcome, has_source: bool) -> Option<ReadStep> {
         if matches!(outcome, StoreOutcome::Failed) {
-            self.note_failure(follows);
+            self.note_failure(has_source);
             return None;
         }
         self.pause = None;
@@ -168,10 +168,10 @@
         }
     }
 
-    fn note_failure(&mut self, follows: bool) {
+    fn note_failure(&mut self, has_source: bool) {
         let doublings = self.failures.min(8);
         self.failures = self.failures.saturating_add(1);
-        let pause = if follows && self.failures > 1 {
+        let pause = if has_source && self.failures > 1 {
             FOLLOWER_BACKOFF
         } else {
             let doubled = INITIAL_BACKOFF.saturating_mul(1 << doublings);
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/waiting_queries.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/waiting_queries.rs
@@ -7,11 +7,12 @@
 use crate::forwarding::beliefs::BeliefEngine;
 use crate::forwarding::beliefs::peer_word::PeerQuestion;
 
-/// The most queries that may wait. If there are more, the oldest ones are answered at once.
+/// The maximum number of waiting queries. If there are more, the oldest ones are answered
+/// at once.
 const MAX_WAITING: usize = 64;
-/// A waiting query is answered when the data here is newer than the data of its host by
-/// this, even if nothing else has changed, so that the host knows that it is current.
-/// Smaller steps would answer each query at once.
+/// A waiting query is answered when this host's data is newer than the querying host's by
+/// this much, even if nothing else has changed, so that the querying host knows that it is
+/// current. Smaller steps would answer each query at once.
 const FRESHNESS_STEP: time::Duration = time::Duration::from_millis(500);
 
 /// A waiting query and the receiver of its answer.
--- a/crates/cardamomwinch_coordination/tests/health_ejection.rs
+++ b/crates/cardamomwinch_coordination/tests/health_ejection.rs
@@ -202,8 +202,8 @@
 }
 
 /// One server hangs while three others answer. It must get no new flows after a few
-/// seconds, because their callers would wait in vain. When it answers again, it must return
-/// slowly.
+/// seconds, because their callers would get no answer. When it answers again, it must
+/// return slowly.
 #[test]
 fn a_silent_server_among_answering_ones_is_ejected_and_returns_slowly() {
     let mut bench = HealthBench::new(4);
