--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_exchange.rs
@@ -408,7 +408,8 @@
         part.is_some_and(|part| !part.servers.is_empty())
     }
 
-    /// Whether the host of `query` has a slot here to receive the full list.
+    /// Whether the host of `query` has a slot here to receive the full list. Gives it one
+    /// if there is a free one.
     pub(super) fn has_slot_for(&mut self, query: &PeerQuestion, now: Timestamp) -> bool {
         self.transfer_slots.choose(query.host.address, now) == TransferChoice::Send
     }
