--- a/crates/cardamomwinch_coordination/examples/forwarding_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/forwarding_cost.rs
@@ -7,10 +7,10 @@
 use std::sync;
 use std::time;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::directory::{
     ServerDirectory, ServerPhase, ServerRecord,
 };
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::engine::{ForwardingEngine, ForwardingSink};
 use cardamomwinch_coordination::forwarding::packet::{FlowPacket, FlowToken, PacketKind};
 use cardamomwinch_coordination::forwarding::record::ForwardingRecord;
@@ -105,8 +105,8 @@
         cold_share: None,
         routes: sync::Arc::new(routes),
         directory: sync::Arc::new(directory),
-        heard_at: Timestamp::ZERO,
-        silent_at: None,
+        as_of: Timestamp::ZERO,
+        store_failed_at: None,
         reports: sync::Arc::default(),
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/cold_starts.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/cold_starts.rs
@@ -32,7 +32,7 @@
     pub service: ServiceId,
     /// How long a server is cold.
     #[serde(rename = "lasting")]
-    pub lasting: time::Duration,
+    pub duration: time::Duration,
     /// The rate of new flows that a cold server may receive; zero if it is not limited.
     pub openings: OpeningRate,
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/directory.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/directory.rs
@@ -7,7 +7,7 @@
     BackendId, DomainId, ServiceId, SlotCount, SortedVector, Timestamp,
 };
 
-use crate::forwarding::beliefs::store_call::{ServerStart, StoreRevision};
+use crate::forwarding::discovery::store_call::{ServerStart, StoreRevision};
 use crate::forwarding::evacuations::{EvacuationRecord, EvacuationTable};
 use crate::forwarding::packet::FlowToken;
 use crate::forwarding::routes::RouteEntry;
@@ -243,7 +243,7 @@
     pub fn note_all(&mut self, records: impl IntoIterator<Item = ServerRecord>) {
         let mut moved = false;
         for record in records {
-            if self.knows_later(&record) {
+            if self.has_later_record(&record) {
                 continue;
             }
             let record = self.keep_draining(record);
@@ -257,7 +257,7 @@
     }
 
     /// Whether a later record than `record` is known of its server.
-    pub fn knows_later(&self, record: &ServerRecord) -> bool {
+    pub fn has_later_record(&self, record: &ServerRecord) -> bool {
         let known = self.servers.get(&record.id);
         known.is_some_and(|known| known.changed > record.changed)
     }
@@ -334,7 +334,7 @@
             self.note_removed(id, revision, now);
         }
         for record in listed.values() {
-            if !self.knows_later(record) {
+            if !self.has_later_record(record) {
                 let record = self.keep_draining(record.clone());
                 self.servers.insert(record.id, record);
             }
@@ -373,7 +373,7 @@
 
     /// Ends the grace period of servers that vanished, and removes those that left so long
     /// ago that no flow on them can still be open. Returns whether anything changed.
-    pub fn age(&mut self, now: Timestamp, flow_lifetime: time::Duration) -> bool {
+    pub fn expire(&mut self, now: Timestamp, flow_lifetime: time::Duration) -> bool {
         let mut changed = false;
         for (_, server) in self.servers.iter_mut() {
             if let ServerPhase::Vanished { since } = server.phase
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/mod.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/mod.rs
@@ -7,10 +7,10 @@
 pub mod own_servers;
 mod peer_exchange;
 pub mod peer_list;
-pub mod peer_word;
+pub mod peer_messages;
 pub mod read_source;
 mod report_exchange;
-pub mod start_list;
+pub mod server_list;
 pub mod startup;
 pub mod store_call;
 mod store_changes;
@@ -26,16 +26,18 @@
     BackendId, ConfigurationVersion, DomainId, ServiceId, Timestamp,
 };
 
-use crate::forwarding::beliefs::own_servers::OwnServices;
-use crate::forwarding::beliefs::peer_list::PeerList;
-use crate::forwarding::beliefs::peer_word::PeerQuestion;
-use crate::forwarding::beliefs::read_source::{ReadSource, SourceChoice};
-use crate::forwarding::beliefs::start_list::ServerList;
-use crate::forwarding::beliefs::startup::{StartupPlan, TransferSlots};
-use crate::forwarding::beliefs::store_call::{StoreCall, StoreChange, StoreOutcome, StoreRevision};
-use crate::forwarding::beliefs::store_reader::StoreReader;
 use crate::forwarding::cold_starts::ColdShare;
 use crate::forwarding::directory::{ServerDirectory, ServerRecord};
+use crate::forwarding::discovery::own_servers::OwnServices;
+use crate::forwarding::discovery::peer_list::PeerList;
+use crate::forwarding::discovery::peer_messages::PeerQuery;
+use crate::forwarding::discovery::read_source::{ReadSource, SourceChoice};
+use crate::forwarding::discovery::server_list::ServerList;
+use crate::forwarding::discovery::startup::{StartupPlan, TransferSlots};
+use crate::forwarding::discovery::store_call::{
+    StoreCall, StoreChange, StoreOutcome, StoreRevision,
+};
+use crate::forwarding::discovery::store_reader::StoreReader;
 use crate::forwarding::evacuations::EvacuationRecord;
 use crate::forwarding::regions::DomainRegions;
 use crate::forwarding::routes::RouteTable;
@@ -50,9 +52,9 @@
 /// it has to read the store after all.
 const START_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Settings of a [`BeliefEngine`].
+/// Settings of a [`DiscoveryEngine`].
 #[derive(Debug, Clone)]
-pub struct BeliefSettings {
+pub struct DiscoverySettings {
     /// The failure domain of this host.
     pub domain: DomainId,
     /// The regions of all failure domains.
@@ -66,12 +68,12 @@
     /// How long the store holds a watch open until there is a change.
     pub watch_wait: time::Duration,
     /// The maximum number of servers in one part of the full server list.
-    pub list_part: usize,
+    pub max_part_servers: usize,
 }
 
 /// A change of what a host knows, for its log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BeliefChange {
+pub enum DiscoveryChange {
     /// A configuration came into force.
     ConfigurationInForce {
         /// Its version.
@@ -163,8 +165,8 @@
 
 /// What one host knows of routes, servers and peers, and whom it queries next.
 #[derive(Debug)]
-pub struct BeliefEngine {
-    settings: BeliefSettings,
+pub struct DiscoveryEngine {
+    settings: DiscoverySettings,
     regions: sync::Arc<DomainRegions>,
     routes: sync::Arc<RouteTable>,
     directory: sync::Arc<ServerDirectory>,
@@ -203,12 +205,12 @@
     reports_sent: Option<(net::SocketAddr, ReportSerial)>,
     /// The host that was queried last, and the serial up to which it has sent its reports.
     reports_received: Option<(net::SocketAddr, ReportSerial)>,
-    changes: Vec<BeliefChange>,
+    changes: Vec<DiscoveryChange>,
 }
 
-impl BeliefEngine {
+impl DiscoveryEngine {
     /// Creates the engine of a host that has just started and has no data.
-    pub fn new(settings: BeliefSettings, jitter_seed: u64) -> Self {
+    pub fn new(settings: DiscoverySettings, jitter_seed: u64) -> Self {
         let peers = PeerList::new(settings.address, settings.domain, &settings.seeds);
         let is_seed = settings.seeds.contains(&settings.address);
         let queries_others = !is_seed && !settings.seeds.is_empty();
@@ -257,8 +259,8 @@
             routes: sync::Arc::clone(&self.routes),
             directory: sync::Arc::clone(&self.directory),
             reports: sync::Arc::clone(&self.reports),
-            heard_at: self.as_of,
-            silent_at: self.store_failed_at,
+            as_of: self.as_of,
+            store_failed_at: self.store_failed_at,
         }
     }
 
@@ -294,7 +296,7 @@
     }
 
     /// Whether this host has something newer than the host that sent `query`.
-    pub fn knows_more_than(&self, query: &PeerQuestion) -> bool {
+    pub fn knows_more_than(&self, query: &PeerQuery) -> bool {
         self.revision > query.revision
             || self.routes.version() > query.version
             || self.has_reports_for(query)
@@ -306,7 +308,7 @@
     }
 
     /// Returns the changes since the last call.
-    pub fn take_changes(&mut self) -> Vec<BeliefChange> {
+    pub fn take_changes(&mut self) -> Vec<DiscoveryChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -356,7 +358,7 @@
         let source = usable.map_or(ReadSource::Store, ReadSource::Host);
         if source != self.source {
             self.source = source;
-            self.changes.push(BeliefChange::SourceChanged { source });
+            self.changes.push(DiscoveryChange::SourceChanged { source });
         }
         if usable.is_some() && self.store_failing_since.is_some() {
             // The store is no longer called, so its failure is no longer tracked.
@@ -429,7 +431,7 @@
         if let Some(since) = self.store_failing_since.take() {
             self.store_failed_at = Some(now);
             let outage = now.since(since);
-            self.changes.push(BeliefChange::StoreRegained { outage });
+            self.changes.push(DiscoveryChange::StoreRegained { outage });
         }
     }
 
@@ -437,7 +439,7 @@
         self.store_failed_at = Some(now);
         if self.store_failing_since.is_none() {
             self.store_failing_since = Some(now);
-            self.changes.push(BeliefChange::StoreLost);
+            self.changes.push(DiscoveryChange::StoreLost);
         }
     }
 
@@ -448,7 +450,7 @@
             return;
         }
         self.store_failed_at = Some(now);
-        self.changes.push(BeliefChange::StoreRestored {
+        self.changes.push(DiscoveryChange::StoreRestored {
             last: self.revision,
             first: revision,
         });
@@ -464,10 +466,10 @@
         }
         let has_removed = self.directory.iter().any(|server| !server.is_listed());
         if has_removed || !self.directory.evacuations().is_empty() {
-            sync::Arc::make_mut(&mut self.directory).age(now, lifetime);
+            sync::Arc::make_mut(&mut self.directory).expire(now, lifetime);
         }
         if !self.reports.is_empty() {
-            sync::Arc::make_mut(&mut self.reports).age(now);
+            sync::Arc::make_mut(&mut self.reports).expire(now);
         }
         for list in [&mut self.server_list, &mut self.previous_list] {
             if list.is_expired(now) {
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/own_servers.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/own_servers.rs
@@ -6,8 +6,8 @@
 
 use cardamomwinch_state::prelude::{DomainId, ServiceId};
 
-use crate::forwarding::beliefs::BeliefChange;
 use crate::forwarding::directory::{ServerDirectory, ServerPhase};
+use crate::forwarding::discovery::DiscoveryChange;
 
 /// The services that have servers in the own domain, and those that have lost them all.
 #[derive(Debug, Default)]
@@ -18,7 +18,11 @@
 
 impl OwnServices {
     /// Compares with the servers of `domain` in `directory`; returns what changed.
-    pub fn review(&mut self, directory: &ServerDirectory, domain: DomainId) -> Vec<BeliefChange> {
+    pub fn review(
+        &mut self,
+        directory: &ServerDirectory,
+        domain: DomainId,
+    ) -> Vec<DiscoveryChange> {
         let own = directory
             .iter()
             .filter(|server| server.domain == domain && server.phase == ServerPhase::Active);
@@ -34,10 +38,10 @@
         self.lost.extend(&lost);
         self.served = served;
         let lost = lost.into_iter();
-        let lost = lost.map(|service| BeliefChange::OwnServersLost { service });
+        let lost = lost.map(|service| DiscoveryChange::OwnServersLost { service });
         let back: Vec<ServiceId> = back;
         let back = back.into_iter();
-        let back = back.map(|service| BeliefChange::OwnServersRegained { service });
+        let back = back.map(|service| DiscoveryChange::OwnServersRegained { service });
         lost.chain(back).collect()
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/peer_exchange.rs
@@ -7,14 +7,14 @@
 
 use cardamomwinch_state::prelude::Timestamp;
 
-use crate::forwarding::beliefs::peer_word::{
-    PeerEvacuation, PeerHost, PeerQuestion, PeerServer, PeerWord,
-};
-use crate::forwarding::beliefs::start_list::{ListPart, ServerList};
-use crate::forwarding::beliefs::startup::TransferChoice;
-use crate::forwarding::beliefs::store_call::StoreRevision;
-use crate::forwarding::beliefs::{BeliefChange, BeliefEngine, peer_list};
 use crate::forwarding::directory::{ServerPhase, ServerRecord};
+use crate::forwarding::discovery::peer_messages::{
+    PeerAnswer, PeerEvacuation, PeerHost, PeerQuery, PeerServer,
+};
+use crate::forwarding::discovery::server_list::{ListPart, ServerList};
+use crate::forwarding::discovery::startup::TransferChoice;
+use crate::forwarding::discovery::store_call::StoreRevision;
+use crate::forwarding::discovery::{DiscoveryChange, DiscoveryEngine, peer_list};
 use crate::forwarding::evacuations::EvacuationRecord;
 
 /// How long a query may wait at another host for something new. A reader has contact with
@@ -74,12 +74,12 @@
     }
 }
 
-impl BeliefEngine {
+impl DiscoveryEngine {
     /// The next query and the host to send it to, if there is one: the host that this one
     /// learns from; any host while the store fails; and any host after the start, because
     /// peers remember servers that were removed from the store with flows still on them.
     /// Readers also query from time to time to learn of other hosts.
-    pub fn next_peer(&mut self, now: Timestamp) -> Option<(net::SocketAddr, PeerQuestion)> {
+    pub fn next_query(&mut self, now: Timestamp) -> Option<(net::SocketAddr, PeerQuery)> {
         self.choose_source(now);
         let host_list_due = self.host_list_is_due(now);
         let (peer, wait) = self.peer_to_query(now, host_list_due)?;
@@ -91,7 +91,7 @@
         };
         self.queried_revision = self.revision;
         self.queried_at = Some(now);
-        let query = PeerQuestion {
+        let query = PeerQuery {
             revision: self.revision,
             version: self.routes.version(),
             knows_left_servers: self.knows_left_servers,
@@ -166,7 +166,12 @@
     }
 
     /// Handles the answer of `peer`, or its absence.
-    pub fn handle_peer(&mut self, now: Timestamp, peer: net::SocketAddr, answer: Option<PeerWord>) {
+    pub fn handle_answer(
+        &mut self,
+        now: Timestamp,
+        peer: net::SocketAddr,
+        answer: Option<PeerAnswer>,
+    ) {
         let is_source = self.source_choice.host_to_query(&self.peers, now) == Some(peer);
         let is_useful = is_source && self.source_choice.note_answer(now, answer.as_ref());
         let previous_as_of = self.as_of;
@@ -174,7 +179,7 @@
         match answer {
             Some(answer) => self.apply_answer(now, peer, answer),
             None if self.peers.note_missed_answer(peer, now) => {
-                self.changes.push(BeliefChange::PeerLost { peer });
+                self.changes.push(DiscoveryChange::PeerLost { peer });
             }
             None => {}
         }
@@ -193,9 +198,9 @@
         self.choose_source(now);
     }
 
-    fn apply_answer(&mut self, now: Timestamp, peer: net::SocketAddr, answer: PeerWord) {
+    fn apply_answer(&mut self, now: Timestamp, peer: net::SocketAddr, answer: PeerAnswer) {
         if self.peers.note_answer(peer, &answer.hosts) {
-            self.changes.push(BeliefChange::PeerRegained { peer });
+            self.changes.push(DiscoveryChange::PeerRegained { peer });
         }
         if let Some(digest) = answer.hosts_digest {
             self.knows_other_hosts = digest != self.peers.digest();
@@ -261,7 +266,7 @@
             self.as_of = self.as_of.max(sent_at.before(answer.age));
         }
         if newer {
-            self.changes.push(BeliefChange::PeerDataApplied {
+            self.changes.push(DiscoveryChange::PeerDataApplied {
                 peer,
                 revision,
                 version: self.routes.version(),
@@ -290,9 +295,9 @@
             .filter(|one| directory.note_evacuation(**one));
         let mut changed: Vec<_> = noted.copied().collect();
         if all {
-            let lasting = evacuations.iter().filter(|one| one.is_lasting());
-            let lasting: Vec<_> = lasting.copied().collect();
-            changed.extend(directory.replace_evacuations(&lasting, revision, now));
+            let active = evacuations.iter().filter(|one| one.is_active());
+            let active: Vec<_> = active.copied().collect();
+            changed.extend(directory.replace_evacuations(&active, revision, now));
         }
         self.record_evacuation_changes(changed);
     }
@@ -306,7 +311,7 @@
     ) {
         if !all {
             let changed = servers.iter().cloned();
-            let changes = changed.map(|server| BeliefChange::ServerChanged { server });
+            let changes = changed.map(|server| DiscoveryChange::ServerChanged { server });
             self.changes.extend(changes);
         }
         let directory = sync::Arc::make_mut(&mut self.directory);
@@ -340,7 +345,7 @@
     /// How much to send to the host of `query`. Many hosts that start at the same time
     /// query the few that the settings name. Sending everything to all of them at once
     /// would saturate their links and memory, so the others are redirected.
-    fn extent_for(&mut self, now: Timestamp, query: &PeerQuestion) -> AnswerExtent {
+    fn extent_for(&mut self, now: Timestamp, query: &PeerQuery) -> AnswerExtent {
         let knows_changes =
             || self.directory.changed_after(query.revision).is_some() && !self.has_no_data();
         if !self.needs_full_list(query) && knows_changes() {
@@ -361,13 +366,13 @@
 
     /// Whether the host of `query` needs the full list. A host with data of an earlier
     /// era may know entries that the store has lost and this host has never seen.
-    fn needs_full_list(&self, query: &PeerQuestion) -> bool {
+    fn needs_full_list(&self, query: &PeerQuery) -> bool {
         query.has_no_data() || query.revision.era() < self.revision.era()
     }
 
     /// The next part of the list for the host of `query`.
-    fn part_for(&mut self, now: Timestamp, query: &PeerQuestion) -> AnswerExtent {
-        let limit = self.settings.list_part;
+    fn part_for(&mut self, now: Timestamp, query: &PeerQuery) -> AnswerExtent {
+        let limit = self.settings.max_part_servers;
         let is_earlier = query
             .list
             .is_some_and(|from| self.previous_list.contains_position(from));
@@ -401,24 +406,24 @@
     }
 
     /// Whether this host has already received a part that the host of `query` lacks.
-    pub(super) fn has_part_for(&self, query: &PeerQuestion) -> bool {
+    pub(super) fn has_part_for(&self, query: &PeerQuery) -> bool {
         let part = self
             .server_list
-            .part_after(query.list, self.settings.list_part);
+            .part_after(query.list, self.settings.max_part_servers);
         part.is_some_and(|part| !part.servers.is_empty())
     }
 
     /// Whether the host of `query` has a slot here to receive the full list. Gives it one
     /// if there is a free one.
-    pub(super) fn has_slot_for(&mut self, query: &PeerQuestion, now: Timestamp) -> bool {
+    pub(super) fn has_slot_for(&mut self, query: &PeerQuery, now: Timestamp) -> bool {
         self.transfer_slots.choose(query.host.address, now) == TransferChoice::Send
     }
 
     /// Answers a query. Also records that the peer exists.
-    pub fn answer_peer(&mut self, now: Timestamp, query: &PeerQuestion) -> PeerWord {
+    pub fn answer_query(&mut self, now: Timestamp, query: &PeerQuery) -> PeerAnswer {
         if self.peers.note_query(query.host, &query.hosts) {
             let peer = query.host.address;
-            self.changes.push(BeliefChange::PeerRegained { peer });
+            self.changes.push(DiscoveryChange::PeerRegained { peer });
         }
         let starting = !query.knows_left_servers;
         let extent = self.extent_for(now, query);
@@ -450,7 +455,7 @@
         let routes = includes_routes
             .then(|| self.routes.difference(query.version))
             .flatten();
-        let mut answer = PeerWord {
+        let mut answer = PeerAnswer {
             revision: StoreRevision::ZERO,
             waited: time::Duration::ZERO,
             age: now.since(self.as_of),
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_list.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/peer_list.rs
@@ -6,7 +6,7 @@
 use cardamomwinch_state::flow;
 use cardamomwinch_state::prelude::{DomainId, SortedVector, Timestamp};
 
-use crate::forwarding::beliefs::peer_word::PeerHost;
+use crate::forwarding::discovery::peer_messages::PeerHost;
 
 /// The maximum number of remembered hosts of the own domain: the first ones in the order.
 /// This is enough for every host to find a source, and limits the lists that hosts
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/peer_word.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/peer_messages.rs
@@ -7,9 +7,9 @@
     BackendId, ConfigurationVersion, DomainId, ServiceId, SlotCount, Timestamp,
 };
 
-use crate::forwarding::beliefs::start_list::ListPosition;
-use crate::forwarding::beliefs::store_call::{ServerStart, StoreRevision};
 use crate::forwarding::directory::{ServerPhase, ServerRecord};
+use crate::forwarding::discovery::server_list::ListPosition;
+use crate::forwarding::discovery::store_call::{ServerStart, StoreRevision};
 use crate::forwarding::evacuations::{EvacuationPhase, EvacuationRecord};
 use crate::forwarding::routes::RouteDifference;
 use crate::forwarding::server_reports::{
@@ -19,7 +19,7 @@
 /// A query to another host: what the querying host already knows, and how long the answer
 /// may wait.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerQuestion {
+pub struct PeerQuery {
     /// The revision of its directory.
     pub revision: StoreRevision,
     /// The version of its configuration.
@@ -47,7 +47,7 @@
 /// milliseconds.
 const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
-impl PeerQuestion {
+impl PeerQuery {
     /// Whether the querying host has no data yet.
     pub fn has_no_data(&self) -> bool {
         self.revision == StoreRevision::ZERO
@@ -165,11 +165,11 @@
         Self {
             domain: record.domain,
             ended_ago: match record.phase {
-                EvacuationPhase::Lasting | EvacuationPhase::Missing { .. } => None,
+                EvacuationPhase::Active | EvacuationPhase::Missing { .. } => None,
                 EvacuationPhase::Ended { at } => Some(now.since(at)),
             },
             missing_for: match record.phase {
-                EvacuationPhase::Lasting | EvacuationPhase::Ended { .. } => None,
+                EvacuationPhase::Active | EvacuationPhase::Ended { .. } => None,
                 EvacuationPhase::Missing { since } => Some(now.since(since)),
             },
             changed: record.changed,
@@ -185,7 +185,7 @@
             (None, Some(ago)) => EvacuationPhase::Missing {
                 since: now.before(ago),
             },
-            (None, None) => EvacuationPhase::Lasting,
+            (None, None) => EvacuationPhase::Active,
         };
         EvacuationRecord {
             domain: self.domain,
@@ -245,9 +245,9 @@
     }
 }
 
-/// The answer to a [`PeerQuestion`].
+/// The answer to a [`PeerQuery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerWord {
+pub struct PeerAnswer {
     /// The revision of its directory; zero if the answer has no data.
     pub revision: StoreRevision,
     /// How long the query waited for this answer.
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/read_source.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/read_source.rs
@@ -17,8 +17,8 @@
 
 use cardamomwinch_state::prelude::Timestamp;
 
-use crate::forwarding::beliefs::peer_list::{self, PeerList};
-use crate::forwarding::beliefs::peer_word::PeerWord;
+use crate::forwarding::discovery::peer_list::{self, PeerList};
+use crate::forwarding::discovery::peer_messages::PeerAnswer;
 
 /// A domain has one reader per this many hosts, so that the loss of a reader affects few of
 /// them.
@@ -135,7 +135,7 @@
     }
 
     /// Records the answer of the source, if any. Returns whether it was useful.
-    pub fn note_answer(&mut self, now: Timestamp, answer: Option<&PeerWord>) -> bool {
+    pub fn note_answer(&mut self, now: Timestamp, answer: Option<&PeerAnswer>) -> bool {
         let is_useful = answer.is_some_and(|answer| {
             let store_failed_ago = answer.store_failed_ago;
             answer.age <= MAX_ANSWER_AGE
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/report_exchange.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/report_exchange.rs
@@ -11,13 +11,13 @@
 
 use cardamomwinch_state::prelude::Timestamp;
 
-use crate::forwarding::beliefs::BeliefEngine;
-use crate::forwarding::beliefs::peer_word::{PeerQuestion, PeerReport, PeerWord};
+use crate::forwarding::discovery::DiscoveryEngine;
+use crate::forwarding::discovery::peer_messages::{PeerAnswer, PeerQuery, PeerReport};
 use crate::forwarding::server_reports::{ReportSerial, ServerReport};
 
-impl BeliefEngine {
+impl DiscoveryEngine {
     /// Adds reports of this host or of others. Returns whether any was new.
-    pub fn take_reports(
+    pub fn add_reports(
         &mut self,
         now: Timestamp,
         reports: impl IntoIterator<Item = ServerReport>,
@@ -54,14 +54,14 @@
     }
 
     /// Whether there are reports for the host of `query`.
-    pub(super) fn has_reports_for(&self, query: &PeerQuestion) -> bool {
+    pub(super) fn has_reports_for(&self, query: &PeerQuery) -> bool {
         let same_domain = query.host.domain == Some(self.settings.domain);
         same_domain && self.reports.serial() != query.reports_received
     }
 
     /// The serial up to which the host of `query` has the reports of this process. Its
     /// query may refer to an earlier process at this address.
-    pub(super) fn reports_received_by(&self, query: &PeerQuestion) -> ReportSerial {
+    pub(super) fn reports_received_by(&self, query: &PeerQuery) -> ReportSerial {
         let known = query.reports_received;
         if known > self.reports.serial() {
             ReportSerial::default()
@@ -82,7 +82,7 @@
         &mut self,
         now: Timestamp,
         peer: net::SocketAddr,
-        answer: Option<&PeerWord>,
+        answer: Option<&PeerAnswer>,
     ) -> bool {
         let Some(answer) = answer else {
             self.reports_received = None;
@@ -93,6 +93,6 @@
         // instead, reports would override later observations of other hosts.
         let sent_at = self.sent_at(now, answer.waited);
         let reports = answer.reports.iter();
-        self.take_reports(now, reports.map(|report| report.into_report(sent_at)))
+        self.add_reports(now, reports.map(|report| report.into_report(sent_at)))
     }
 }
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/start_list.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/server_list.rs
@@ -8,12 +8,12 @@
 use cardamomwinch_state::flow;
 use cardamomwinch_state::prelude::Timestamp;
 
-use crate::forwarding::beliefs::store_call::StoreRevision;
 use crate::forwarding::directory::ServerRecord;
+use crate::forwarding::discovery::store_call::StoreRevision;
 
 /// The maximum number of servers in a part: some 25 kilobytes, which take 20 ms on a link
 /// of 10 Mbit/s.
-pub const PART_LIMIT: usize = 512;
+pub const MAX_PART_SERVERS: usize = 512;
 /// A list older than this is not sent to further hosts, because their data would be too old
 /// on arrival.
 const MAX_LIST_AGE: time::Duration = time::Duration::from_secs(1);
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_call.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/store_call.rs
@@ -9,7 +9,7 @@
 use cardamomwinch_state::prelude::{BackendId, DomainId, ServiceId, SlotCount};
 use serde::{Deserialize, Serialize};
 
-pub use crate::forwarding::beliefs::store_revision::{StoreEra, StoreRevision};
+pub use crate::forwarding::discovery::store_revision::{StoreEra, StoreRevision};
 use crate::forwarding::routes::RouteDocument;
 
 /// When the process of a server started, in milliseconds since the Unix epoch by the clock
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_changes.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/store_changes.rs
@@ -4,9 +4,9 @@
 
 use cardamomwinch_state::prelude::{BackendId, DomainId, Timestamp};
 
-use crate::forwarding::beliefs::store_call::{ServerEntry, StoreChange, StoreRevision};
-use crate::forwarding::beliefs::{BeliefChange, BeliefEngine, store_reader};
 use crate::forwarding::directory::{ServerPhase, ServerRecord};
+use crate::forwarding::discovery::store_call::{ServerEntry, StoreChange, StoreRevision};
+use crate::forwarding::discovery::{DiscoveryChange, DiscoveryEngine, store_reader};
 use crate::forwarding::evacuations::{EvacuationPhase, EvacuationRecord};
 use crate::forwarding::routes::RouteDocument;
 
@@ -18,7 +18,7 @@
 /// servers does not.
 const MIN_OUTAGE_SERVERS: usize = 3;
 
-impl BeliefEngine {
+impl DiscoveryEngine {
     pub(super) fn apply_step(
         &mut self,
         now: Timestamp,
@@ -62,7 +62,7 @@
         let listed = self.directory.listed_count() + servers;
         if servers >= MIN_OUTAGE_SERVERS && servers * 100 > listed * OUTAGE_PERCENT {
             self.store_failed_at = Some(now);
-            self.changes.push(BeliefChange::ManyVanished { servers });
+            self.changes.push(DiscoveryChange::ManyVanished { servers });
         }
     }
 
@@ -78,7 +78,7 @@
                 StoreChange::EvacuationBegun { domain, revision } => {
                     evacuations.push(EvacuationRecord {
                         domain,
-                        phase: EvacuationPhase::Lasting,
+                        phase: EvacuationPhase::Active,
                         changed: revision,
                     });
                 }
@@ -90,7 +90,7 @@
         directory.replace(records, &unreadable, revision, now);
         let changed = directory.replace_evacuations(&evacuations, revision, now);
         self.record_evacuation_changes(changed);
-        let change = BeliefChange::ServersListed { revision, servers };
+        let change = DiscoveryChange::ServersListed { revision, servers };
         self.changes.push(change);
     }
 
@@ -116,7 +116,7 @@
                 self.record_server_change(id);
             }
             StoreChange::EvacuationBegun { domain, revision } => {
-                self.note_evacuation(domain, EvacuationPhase::Lasting, revision);
+                self.note_evacuation(domain, EvacuationPhase::Active, revision);
             }
             StoreChange::EvacuationEnded { domain, revision } => {
                 self.note_evacuation(domain, EvacuationPhase::Ended { at: now }, revision);
@@ -145,20 +145,21 @@
         evacuations: impl IntoIterator<Item = EvacuationRecord>,
     ) {
         let evacuations = evacuations.into_iter();
-        let changes = evacuations.map(|evacuation| BeliefChange::EvacuationChanged { evacuation });
+        let changes =
+            evacuations.map(|evacuation| DiscoveryChange::EvacuationChanged { evacuation });
         self.changes.extend(changes);
     }
 
     fn record_server_change(&mut self, id: BackendId) {
         if let Some(server) = self.directory.get(id).cloned() {
-            self.changes.push(BeliefChange::ServerChanged { server });
+            self.changes.push(DiscoveryChange::ServerChanged { server });
         }
     }
 
     fn note_server(&mut self, entry: ServerEntry, now: Timestamp) {
         let server = entry.into_record(now);
         let directory = sync::Arc::make_mut(&mut self.directory);
-        if directory.knows_later(&server) {
+        if directory.has_later_record(&server) {
             self.record_outdated_change(&server);
             return;
         }
@@ -169,7 +170,7 @@
 
     fn record_outdated_change(&mut self, server: &ServerRecord) {
         if let Some(known) = self.directory.get(server.id) {
-            self.changes.push(BeliefChange::ChangeOutdated {
+            self.changes.push(DiscoveryChange::ChangeOutdated {
                 server: server.id,
                 revision: server.changed,
                 known: known.changed,
@@ -186,7 +187,7 @@
     }
 
     pub(super) fn note_configuration(&mut self) {
-        self.changes.push(BeliefChange::ConfigurationInForce {
+        self.changes.push(DiscoveryChange::ConfigurationInForce {
             version: self.routes.version(),
             routes: self.routes.len(),
         });
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/store_reader.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/store_reader.rs
@@ -6,7 +6,7 @@
 
 use cardamomwinch_state::flow;
 
-use crate::forwarding::beliefs::store_call::{
+use crate::forwarding::discovery::store_call::{
     StoreCall, StoreChange, StoreEra, StoreOutcome, StoreRevision,
 };
 
--- a/crates/cardamomwinch_coordination/src/forwarding/beliefs/waiting_queries.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/discovery/waiting_queries.rs
@@ -4,8 +4,8 @@
 
 use cardamomwinch_state::prelude::Timestamp;
 
-use crate::forwarding::beliefs::BeliefEngine;
-use crate::forwarding::beliefs::peer_word::PeerQuestion;
+use crate::forwarding::discovery::DiscoveryEngine;
+use crate::forwarding::discovery::peer_messages::PeerQuery;
 
 /// The maximum number of waiting queries. If there are more, the oldest ones are answered
 /// at once.
@@ -18,13 +18,13 @@
 /// A waiting query and the receiver of its answer.
 #[derive(Debug)]
 struct WaitingQuery<A> {
-    query: PeerQuestion,
+    query: PeerQuery,
     received_at: Timestamp,
     answer: A,
 }
 
 impl<A> WaitingQuery<A> {
-    fn is_due(&self, engine: &mut BeliefEngine, now: Timestamp) -> bool {
+    fn is_due(&self, engine: &mut DiscoveryEngine, now: Timestamp) -> bool {
         let query = &self.query;
         if query.has_no_data() && engine.has_no_data() {
             let is_redirected = !engine.has_slot_for(query, now);
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct DueQuery<A> {
     /// The query.
-    pub query: PeerQuestion,
+    pub query: PeerQuery,
     /// How long it waited.
     pub waited: time::Duration,
     /// The receiver of the answer.
@@ -70,7 +70,7 @@
 
 impl<A> WaitingQueries<A> {
     /// Adds a query that arrived at `received_at`.
-    pub fn push(&mut self, query: PeerQuestion, received_at: Timestamp, answer: A) {
+    pub fn push(&mut self, query: PeerQuery, received_at: Timestamp, answer: A) {
         self.queries.push(WaitingQuery {
             query,
             received_at,
@@ -79,7 +79,7 @@
     }
 
     /// Removes and returns the queries to answer now.
-    pub fn take_due(&mut self, engine: &mut BeliefEngine, now: Timestamp) -> Vec<DueQuery<A>> {
+    pub fn take_due(&mut self, engine: &mut DiscoveryEngine, now: Timestamp) -> Vec<DueQuery<A>> {
         let excess = self.queries.len().saturating_sub(MAX_WAITING);
         let mut index = 0;
         let due = self.queries.extract_if(.., |waiting| {
--- a/crates/cardamomwinch_coordination/src/forwarding/engine.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine.rs
@@ -238,7 +238,7 @@
     ) {
         let (now, view) = (context.now, context.view);
         let since = self.unknown_flows.note(context.packet.flow, now);
-        let is_later_view = view.heard_at >= since.after(UNKNOWN_TOKEN_DELAY);
+        let is_later_view = view.as_of >= since.after(UNKNOWN_TOKEN_DELAY);
         if is_later_view && view.is_usable() && view.is_complete(now) {
             self.unknown_flows.remove(&context.packet.flow);
             sink.reset();
--- a/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/evacuations.rs
@@ -5,7 +5,7 @@
 
 use cardamomwinch_state::prelude::{DomainId, SortedVector, Timestamp};
 
-use crate::forwarding::beliefs::store_call::StoreRevision;
+use crate::forwarding::discovery::store_call::StoreRevision;
 
 /// How long an evacuation that ended is kept, so that its end reaches hosts that still
 /// consider it active. No host forwards with data that is older than this.
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvacuationPhase {
     /// They may not.
-    Lasting,
+    Active,
     /// They may not, although the evacuation is missing from the store, which was restored
     /// from a backup.
     Missing {
@@ -45,10 +45,10 @@
 
 impl EvacuationRecord {
     /// Whether it is active, so that servers of the domain receive no new flows.
-    pub const fn is_lasting(&self) -> bool {
+    pub const fn is_active(&self) -> bool {
         matches!(
             self.phase,
-            EvacuationPhase::Lasting | EvacuationPhase::Missing { .. }
+            EvacuationPhase::Active | EvacuationPhase::Missing { .. }
         )
     }
 
@@ -79,7 +79,7 @@
     /// Whether the servers of `domain` may receive no new flows.
     pub fn is_evacuated(&self, domain: DomainId) -> bool {
         let record = self.domains.get(&domain);
-        record.is_some_and(EvacuationRecord::is_lasting)
+        record.is_some_and(EvacuationRecord::is_active)
     }
 
     /// When this host learned that the evacuation of `domain` ended, and the revision at
@@ -87,7 +87,7 @@
     pub fn ended(&self, domain: DomainId) -> Option<(Timestamp, StoreRevision)> {
         let record = self.domains.get(&domain)?;
         match record.phase {
-            EvacuationPhase::Lasting | EvacuationPhase::Missing { .. } => None,
+            EvacuationPhase::Active | EvacuationPhase::Missing { .. } => None,
             EvacuationPhase::Ended { at } => Some((at, record.changed)),
         }
     }
@@ -99,9 +99,9 @@
         if known.is_some_and(|known| known.changed >= record.changed) {
             return false;
         }
-        let was_lasting = known.is_some_and(EvacuationRecord::is_lasting);
+        let was_active = known.is_some_and(EvacuationRecord::is_active);
         self.domains.insert(record.domain, record);
-        was_lasting != record.is_lasting()
+        was_active != record.is_active()
     }
 
     /// Applies a complete listing, read at `revision`. Evacuations that are not `listed`
@@ -116,7 +116,7 @@
         let is_listed = |domain: DomainId| listed.iter().any(|one| one.domain == domain);
         let missing = self
             .iter()
-            .filter(|one| one.is_lasting() && one.changed < revision && !is_listed(one.domain));
+            .filter(|one| one.is_active() && one.changed < revision && !is_listed(one.domain));
         let missing = missing.map(|one| EvacuationRecord {
             domain: one.domain,
             phase: one.phase_when_unlisted(revision, now),
@@ -158,7 +158,7 @@
         let mut removed_revision = None;
         self.domains.retain(|_, record| {
             let keep = match record.phase {
-                EvacuationPhase::Lasting | EvacuationPhase::Missing { .. } => true,
+                EvacuationPhase::Active | EvacuationPhase::Missing { .. } => true,
                 EvacuationPhase::Ended { at } => now.since(at) <= ENDED_RETENTION,
             };
             if !keep {
--- a/crates/cardamomwinch_coordination/src/forwarding/mod.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/mod.rs
@@ -6,7 +6,7 @@
 //! the server, the server passes it to the caller, and the caller sends it in each later
 //! packet. Everything else each host decides on its own:
 //!
-//! - [`beliefs`] keeps the known routes and servers up to date, and decides which source to
+//! - [`discovery`] keeps the known routes and servers up to date, and decides which source to
 //!   query next.
 //! - [`view`] is the immutable result, which forwarding reads.
 //! - [`permission`] decides which servers may take a new flow: none of an evacuated
@@ -18,10 +18,10 @@
 //! - [`engine`] decides about each packet.
 //! - [`explanation`] shows operators what would be decided.
 
-pub mod beliefs;
 pub mod cold_starts;
 pub mod deliveries;
 pub mod directory;
+pub mod discovery;
 pub mod engine;
 pub mod evacuations;
 pub mod explanation;
--- a/crates/cardamomwinch_coordination/src/forwarding/permission.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/permission.rs
@@ -58,7 +58,7 @@
     pub fn is_cold(&self, server: &ServerRecord) -> bool {
         let duration = self
             .cold_start
-            .map(|start| start.lasting)
+            .map(|start| start.duration)
             .unwrap_or_default();
         self.view.directory.cold_until(server, duration) > self.now
     }
--- a/crates/cardamomwinch_coordination/src/forwarding/server_reach.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_reach.rs
@@ -118,7 +118,7 @@
         };
         let absence = now.since(lost_at);
         // A host whose view is updated by the store again is no longer cut off.
-        let is_updated = view.heard_at > lost_at && absence >= MIN_ABSENCE;
+        let is_updated = view.as_of > lost_at && absence >= MIN_ABSENCE;
         let returns = is_updated || absence >= MAX_ABSENCE;
         if returns {
             self.clear();
--- a/crates/cardamomwinch_coordination/src/forwarding/server_reports.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_reports.rs
@@ -358,7 +358,7 @@
     }
 
     /// Removes reports that were not repeated recently. Returns whether there were any.
-    pub fn age(&mut self, now: Timestamp) -> bool {
+    pub fn expire(&mut self, now: Timestamp) -> bool {
         let before = self.reports.len();
         self.reports.retain(|_, kept| kept.report.is_fresh(now));
         self.reports.len() != before
--- a/crates/cardamomwinch_coordination/src/forwarding/server_starts.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/server_starts.rs
@@ -9,8 +9,8 @@
 
 use cardamomwinch_state::prelude::{BackendId, SortedVector};
 
-use crate::forwarding::beliefs::store_call::ServerStart;
 use crate::forwarding::directory::ServerDirectory;
+use crate::forwarding::discovery::store_call::ServerStart;
 
 /// The last known starts of all servers.
 #[derive(Debug, Default)]
--- a/crates/cardamomwinch_coordination/src/forwarding/view.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/view.rs
@@ -37,9 +37,9 @@
     pub reports: sync::Arc<ReportTable>,
     /// The time as of which this view was current with the store, by an answer of the store
     /// or of a peer.
-    pub heard_at: Timestamp,
+    pub as_of: Timestamp,
     /// When the store last failed to answer or refused a call.
-    pub silent_at: Option<Timestamp>,
+    pub store_failed_at: Option<Timestamp>,
 }
 
 impl ForwardingView {
@@ -56,13 +56,13 @@
 
     /// How long ago this view was last current with the store.
     pub fn age(&self, now: Timestamp) -> time::Duration {
-        now.since(self.heard_at)
+        now.since(self.as_of)
     }
 
     /// Whether a server or route that is missing from this view counts as nonexistent.
     pub fn is_complete(&self, now: Timestamp) -> bool {
         let settled = self
-            .silent_at
+            .store_failed_at
             .is_none_or(|at| now.since(at) >= SETTLING_TIME);
         settled && self.age(now) <= MAX_FRESH_AGE
     }
--- a/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_beliefs.rs
@@ -5,11 +5,13 @@
 
 use std::net;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
+use cardamomwinch_coordination::forwarding::directory::ServerPhase;
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
     StoreCall, StoreChange, StoreOutcome, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefChange, BeliefEngine, BeliefSettings};
-use cardamomwinch_coordination::forwarding::directory::ServerPhase;
+use cardamomwinch_coordination::forwarding::discovery::{
+    DiscoveryChange, DiscoveryEngine, DiscoverySettings,
+};
 use cardamomwinch_coordination::forwarding::regions::DomainRegions;
 use cardamomwinch_state::prelude::*;
 use forwarding_support::*;
@@ -18,21 +20,21 @@
     net::SocketAddr::from(([10, 1, 0, number], 8166))
 }
 
-fn engine(number: u8) -> BeliefEngine {
+fn engine(number: u8) -> DiscoveryEngine {
     engine_of("near", number)
 }
 
-fn engine_of(domain_name: &str, number: u8) -> BeliefEngine {
-    let settings = BeliefSettings {
+fn engine_of(domain_name: &str, number: u8) -> DiscoveryEngine {
+    let settings = DiscoverySettings {
         domain: domain(domain_name),
         regions: DomainRegions::default(),
         address: host_address(number),
         seeds: vec![host_address(1), host_address(2), host_address(3)],
         flow_lifetime: millis(60_000),
         watch_wait: millis(3_000),
-        list_part: start_list::PART_LIMIT,
+        max_part_servers: server_list::MAX_PART_SERVERS,
     };
-    BeliefEngine::new(settings, number.into())
+    DiscoveryEngine::new(settings, number.into())
 }
 
 fn revision(number: u64) -> StoreRevision {
@@ -58,17 +60,17 @@
     }
 }
 
-fn phase(engine: &BeliefEngine, number: u64) -> Option<ServerPhase> {
+fn phase(engine: &DiscoveryEngine, number: u64) -> Option<ServerPhase> {
     let view = engine.view();
     Some(view.directory.get(near_server(number).id)?.phase)
 }
 
 /// A host that knows version 1 and servers 1 and 2, at revision 10.
-fn started(number: u8) -> BeliefEngine {
+fn started(number: u8) -> DiscoveryEngine {
     started_of("near", number)
 }
 
-fn started_of(domain_name: &str, number: u8) -> BeliefEngine {
+fn started_of(domain_name: &str, number: u8) -> DiscoveryEngine {
     let mut engine = engine_of(domain_name, number);
     let call = engine.next_store_call(at(0));
     let is_seed = number <= 3;
@@ -110,16 +112,16 @@
 /// from this one would take it for dead and all read the store.
 #[test]
 fn a_watch_waits_no_longer_than_hosts_rely_on_its_data() {
-    let settings = BeliefSettings {
+    let settings = DiscoverySettings {
         domain: domain("near"),
         regions: DomainRegions::default(),
         address: host_address(1),
         seeds: Vec::new(),
         flow_lifetime: millis(60_000),
         watch_wait: millis(20_000),
-        list_part: start_list::PART_LIMIT,
+        max_part_servers: server_list::MAX_PART_SERVERS,
     };
-    let mut engine = BeliefEngine::new(settings, 1);
+    let mut engine = DiscoveryEngine::new(settings, 1);
     engine.handle_store(at(0), page(vec![routes(1)], 10));
     let StoreCall::Watch { wait, .. } = engine.next_store_call(at(0)) else {
         panic!("a host that has listed watches");
@@ -165,7 +167,7 @@
     assert!(pauses[0] < pauses[2] && pauses[2] < pauses[4]);
     assert!(pauses[5] <= millis(750));
     let lost = engine.take_changes();
-    assert_eq!(lost, [BeliefChange::StoreLost], "logged once");
+    assert_eq!(lost, [DiscoveryChange::StoreLost], "logged once");
 }
 
 /// Entries of running servers expired during an outage of the store, so the next listing
@@ -213,8 +215,8 @@
     let mut cut = started(1);
     let mut peer = started_of("far", 2);
     let first = query_peer(&mut peer, &mut cut, 50);
-    cut.handle_peer(at(50), host_address(2), Some(first));
-    assert_eq!(cut.next_peer(at(60)), None, "the store answers");
+    cut.handle_answer(at(50), host_address(2), Some(first));
+    assert_eq!(cut.next_query(at(60)), None, "the store answers");
     peer.handle_store(
         at(100),
         changes(vec![routes(2), server_entry(1, 11, true)], 11),
@@ -222,7 +224,7 @@
     cut.handle_store(at(100), StoreOutcome::Failed);
     let answer = query_peer(&mut peer, &mut cut, 200);
     assert_eq!(answer.servers.len(), 1, "only what changed is sent");
-    cut.handle_peer(at(200), host_address(2), Some(answer));
+    cut.handle_answer(at(200), host_address(2), Some(answer));
     assert_eq!(phase(&cut, 1), Some(ServerPhase::Draining));
     assert_eq!(cut.view().routes.version(), ConfigurationVersion::new(2));
     assert_eq!(cut.revision(), revision(11));
@@ -230,12 +232,12 @@
 
 /// Returns the answer of `peer` to a query of `host`.
 fn query_peer(
-    peer: &mut BeliefEngine,
-    host: &mut BeliefEngine,
+    peer: &mut DiscoveryEngine,
+    host: &mut DiscoveryEngine,
     moment: u64,
-) -> cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerWord {
-    let (_, query) = host.next_peer(at(moment)).expect("a peer is needed");
-    peer.answer_peer(at(moment), &query)
+) -> cardamomwinch_coordination::forwarding::discovery::peer_messages::PeerAnswer {
+    let (_, query) = host.next_query(at(moment)).expect("a peer is needed");
+    peer.answer_query(at(moment), &query)
 }
 
 /// An answer of a peer with older data must not undo newer changes.
@@ -245,7 +247,7 @@
     let mut peer = started(2);
     host.handle_store(at(10), changes(vec![server_entry(1, 11, true)], 11));
     let answer = query_peer(&mut peer, &mut host, 20);
-    host.handle_peer(at(20), host_address(2), Some(answer));
+    host.handle_answer(at(20), host_address(2), Some(answer));
     assert_eq!(phase(&host, 1), Some(ServerPhase::Draining));
     assert_eq!(host.revision(), revision(11));
 }
@@ -266,12 +268,12 @@
         page(vec![routes(1), server_entry(2, 6, false)], 11),
     );
     let answer = query_peer(&mut peer, &mut host, 1_010);
-    host.handle_peer(at(1_010), host_address(2), Some(answer));
+    host.handle_answer(at(1_010), host_address(2), Some(answer));
     assert!(matches!(phase(&host, 1), Some(ServerPhase::Left { .. })));
     assert_eq!(phase(&host, 2), Some(ServerPhase::Active));
 }
 
-fn knows(host: &BeliefEngine, number: u8) -> bool {
+fn knows(host: &DiscoveryEngine, number: u8) -> bool {
     let hosts = host.peers().hosts();
     hosts.iter().any(|one| one.address == host_address(number))
 }
@@ -284,15 +286,15 @@
     let answer = {
         let mut peer = started(2);
         let mut other = started(9);
-        let (_, query) = other.next_peer(at(0)).unwrap();
-        peer.answer_peer(at(0), &query);
+        let (_, query) = other.next_query(at(0)).unwrap();
+        peer.answer_query(at(0), &query);
         query_peer(&mut peer, &mut host, 0)
     };
-    host.handle_peer(at(0), host_address(2), Some(answer));
+    host.handle_answer(at(0), host_address(2), Some(answer));
     assert!(knows(&host, 9));
     for _ in 0..3 {
-        host.handle_peer(at(1), host_address(9), None);
-        host.handle_peer(at(1), host_address(3), None);
+        host.handle_answer(at(1), host_address(9), None);
+        host.handle_answer(at(1), host_address(3), None);
     }
     assert!(!knows(&host, 9));
     assert!(knows(&host, 3));
@@ -315,7 +317,7 @@
     };
     host.handle_store(at(20), first_page);
     let answer = query_peer(&mut peer, &mut host, 25);
-    host.handle_peer(at(25), host_address(2), Some(answer));
+    host.handle_answer(at(25), host_address(2), Some(answer));
     assert_eq!(phase(&host, 3), Some(ServerPhase::Active));
     host.handle_store(at(30), page(vec![server_entry(2, 6, false)], 12));
     assert_eq!(phase(&host, 3), Some(ServerPhase::Active));
@@ -324,7 +326,7 @@
 }
 
 /// A host that knows `count` servers at revision 5,000, one of which has left.
-fn host_of_many(count: u64) -> BeliefEngine {
+fn host_of_many(count: u64) -> DiscoveryEngine {
     let mut peer = engine_of("far", 2);
     let servers = (1..=count).map(|number| server_entry(number, number, false));
     let items = servers.chain([routes(1)]).collect();
@@ -347,7 +349,7 @@
     for number in 10..30 {
         let mut host = engine(number);
         let answer = query_peer(&mut peer, &mut host, 10);
-        host.handle_peer(at(10), host_address(2), Some(answer.clone()));
+        host.handle_answer(at(10), host_address(2), Some(answer.clone()));
         let receives_list = answer.list.is_some();
         assert!(receives_list || (answer.servers.is_empty() && answer.routes.is_none()));
         assert_eq!(answer.query_instead.is_some(), !receives_list);
@@ -359,7 +361,7 @@
         }
         assert_eq!(host.view().is_usable(), receives_list);
         if let Some(other) = answer.query_instead {
-            let (queried, _) = host.next_peer(at(40)).unwrap();
+            let (queried, _) = host.next_query(at(40)).unwrap();
             assert_eq!(queried, other, "one that receives the list");
             assert!((10..14).map(host_address).any(|receiver| receiver == other));
         }
@@ -373,12 +375,16 @@
 
 /// Has `host` query `peer` for all further parts of the list of 2,000 servers, and returns
 /// how many servers the first part held.
-fn query_remaining_parts(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> usize {
+fn query_remaining_parts(
+    peer: &mut DiscoveryEngine,
+    host: &mut DiscoveryEngine,
+    moment: u64,
+) -> usize {
     let mut others = 0;
     while !host.view().is_usable() && others < 2_000 {
         let answer = query_peer(peer, host, moment);
         others += answer.servers.len();
-        host.handle_peer(at(moment), host_address(2), Some(answer));
+        host.handle_answer(at(moment), host_address(2), Some(answer));
     }
     2_000 - others
 }
@@ -410,15 +416,15 @@
         assert!(query_peer(&mut peer, &mut other, 10).all_servers);
     }
     let mut host = started(9);
-    let (queried, query) = host.next_peer(at(10)).unwrap();
-    let mut answer = peer.answer_peer(at(10), &query);
+    let (queried, query) = host.next_query(at(10)).unwrap();
+    let mut answer = peer.answer_query(at(10), &query);
     let elsewhere = host_address(12);
     answer.revision = StoreRevision::ZERO;
     answer.query_instead = Some(elsewhere);
-    host.handle_peer(at(10), queried, Some(answer));
-    assert_eq!(host.next_peer(at(11)).unwrap().0, elsewhere);
+    host.handle_answer(at(10), queried, Some(answer));
+    assert_eq!(host.next_query(at(11)).unwrap().0, elsewhere);
     assert_ne!(
-        host.next_peer(at(12)).map(|(queried, _)| queried),
+        host.next_query(at(12)).map(|(queried, _)| queried),
         Some(elsewhere)
     );
 }
@@ -431,7 +437,7 @@
     let mut host = engine(9);
     host.next_store_call(at(0));
     let answer = query_peer(&mut peer, &mut host, 5);
-    host.handle_peer(at(5), host_address(2), Some(answer));
+    host.handle_answer(at(5), host_address(2), Some(answer));
     assert!(host.view().is_usable());
     let call = host.next_store_call(at(10));
     assert!(matches!(call, StoreCall::Pause(_)), "{call:?}");
@@ -467,7 +473,7 @@
     engine.handle_store(at(2_500), changes((1..=4).map(removed).collect(), 14));
     assert!(!engine.view().is_complete(at(2_600)));
     let changed = engine.take_changes();
-    let outage = BeliefChange::ManyVanished { servers: 4 };
+    let outage = DiscoveryChange::ManyVanished { servers: 4 };
     assert!(changed.contains(&outage), "{changed:?}");
     assert!(engine.view().is_complete(at(6_000)), "it does not last");
 }
@@ -492,14 +498,17 @@
 fn a_peer_is_logged_as_lost_and_regained_once() {
     let mut host = started(1);
     let peer = host_address(2);
-    host.handle_peer(at(10), peer, None);
-    host.handle_peer(at(20), peer, None);
-    assert_eq!(host.take_changes(), [BeliefChange::PeerLost { peer }]);
+    host.handle_answer(at(10), peer, None);
+    host.handle_answer(at(20), peer, None);
+    assert_eq!(host.take_changes(), [DiscoveryChange::PeerLost { peer }]);
     let mut other = started(2);
-    let (_, query) = other.next_peer(at(30)).unwrap();
-    host.answer_peer(at(30), &query);
-    assert_eq!(host.take_changes(), [BeliefChange::PeerRegained { peer }]);
-    host.answer_peer(at(40), &query);
+    let (_, query) = other.next_query(at(30)).unwrap();
+    host.answer_query(at(30), &query);
+    assert_eq!(
+        host.take_changes(),
+        [DiscoveryChange::PeerRegained { peer }]
+    );
+    host.answer_query(at(40), &query);
     assert_eq!(host.take_changes(), []);
 }
 
@@ -511,12 +520,12 @@
     let mut host = started(1);
     let desk = service("desk");
     host.handle_store(at(10), changes(vec![server_entry(1, 11, true)], 11));
-    let lost = BeliefChange::OwnServersLost { service: desk };
+    let lost = DiscoveryChange::OwnServersLost { service: desk };
     assert!(!host.take_changes().contains(&lost), "one of two is left");
     host.handle_store(at(20), changes(vec![server_entry(2, 12, true)], 12));
     assert!(host.take_changes().contains(&lost));
     host.handle_store(at(30), changes(vec![server_entry(3, 13, false)], 13));
-    let regained = BeliefChange::OwnServersRegained { service: desk };
+    let regained = DiscoveryChange::OwnServersRegained { service: desk };
     assert!(host.take_changes().contains(&regained));
 }
 
@@ -528,12 +537,12 @@
     let mut host = started(1);
     let mut peer = started(2);
     peer.handle_store(at(1_000), changes(vec![server_entry(2, 11, true)], 12));
-    let (address, query) = host.next_peer(at(1_000)).unwrap();
-    let mut answer = peer.answer_peer(at(1_010), &query);
+    let (address, query) = host.next_query(at(1_000)).unwrap();
+    let mut answer = peer.answer_query(at(1_010), &query);
     answer.waited = millis(5);
-    host.handle_peer(at(2_500), address, Some(answer));
-    let heard_at = host.as_of();
-    assert!(heard_at > at(900) && heard_at <= at(1_010), "{heard_at}");
+    host.handle_answer(at(2_500), address, Some(answer));
+    let as_of = host.as_of();
+    assert!(as_of > at(900) && as_of <= at(1_010), "{as_of}");
 }
 
 /// Like the test above, with long answers of the store.
--- a/crates/cardamomwinch_coordination/tests/forwarding_cold.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_cold.rs
@@ -4,9 +4,9 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::cold_starts::{ColdShare, ColdStart};
 use cardamomwinch_coordination::forwarding::directory::ServerRecord;
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::evacuations::{EvacuationPhase, EvacuationRecord};
 use cardamomwinch_coordination::forwarding::record::ForwardingOutcome;
 use cardamomwinch_coordination::forwarding::routes::RouteDocument;
@@ -25,7 +25,7 @@
 fn adopt_rate(host: &mut TestHost, rate: u64) {
     let start = ColdStart {
         service: service("desk"),
-        lasting: millis(COLD),
+        duration: millis(COLD),
         openings: OpeningRate::new(rate * 1_000),
     };
     host.adopt(RouteDocument {
--- a/crates/cardamomwinch_coordination/tests/forwarding_evacuations.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_evacuations.rs
@@ -3,11 +3,11 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::{PeerQuestion, PeerWord};
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::{PeerAnswer, PeerQuery};
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
     StoreChange, StoreOutcome, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefChange, BeliefEngine};
+use cardamomwinch_coordination::forwarding::discovery::{DiscoveryChange, DiscoveryEngine};
 use forwarding_support::*;
 
 fn begun(name: &str, revision: u64) -> StoreChange {
@@ -44,24 +44,24 @@
 }
 
 /// A host that has listed everything at revision 10.
-fn started(number: u8, more: Vec<StoreChange>) -> BeliefEngine {
-    let mut engine = belief_engine(number);
+fn started(number: u8, more: Vec<StoreChange>) -> DiscoveryEngine {
+    let mut engine = discovery_engine(number);
     engine.handle_store(at(0), listing(more, 10));
     engine.take_changes();
     engine
 }
 
-fn is_evacuated(engine: &BeliefEngine, name: &str) -> bool {
+fn is_evacuated(engine: &DiscoveryEngine, name: &str) -> bool {
     let view = engine.view();
     view.directory.evacuations().is_evacuated(domain(name))
 }
 
 /// The answer of `sender` to a query of `receiver`.
-fn query(sender: &mut BeliefEngine, receiver: &mut BeliefEngine, moment: u64) -> PeerWord {
-    let (_, query) = receiver.next_peer(at(moment)).unwrap();
-    sender.answer_peer(
+fn query(sender: &mut DiscoveryEngine, receiver: &mut DiscoveryEngine, moment: u64) -> PeerAnswer {
+    let (_, query) = receiver.next_query(at(moment)).unwrap();
+    sender.answer_query(
         at(moment),
-        &PeerQuestion {
+        &PeerQuery {
             wait: millis(0),
             ..query
         },
@@ -69,11 +69,11 @@
 }
 
 /// The recorded changes of evacuations: whether each is active, and its revision.
-fn recorded_changes(engine: &mut BeliefEngine) -> Vec<(bool, u64)> {
+fn recorded_changes(engine: &mut DiscoveryEngine) -> Vec<(bool, u64)> {
     let changes = engine.take_changes().into_iter();
     let evacuations = changes.filter_map(|change| match change {
-        BeliefChange::EvacuationChanged { evacuation } => {
-            Some((evacuation.is_lasting(), evacuation.changed.get()))
+        DiscoveryChange::EvacuationChanged { evacuation } => {
+            Some((evacuation.is_active(), evacuation.changed.get()))
         }
         _ => None,
     });
@@ -97,9 +97,9 @@
     let engine_from_store = started(1, vec![begun("far", 7)]);
     assert!(is_evacuated(&engine_from_store, "far"));
     let mut sender = engine_from_store;
-    let mut starting = belief_engine(9);
+    let mut starting = discovery_engine(9);
     let answer = query(&mut sender, &mut starting, 20);
-    starting.handle_peer(at(20), host_address(1), Some(answer));
+    starting.handle_answer(at(20), host_address(1), Some(answer));
     assert!(is_evacuated(&starting, "far"));
 }
 
@@ -143,12 +143,12 @@
     let mut sender = started(1, Vec::new());
     let mut receiver = started(9, vec![begun("far", 9)]);
     let mut outdated = started(2, vec![begun("far", 9)]);
-    let old_answer = query(&mut outdated, &mut belief_engine(8), 10);
+    let old_answer = query(&mut outdated, &mut discovery_engine(8), 10);
     sender.handle_store(at(50), watched(vec![begun("far", 9), ended("far", 20)], 20));
     let answer = query(&mut sender, &mut receiver, 100);
-    receiver.handle_peer(at(100), host_address(1), Some(answer));
+    receiver.handle_answer(at(100), host_address(1), Some(answer));
     assert!(!is_evacuated(&receiver, "far"));
-    receiver.handle_peer(at(110), host_address(2), Some(old_answer));
+    receiver.handle_answer(at(110), host_address(2), Some(old_answer));
     assert!(!is_evacuated(&receiver, "far"));
     let (moment, revision) = receiver
         .view()
@@ -170,7 +170,7 @@
     let mut receiver = started(9, vec![begun("far", 7)]);
     let answer = query(&mut sender, &mut receiver, 70_000);
     assert!(answer.all_servers);
-    receiver.handle_peer(at(70_000), host_address(1), Some(answer));
+    receiver.handle_answer(at(70_000), host_address(1), Some(answer));
     assert!(!is_evacuated(&receiver, "far"));
 }
 
--- a/crates/cardamomwinch_coordination/tests/forwarding_explanation.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_explanation.rs
@@ -69,11 +69,11 @@
     let mut host = TestHost::new(vec![near_server(1)]);
     let other = std::net::SocketAddr::from(([198, 18, 0, 9], 80));
     host.adopt(document(2, vec![(other, route(true))]));
-    host.view.silent_at = Some(at(0));
+    host.view.store_failed_at = Some(at(0));
     let held = ForwardingOutcome::NoRouteHeld;
     assert_eq!(explain(&host, 100, None).outcome, held);
     assert_eq!(host.handle(at(100), &opening(1, 0)).outcomes, [held]);
-    host.view.heard_at = at(3_500);
+    host.view.as_of = at(3_500);
     let reset = ForwardingOutcome::NoRouteReset;
     assert_eq!(explain(&host, 3_500, None).outcome, reset);
     assert_eq!(host.handle(at(3_500), &opening(1, 0)).outcomes, [reset]);
--- a/crates/cardamomwinch_coordination/tests/forwarding_false_alarms.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_false_alarms.rs
@@ -4,8 +4,8 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::directory::{ServerPhase, ServerRecord};
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::record::ForwardingOutcome;
 use forwarding_support::watched_flows::*;
 use forwarding_support::*;
@@ -39,7 +39,7 @@
     for port in 1..4 {
         host.handle(at(600), &data(port, server, 500, 1, 80));
     }
-    host.sleep_until(at(4_500));
+    host.pause_until(at(4_500));
     assert_eq!(host.tick(at(4_500)).ended, []);
     for port in 1..4 {
         for moment in [4_501, 4_502, 4_503] {
@@ -52,11 +52,11 @@
 /// Guards against flows that are ended because entries expired during an outage of the store.
 #[test]
 fn flows_are_kept_if_entries_expired_in_an_outage_of_the_store() {
-    let mut host = host_of_two(8);
+    let mut host = host_with_two_servers(8);
     let server = near_server(1).id;
-    host.view.silent_at = Some(at(900));
+    host.view.store_failed_at = Some(at(900));
     host.change(|directory| directory.note_removed(server, StoreRevision::new(2), at(1_000)));
-    host.view.heard_at = at(1_000);
+    host.view.as_of = at(1_000);
     assert_eq!(host.tick(at(1_100)).ended, []);
 }
 
@@ -64,7 +64,7 @@
 /// them to their end.
 #[test]
 fn flows_of_a_server_that_left_are_kept() {
-    let mut host = host_of_two(8);
+    let mut host = host_with_two_servers(8);
     let leaving = ServerRecord {
         phase: ServerPhase::Draining,
         ..near_server(1)
@@ -73,7 +73,7 @@
         directory.note(leaving.clone());
         directory.note_removed(leaving.id, StoreRevision::new(2), at(1_000));
     });
-    host.view.heard_at = at(1_000);
+    host.view.as_of = at(1_000);
     assert_eq!(host.tick(at(1_100)).ended, []);
 }
 
@@ -81,7 +81,7 @@
 /// progress again.
 #[test]
 fn flows_of_a_server_that_makes_progress_again_are_kept() {
-    let mut host = host_of_two(16);
+    let mut host = host_with_two_servers(16);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
     for moment in [1_000, 1_200] {
@@ -89,7 +89,7 @@
             host.handle(at(moment), &data(*port, server, 500, 1, 80));
         }
     }
-    show_life(&mut host, 1_235, near_server(2).id);
+    show_progress(&mut host, 1_235, near_server(2).id);
     host.handle(at(1_240), &data(on_it[5], server, 500, 9_000, 0));
     assert_eq!(host.tick(at(1_250)).ended, []);
     assert_eq!(host.tick(at(4_000)).ended, []);
@@ -99,7 +99,7 @@
 /// callers repeat themselves on flows of all servers.
 #[test]
 fn a_host_that_is_slow_itself_ends_no_flows() {
-    let mut host = host_of_two(12);
+    let mut host = host_with_two_servers(12);
     for moment in [1_000, 1_200, 1_600] {
         for server in [near_server(1).id, near_server(2).id] {
             for port in ports_on(&host, server) {
@@ -115,14 +115,14 @@
 /// its few flows repeat themselves once.
 #[test]
 fn two_flows_with_one_repetition_each_are_too_little_evidence() {
-    let mut host = host_of_two(4);
+    let mut host = host_with_two_servers(4);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
     for round in 0..4_u32 {
         let start = 1_000 + 2_000 * u64::from(round);
         let (sequence, acknowledged) = (500 + 80 * round, 1 + 2_000 * round);
         for moment in [start, start + 200] {
-            show_life(&mut host, moment - 1, near_server(2).id);
+            show_progress(&mut host, moment - 1, near_server(2).id);
             for port in &on_it {
                 let packet = data(*port, server, sequence, acknowledged, 80);
                 assert_eq!(host.handle(at(moment), &packet).resets, 0);
@@ -140,7 +140,7 @@
 /// delivered, because it sends a large configuration to other hosts and its link is full.
 #[test]
 fn losses_while_this_host_delivers_nothing_reset_no_flow() {
-    let mut host = host_of_two(8);
+    let mut host = host_with_two_servers(8);
     let (server, other) = (near_server(1).id, near_server(2).id);
     let waiting = ports_on(&host, server);
     show_delivery(&mut host, 800, other);
@@ -196,7 +196,7 @@
 /// other server shows that its own link works.
 #[test]
 fn the_only_flow_of_a_server_is_kept_if_no_server_makes_progress() {
-    let mut host = host_of_two(4);
+    let mut host = host_with_two_servers(4);
     let repeating = [near_server(1).id, near_server(2).id].map(|id| (ports_on(&host, id)[0], id));
     for moment in [1_000, 1_200, 1_600, 2_400] {
         for (port, server) in repeating {
@@ -210,15 +210,15 @@
 /// timers run.
 #[test]
 fn packets_that_were_queued_during_a_pause_reset_no_flow() {
-    let mut host = host_of_two(12);
+    let mut host = host_with_two_servers(12);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
     host.tick(at(500));
     for port in &on_it {
         host.handle(at(600), &data(*port, server, 500, 1, 80));
     }
-    host.sleep_until(at(4_600));
-    show_life(&mut host, 4_600, near_server(2).id);
+    host.pause_until(at(4_600));
+    show_progress(&mut host, 4_600, near_server(2).id);
     for port in &on_it {
         let sink = host.handle(at(4_601), &data(*port, server, 500, 1, 80));
         assert_eq!(sink.resets, 0);
@@ -230,22 +230,22 @@
 /// their copies and considers them three flows without an answer.
 #[test]
 fn a_host_that_was_paused_for_400_ms_resets_no_flow() {
-    let mut host = host_of_two(12);
+    let mut host = host_with_two_servers(12);
     let server = near_server(1).id;
     let on_it = ports_on(&host, server);
     for moment in [700, 800, 900, 1_000] {
         host.tick(at(moment));
-        show_life(&mut host, moment, server);
-        show_life(&mut host, moment, near_server(2).id);
+        show_progress(&mut host, moment, server);
+        show_progress(&mut host, moment, near_server(2).id);
     }
-    host.sleep_until(at(1_400));
+    host.pause_until(at(1_400));
     for copies in 0..2 {
         for port in &on_it {
             let sink = host.handle(at(1_400), &data(*port, server, 500, 1, 80));
             assert_eq!(sink.resets, 0, "copies: {copies}");
         }
     }
-    show_life(&mut host, 1_450, near_server(2).id);
+    show_progress(&mut host, 1_450, near_server(2).id);
     for port in &on_it {
         let sink = host.handle(at(1_460), &data(*port, server, 500, 1, 80));
         assert_eq!(sink.resets, 0);
@@ -256,10 +256,10 @@
 /// idle, and count as six flows without an answer.
 #[test]
 fn packets_in_another_order_are_no_repetition() {
-    let mut host = host_of_two(8);
+    let mut host = host_with_two_servers(8);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
-    show_life(&mut host, 3_000, near_server(2).id);
+    show_progress(&mut host, 3_000, near_server(2).id);
     for sequence in [6_500, 1_700, 500, 2_900, 5_300, 4_100] {
         let sink = host.handle(at(3_001), &data(port, server, sequence, 1, 1_200));
         assert_eq!(sink.outcomes, [ForwardingOutcome::Forwarded]);
@@ -271,18 +271,18 @@
 /// server and repeats six packets in each round.
 #[test]
 fn one_flow_counts_once_however_many_packets_it_repeats() {
-    let mut host = host_of_two(8);
+    let mut host = host_with_two_servers(8);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
     for moment in [3_000, 3_200] {
-        show_life(&mut host, moment, near_server(2).id);
+        show_progress(&mut host, moment, near_server(2).id);
         for sequence in [500, 1_700, 2_900, 4_100, 5_300, 6_500] {
             let sink = host.handle(at(moment), &data(port, server, sequence, 1, 1_200));
             assert_eq!(sink.resets, 0, "at {moment}");
         }
     }
     for moment in [3_210, 3_320, 3_430] {
-        show_life(&mut host, moment, near_server(2).id);
+        show_progress(&mut host, moment, near_server(2).id);
         host.handle(at(moment), &data(port, server, 500, 1, 1_200));
         assert_eq!(host.tick(at(moment + 10)).ended, [], "at {moment}");
     }
--- a/crates/cardamomwinch_coordination/tests/forwarding_placement.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_placement.rs
@@ -3,11 +3,11 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::cold_starts::ColdLimiter;
 use cardamomwinch_coordination::forwarding::directory::{
     ServerDirectory, ServerPhase, ServerRecord,
 };
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::flow_lifetimes::FlowLifetimes;
 use cardamomwinch_coordination::forwarding::packet::{FlowPacket, PacketKind};
 use cardamomwinch_coordination::forwarding::permission::FlowPermission;
@@ -127,7 +127,7 @@
     host.change(|directory| directory.note_removed(server, StoreRevision::new(2), at(0)));
     assert_eq!(host.open(at(100), 1), server);
     host.change(|directory| {
-        directory.age(at(3_000), millis(60_000));
+        directory.expire(at(3_000), millis(60_000));
     });
     let sink = host.handle(at(3_000), &opening(2, 0));
     assert_eq!(sink.outcomes, [ForwardingOutcome::NoServerHeld]);
--- a/crates/cardamomwinch_coordination/tests/forwarding_places.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_places.rs
@@ -6,8 +6,8 @@
 
 use std::sync;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::directory::ServerPhase;
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::evacuations::{EvacuationPhase, EvacuationRecord};
 use cardamomwinch_coordination::forwarding::explanation;
 use cardamomwinch_coordination::forwarding::record::ForwardingOutcome;
@@ -25,7 +25,7 @@
 }
 
 fn evacuate(host: &mut TestHost, domain_name: &str, revision: u64) {
-    let begun = evacuation(domain_name, EvacuationPhase::Lasting, revision);
+    let begun = evacuation(domain_name, EvacuationPhase::Active, revision);
     host.change(|directory| {
         directory.note_evacuation(begun);
     });
--- a/crates/cardamomwinch_coordination/tests/forwarding_reach.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_reach.rs
@@ -3,7 +3,7 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::evacuations::{EvacuationPhase, EvacuationRecord};
 use cardamomwinch_state::prelude::*;
 use forwarding_support::*;
@@ -60,7 +60,7 @@
     send_without_answers(&mut host, &flows, 1_000);
     host.run_until(at(6_000));
     assert!(!host.engine.reaches_servers(), "no update of its view yet");
-    host.view.heard_at = at(6_100);
+    host.view.as_of = at(6_100);
     host.run_until(at(6_200));
     assert!(host.engine.reaches_servers());
     let (port, server) = flows[0];
@@ -91,7 +91,7 @@
     assert_eq!(kept, near_server(1).id);
     let begun = EvacuationRecord {
         domain: domain("near"),
-        phase: EvacuationPhase::Lasting,
+        phase: EvacuationPhase::Active,
         changed: StoreRevision::new(9),
     };
     host.change(|directory| {
--- a/crates/cardamomwinch_coordination/tests/forwarding_reports.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_reports.rs
@@ -5,8 +5,8 @@
 
 use std::sync;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{StoreOutcome, StoreRevision};
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefEngine, BeliefSettings};
+use cardamomwinch_coordination::forwarding::discovery::store_call::{StoreOutcome, StoreRevision};
+use cardamomwinch_coordination::forwarding::discovery::{DiscoveryEngine, DiscoverySettings};
 use cardamomwinch_coordination::forwarding::engine::ForwardingEngine;
 use cardamomwinch_coordination::forwarding::packet::{FlowPacket, PacketKind};
 use cardamomwinch_coordination::forwarding::record::ForwardingOutcome;
@@ -111,7 +111,7 @@
     }
     assert!(table.after(ReportSerial::default()).count() <= 1_024);
     assert!(table.is_silent(near_server(1).id, DELIVERY, None, at(600)));
-    table.age(at(5_000));
+    table.expire(at(5_000));
     assert!(table.is_empty());
 }
 
@@ -370,7 +370,7 @@
     };
     let reporter = hosts - 1;
     fleet.hosts[reporter].condition = Condition::Running;
-    fleet.hosts[reporter].engine.take_reports(at(start), [seen]);
+    fleet.hosts[reporter].engine.add_reports(at(start), [seen]);
     let knows = |index: usize, fleet: &Fleet| {
         let host = &fleet.hosts[index];
         let reports = host.engine.view().reports;
@@ -384,7 +384,7 @@
     }
     let without_report = (0..hosts).filter(|index| !knows(*index, &fleet)).count();
     assert_eq!(without_report, 0, "after {} ms", fleet.now - start);
-    let busiest = fleet.tellings.iter().max().unwrap();
+    let busiest = fleet.report_messages.iter().max().unwrap();
     assert!(*busiest <= 40, "{busiest} calls at one host");
 }
 
@@ -464,17 +464,17 @@
     }
 }
 
-fn started_engine(number: u8, domain_name: &str) -> BeliefEngine {
-    let settings = BeliefSettings {
+fn started_engine(number: u8, domain_name: &str) -> DiscoveryEngine {
+    let settings = DiscoverySettings {
         domain: domain(domain_name),
         regions: DomainRegions::default(),
         address: ([10, 1, 0, number], 8166).into(),
         seeds: vec![([10, 1, 0, 1], 8166).into(), ([10, 1, 0, 2], 8166).into()],
         flow_lifetime: millis(60_000),
         watch_wait: millis(2_000),
-        list_part: start_list::PART_LIMIT,
+        max_part_servers: server_list::MAX_PART_SERVERS,
     };
-    let mut engine = BeliefEngine::new(settings, number.into());
+    let mut engine = DiscoveryEngine::new(settings, number.into());
     let items = vec![server_entry(1, 5, false)];
     let page = StoreOutcome::Page {
         items,
@@ -492,12 +492,12 @@
 #[test]
 fn reports_are_sent_only_in_their_own_domain() {
     let mut sender = started_engine(1, "far");
-    sender.take_reports(at(300), [silent(7, 1, 3, 0, 210)]);
+    sender.add_reports(at(300), [silent(7, 1, 3, 0, 210)]);
     for (domain_name, expected) in [("far", 1), ("near", 0)] {
         let mut receiver = started_engine(9, domain_name);
-        let (_, query) = receiver.next_peer(at(400)).unwrap();
+        let (_, query) = receiver.next_query(at(400)).unwrap();
         assert_eq!(sender.knows_more_than(&query), expected == 1);
-        let answer = sender.answer_peer(at(400), &query);
+        let answer = sender.answer_query(at(400), &query);
         assert_eq!(answer.reports.len(), expected);
     }
 }
@@ -507,11 +507,11 @@
 #[test]
 fn reports_are_older_by_the_time_that_their_answer_took() {
     let mut sender = started_engine(1, "near");
-    sender.take_reports(at(420), [silent(7, 1, 2, 0, 400), silent(8, 1, 2, 0, 400)]);
+    sender.add_reports(at(420), [silent(7, 1, 2, 0, 400), silent(8, 1, 2, 0, 400)]);
     let mut receiver = started_engine(9, "near");
-    let (peer, query) = receiver.next_peer(at(450)).unwrap();
-    let answer = sender.answer_peer(at(450), &query);
-    receiver.handle_peer(at(2_450), peer, Some(answer));
+    let (peer, query) = receiver.next_query(at(450)).unwrap();
+    let answer = sender.answer_query(at(450), &query);
+    receiver.handle_answer(at(2_450), peer, Some(answer));
     let reports = receiver.view().reports;
     let answered_at = Some(at(1_200));
     assert!(reports.has_reports_about(near_server(1).id));
--- a/crates/cardamomwinch_coordination/tests/forwarding_restarts.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restarts.rs
@@ -4,12 +4,12 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerServer;
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
+use cardamomwinch_coordination::forwarding::directory::{ServerPhase, ServerRecord};
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::PeerServer;
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
     ServerStart, StoreChange, StoreOutcome, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefEngine, BeliefSettings};
-use cardamomwinch_coordination::forwarding::directory::{ServerPhase, ServerRecord};
+use cardamomwinch_coordination::forwarding::discovery::{DiscoveryEngine, DiscoverySettings};
 use cardamomwinch_coordination::forwarding::regions::DomainRegions;
 use forwarding_support::*;
 
@@ -97,17 +97,17 @@
     }
 }
 
-fn discovery_engine() -> BeliefEngine {
-    let settings = BeliefSettings {
+fn discovery_engine() -> DiscoveryEngine {
+    let settings = DiscoverySettings {
         domain: domain("near"),
         regions: DomainRegions::default(),
         address: "10.1.0.1:8166".parse().unwrap(),
         seeds: Vec::new(),
         flow_lifetime: millis(60_000),
         watch_wait: millis(3_000),
-        list_part: start_list::PART_LIMIT,
+        max_part_servers: server_list::MAX_PART_SERVERS,
     };
-    let mut engine = BeliefEngine::new(settings, 1);
+    let mut engine = DiscoveryEngine::new(settings, 1);
     let routes = document(1, vec![(service_address(), route(true))]);
     let items = vec![
         StoreChange::Routes(routes),
@@ -133,7 +133,7 @@
     }
 }
 
-fn phase(engine: &BeliefEngine, number: u64) -> Option<ServerPhase> {
+fn phase(engine: &DiscoveryEngine, number: u64) -> Option<ServerPhase> {
     let view = engine.view();
     Some(view.directory.get(near_server(number).id)?.phase)
 }
--- a/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_restored.rs
@@ -3,12 +3,12 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerWord;
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
+use cardamomwinch_coordination::forwarding::directory::ServerPhase;
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::PeerAnswer;
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
     ServerStart, StoreCall, StoreChange, StoreEra, StoreOutcome, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefChange, BeliefEngine};
-use cardamomwinch_coordination::forwarding::directory::ServerPhase;
+use cardamomwinch_coordination::forwarding::discovery::{DiscoveryChange, DiscoveryEngine};
 use forwarding_support::fleet::{Condition, Fleet, SETTLED};
 use forwarding_support::*;
 use rand::rngs::SmallRng;
@@ -50,8 +50,8 @@
 }
 
 /// A host that knows servers 1 and 2, and `more`, at revision 26 of the first era.
-fn started(number: u8, more: Vec<StoreChange>) -> BeliefEngine {
-    let mut engine = belief_engine(number);
+fn started(number: u8, more: Vec<StoreChange>) -> DiscoveryEngine {
+    let mut engine = discovery_engine(number);
     let mut items = vec![entry(1, 1, 5, false), entry(2, 1, 6, false)];
     items.extend(more);
     engine.handle_store(at(0), page(items, 1, 26, None));
@@ -61,27 +61,27 @@
 }
 
 /// Restores the store from a backup of revision 24; the host lists everything again.
-fn restored(engine: &mut BeliefEngine, moment: u64, items: Vec<StoreChange>) {
+fn restored(engine: &mut DiscoveryEngine, moment: u64, items: Vec<StoreChange>) {
     engine.handle_store(at(moment), StoreOutcome::HistoryGone);
     let call = engine.next_store_call(at(moment));
     assert_eq!(call, StoreCall::List { after: None });
     engine.handle_store(at(moment), page(items, 2, 24, None));
 }
 
-fn phase(engine: &BeliefEngine, number: u64) -> Option<ServerPhase> {
+fn phase(engine: &DiscoveryEngine, number: u64) -> Option<ServerPhase> {
     let view = engine.view();
     Some(view.directory.get(near_server(number).id)?.phase)
 }
 
-fn is_evacuated(engine: &BeliefEngine, name: &str) -> bool {
+fn is_evacuated(engine: &DiscoveryEngine, name: &str) -> bool {
     let view = engine.view();
     view.directory.evacuations().is_evacuated(domain(name))
 }
 
 /// The answer of `peer` to a query of `host`.
-fn query_peer(peer: &mut BeliefEngine, host: &mut BeliefEngine, moment: u64) -> PeerWord {
-    let (_, query) = host.next_peer(at(moment)).unwrap();
-    peer.answer_peer(at(moment), &query)
+fn query_peer(peer: &mut DiscoveryEngine, host: &mut DiscoveryEngine, moment: u64) -> PeerAnswer {
+    let (_, query) = host.next_query(at(moment)).unwrap();
+    peer.answer_query(at(moment), &query)
 }
 
 /// Guards against new flows on a draining server. After the restore its change has a number
@@ -220,7 +220,8 @@
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(engine.revision(), revision(2, 25));
     let changed = engine.take_changes();
-    let is_restored = |change: &BeliefChange| matches!(change, BeliefChange::StoreRestored { .. });
+    let is_restored =
+        |change: &DiscoveryChange| matches!(change, DiscoveryChange::StoreRestored { .. });
     assert_eq!(changed.iter().filter(|one| is_restored(one)).count(), 1);
 }
 
@@ -249,7 +250,7 @@
     );
     let mut engine = started(2, Vec::new());
     let answer = query_peer(&mut peer, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(answer));
+    engine.handle_answer(at(61), host_address(1), Some(answer));
     assert_eq!(engine.revision(), revision(2, 24));
     engine.handle_store(at(100), watched(vec![entry(2, 2, 28, false)], 2, 28));
     assert_eq!(engine.revision(), revision(2, 24));
@@ -261,7 +262,7 @@
 /// two pages.
 #[test]
 fn pages_of_two_eras_are_not_combined() {
-    let mut engine = belief_engine(1);
+    let mut engine = discovery_engine(1);
     let first = page(vec![entry(1, 1, 5, false)], 1, 26, Some("servers/1"));
     engine.handle_store(at(0), first);
     engine.handle_store(at(10), page(vec![entry(2, 2, 6, false)], 2, 24, None));
@@ -282,13 +283,13 @@
     );
     let mut engine = started(2, Vec::new());
     let answer = query_peer(&mut peer, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(answer));
-    let heard_at = engine.as_of();
+    engine.handle_answer(at(61), host_address(1), Some(answer));
+    let as_of = engine.as_of();
     engine.handle_store(at(900), watched(vec![entry(1, 1, 27, false)], 1, 27));
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Draining));
     assert_eq!(
         (engine.revision(), engine.as_of()),
-        (revision(2, 24), heard_at)
+        (revision(2, 24), as_of)
     );
 }
 
@@ -304,7 +305,7 @@
     );
     let mut engine = started(2, vec![entry(3, 1, 26, false)]);
     let answer = query_peer(&mut peer, &mut engine, 60);
-    engine.handle_peer(at(61), host_address(1), Some(answer));
+    engine.handle_answer(at(61), host_address(1), Some(answer));
     assert_eq!(phase(&engine, 1), Some(ServerPhase::Active));
     assert!(matches!(
         phase(&engine, 3),
@@ -325,7 +326,7 @@
     assert_eq!(phase(&engine, 2), Some(ServerPhase::Active));
     let mut follower = started(2, Vec::new());
     let answer = query_peer(&mut engine, &mut follower, 110);
-    follower.handle_peer(at(111), host_address(1), Some(answer));
+    follower.handle_answer(at(111), host_address(1), Some(answer));
     assert_eq!(phase(&follower, 1), Some(ServerPhase::Draining));
     let again = page(
         vec![entry(1, 2, 5, false), entry(2, 2, 6, false)],
@@ -383,7 +384,7 @@
     assert!(is_evacuated(&engine, "far"));
     let mut follower = started(2, Vec::new());
     let answer = query_peer(&mut engine, &mut follower, 110);
-    follower.handle_peer(at(111), host_address(1), Some(answer));
+    follower.handle_answer(at(111), host_address(1), Some(answer));
     assert!(is_evacuated(&follower, "far"));
     for host in [&mut engine, &mut follower] {
         host.tick(at(2_600));
--- a/crates/cardamomwinch_coordination/tests/forwarding_silence.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_silence.rs
@@ -3,7 +3,7 @@
 
 mod forwarding_support;
 
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::record::ForwardingOutcome;
 use forwarding_support::watched_flows::*;
 use forwarding_support::*;
@@ -77,7 +77,7 @@
 /// deadlines; after a reset they send idempotent requests again elsewhere.
 #[test]
 fn flows_on_a_silent_server_are_reset() {
-    let mut host = host_of_two(8);
+    let mut host = host_with_two_servers(8);
     let server = near_server(1).id;
     let waiting = ports_on(&host, server);
     for port in &waiting {
@@ -89,7 +89,7 @@
         let sink = host.handle(at(1_200), &repeat(*port));
         assert_eq!(sink.outcomes, [ForwardingOutcome::Resent], "may be chance");
     }
-    show_life(&mut host, 1_201, near_server(2).id);
+    show_progress(&mut host, 1_201, near_server(2).id);
     let third = host.handle(at(1_202), &repeat(waiting[2]));
     assert_eq!(third.outcomes, [ForwardingOutcome::SilentServerReset]);
     assert_eq!(third.resets, 1);
@@ -118,16 +118,16 @@
 /// enough for a reset.
 #[test]
 fn a_flow_on_a_server_that_left_is_reset_after_one_repetition() {
-    let mut host = host_of_two(4);
+    let mut host = host_with_two_servers(4);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
     host.change(|directory| {
         directory.note_removed(server, StoreRevision::new(2), at(100));
-        directory.age(at(5_000), millis(60_000));
+        directory.expire(at(5_000), millis(60_000));
     });
     let first = host.handle(at(5_000), &data(port, server, 500, 1, 80));
     assert_eq!(first.sent.len(), 1, "it may still be alive");
-    show_life(&mut host, 5_100, near_server(2).id);
+    show_progress(&mut host, 5_100, near_server(2).id);
     let second = host.handle(at(5_200), &data(port, server, 500, 1, 80));
     assert_eq!(second.outcomes, [ForwardingOutcome::SilentServerReset]);
 }
@@ -137,12 +137,12 @@
 /// it that is not idempotent, and would forward each repetition although no answer can come.
 #[test]
 fn a_flow_that_is_not_idempotent_is_reset_once_its_server_has_left() {
-    let mut host = host_of_two(4);
+    let mut host = host_with_two_servers(4);
     host.adopt(document(2, vec![(service_address(), route(false))]));
     let server = near_server(1).id;
     host.change(|directory| {
         directory.note_removed(server, StoreRevision::new(2), at(100));
-        directory.age(at(5_000), millis(60_000));
+        directory.expire(at(5_000), millis(60_000));
     });
     let repeat = data(999, server, 500, 1, 80);
     assert_eq!(
@@ -150,14 +150,14 @@
         1,
         "it may still be alive"
     );
-    show_life(&mut host, 5_100, near_server(2).id);
+    show_progress(&mut host, 5_100, near_server(2).id);
     let once = host.handle(at(5_200), &repeat);
     assert_eq!(
         once.outcomes,
         [ForwardingOutcome::Resent],
         "the answer may be late"
     );
-    show_life(&mut host, 5_500, near_server(2).id);
+    show_progress(&mut host, 5_500, near_server(2).id);
     let twice = host.handle(at(5_600), &repeat);
     assert_eq!(twice.outcomes, [ForwardingOutcome::SilentServerReset]);
 }
@@ -167,7 +167,7 @@
 /// and is not sent again if it is not idempotent. After a reset callers open another flow.
 #[test]
 fn idle_flows_of_a_dead_server_are_ended() {
-    let mut host = host_of_two(0);
+    let mut host = host_with_two_servers(0);
     host.adopt(document(2, vec![(service_address(), route(false))]));
     for port in 1..=16 {
         host.establish(at(0), port);
@@ -181,7 +181,7 @@
         }
         show_delivery(&mut host, moment + 1, near_server(2).id);
     }
-    show_life(&mut host, 1_240, near_server(2).id);
+    show_progress(&mut host, 1_240, near_server(2).id);
     let mut ended = host.tick(at(1_250)).ended;
     ended.sort();
     let mut expected: Vec<_> = idle.iter().map(|port| flow(*port)).collect();
@@ -195,7 +195,7 @@
 /// lost.
 #[test]
 fn an_idle_flow_is_ended_after_two_repetitions_of_another_one() {
-    let mut host = host_of_two(0);
+    let mut host = host_with_two_servers(0);
     host.adopt(document(2, vec![(service_address(), route(false))]));
     for port in 1..=4 {
         host.establish(at(0), port);
@@ -204,7 +204,7 @@
     let on_it = ports_on(&host, server);
     let mut all_ended = Vec::new();
     for moment in [1_000, 1_200, 1_600] {
-        show_life(&mut host, moment - 1, near_server(2).id);
+        show_progress(&mut host, moment - 1, near_server(2).id);
         host.handle(at(moment), &data(on_it[0], server, 500, 1, 80));
         show_delivery(&mut host, moment + 2, near_server(2).id);
         let ended = host.tick(at(moment + 10)).ended;
@@ -219,11 +219,11 @@
 /// request must not be sent there.
 #[test]
 fn flows_of_a_server_that_vanished_are_ended() {
-    let mut host = host_of_two(8);
+    let mut host = host_with_two_servers(8);
     let server = near_server(1).id;
     let on_it: Vec<_> = ports_on(&host, server).into_iter().map(flow).collect();
     host.change(|directory| directory.note_removed(server, StoreRevision::new(2), at(1_000)));
-    host.view.heard_at = at(1_000);
+    host.view.as_of = at(1_000);
     let mut ended = host.tick(at(1_100)).ended;
     ended.sort();
     assert_eq!(ended, on_it);
@@ -235,7 +235,7 @@
 /// next request, which is not idempotent, would be lost.
 #[test]
 fn flows_whose_last_answer_was_short_are_ended_too() {
-    let mut host = host_of_two(0);
+    let mut host = host_with_two_servers(0);
     host.adopt(document(2, vec![(service_address(), route(false))]));
     for port in 1..=8 {
         host.establish(at(0), port);
@@ -246,7 +246,7 @@
         host.handle(at(1_000), &data(*port, server, 500, 1, 80));
     }
     host.change(|directory| directory.note_removed(server, StoreRevision::new(2), at(1_500)));
-    host.view.heard_at = at(1_500);
+    host.view.as_of = at(1_500);
     assert_eq!(host.tick(at(1_600)).ended, [], "they may still wait");
     let ended: Vec<_> = (17..=21)
         .flat_map(|tick| host.tick(at(100 * tick)).ended)
@@ -258,12 +258,12 @@
 /// is enough for a reset.
 #[test]
 fn a_flow_on_a_server_that_vanished_is_reset_after_one_repetition() {
-    let mut host = host_of_two(2);
+    let mut host = host_with_two_servers(2);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
     host.handle(at(1_000), &data(port, server, 500, 1, 80));
     host.change(|directory| directory.note_removed(server, StoreRevision::new(2), at(1_150)));
-    show_life(&mut host, 1_190, near_server(2).id);
+    show_progress(&mut host, 1_190, near_server(2).id);
     let sink = host.handle(at(1_200), &data(port, server, 500, 1, 80));
     assert_eq!(sink.outcomes, [ForwardingOutcome::SilentServerReset]);
 }
@@ -273,12 +273,12 @@
 /// wait until its deadline.
 #[test]
 fn the_only_flow_of_a_silent_server_is_reset_after_two_repetitions() {
-    let mut host = host_of_two(2);
+    let mut host = host_with_two_servers(2);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
     let mut outcomes = Vec::new();
     for moment in [1_000, 1_200, 1_600] {
-        show_life(&mut host, moment - 1, near_server(2).id);
+        show_progress(&mut host, moment - 1, near_server(2).id);
         let sink = host.handle(at(moment), &data(port, server, 500, 1, 80));
         outcomes.extend(sink.outcomes);
         show_delivery(&mut host, moment + 2, near_server(2).id);
@@ -297,7 +297,7 @@
 /// silence is detected late, and the log shows new requests that do not exist.
 #[test]
 fn rounds_of_several_packets_are_counted() {
-    let mut host = host_of_two(2);
+    let mut host = host_with_two_servers(2);
     let server = near_server(1).id;
     let port = ports_on(&host, server)[0];
     let mut rounds = Vec::new();
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/fleet.rs
@@ -3,13 +3,13 @@
 
 use std::net;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerWord;
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
+use cardamomwinch_coordination::forwarding::directory::ServerPhase;
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::PeerAnswer;
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
     StoreCall, StoreChange, StoreEra, StoreOutcome, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::beliefs::waiting_queries::WaitingQueries;
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefEngine, BeliefSettings};
-use cardamomwinch_coordination::forwarding::directory::ServerPhase;
+use cardamomwinch_coordination::forwarding::discovery::waiting_queries::WaitingQueries;
+use cardamomwinch_coordination::forwarding::discovery::{DiscoveryEngine, DiscoverySettings};
 use cardamomwinch_coordination::forwarding::regions::DomainRegions;
 
 use crate::forwarding_support::*;
@@ -49,7 +49,7 @@
 }
 
 pub struct SimulatedHost {
-    pub engine: BeliefEngine,
+    pub engine: DiscoveryEngine,
     pub waiting: WaitingQueries<usize>,
     pub condition: Condition,
     pub call: Option<PendingCall>,
@@ -77,7 +77,7 @@
     pub listings: usize,
     pub queries: Vec<usize>,
     /// How many messages with reports each host received, and how many reports it sent.
-    pub tellings: Vec<usize>,
+    pub report_messages: Vec<usize>,
     pub reports_sent: Vec<usize>,
     /// How many full lists each host sent.
     pub full_lists_sent: Vec<usize>,
@@ -113,10 +113,10 @@
     };
 
     /// The weight of `servers`: a page holds 500 of them at 500 bytes each, a part holds
-    /// [`start_list::PART_LIMIT`] at `wire_bytes` each, and links have 20 Mbit/s.
+    /// [`server_list::MAX_PART_SERVERS`] at `wire_bytes` each, and links have 20 Mbit/s.
     pub const fn of_servers(servers: u64, wire_bytes: u64) -> Self {
         const BYTES_PER_MS: u64 = 2_500;
-        let part = start_list::PART_LIMIT as u64;
+        let part = server_list::MAX_PART_SERVERS as u64;
         Self {
             pages: servers.div_ceil(500),
             page_time: 500 * 500 / BYTES_PER_MS,
@@ -131,7 +131,7 @@
     arrives_at: u64,
     sender: usize,
     receiver: usize,
-    answer: PeerWord,
+    answer: PeerAnswer,
 }
 
 pub fn address(index: usize) -> net::SocketAddr {
@@ -163,7 +163,7 @@
             calls: 0,
             listings: 0,
             queries: vec![0; count],
-            tellings: vec![0; count],
+            report_messages: vec![0; count],
             reports_sent: vec![0; count],
             full_lists_sent: vec![0; count],
             domains,
@@ -378,7 +378,7 @@
         if host.query.is_some() || self.now < host.query_at {
             return;
         }
-        let Some((peer, query)) = host.engine.next_peer(now) else {
+        let Some((peer, query)) = host.engine.next_query(now) else {
             host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
             return;
         };
@@ -420,10 +420,10 @@
             )
         };
         if in_reach(index) && in_reach(receiver) {
-            self.tellings[receiver] += 1;
+            self.report_messages[receiver] += 1;
             let now = at(self.now);
             let reports = reports.into_iter().map(|report| report.into_report(now));
-            self.hosts[receiver].engine.take_reports(now, reports);
+            self.hosts[receiver].engine.add_reports(now, reports);
         } else {
             self.hosts[index].report_at = self.now + 400;
             self.hosts[index].engine.forget_sent_reports();
@@ -437,7 +437,7 @@
         let answers: Vec<_> = due
             .into_iter()
             .map(|due| {
-                let mut answer = host.engine.answer_peer(now, &due.query);
+                let mut answer = host.engine.answer_query(now, &due.query);
                 answer.waited = due.waited;
                 (due.answer, answer)
             })
@@ -452,7 +452,7 @@
     }
 
     /// Sends a part of the list after the earlier parts on the link of `sender`.
-    fn send_part(&mut self, sender: usize, receiver: usize, answer: PeerWord) {
+    fn send_part(&mut self, sender: usize, receiver: usize, answer: PeerAnswer) {
         self.full_lists_sent[sender] += usize::from(answer.all_servers);
         let host = &mut self.hosts[sender];
         host.sends_until = host.sends_until.max(self.now) + self.weight.part_time;
@@ -472,7 +472,7 @@
         }
     }
 
-    fn deliver(&mut self, sender: usize, receiver: usize, answer: PeerWord) {
+    fn deliver(&mut self, sender: usize, receiver: usize, answer: PeerAnswer) {
         let waits = self.hosts[receiver].query.as_ref();
         let cut = [sender, receiver].map(|one| self.hosts[one].condition == Condition::Cut);
         if waits.is_some_and(|query| query.host == sender) && cut == [false; 2] {
@@ -481,9 +481,10 @@
         }
     }
 
-    pub fn handle_answer(&mut self, index: usize, peer: usize, answer: Option<PeerWord>) {
+    pub fn handle_answer(&mut self, index: usize, peer: usize, answer: Option<PeerAnswer>) {
         let host = &mut self.hosts[index];
-        host.engine.handle_peer(at(self.now), address(peer), answer);
+        host.engine
+            .handle_answer(at(self.now), address(peer), answer);
         host.query_at = self.now + host.engine.peer_pause().as_millis() as u64;
     }
 
@@ -536,17 +537,17 @@
 
 fn new_host(index: usize, domains: usize) -> SimulatedHost {
     let names = ["near", "far", "third", "fourth", "fifth"];
-    let settings = BeliefSettings {
+    let settings = DiscoverySettings {
         domain: domain(names[index % domains]),
         regions: DomainRegions::default(),
         address: address(index),
         seeds: vec![address(0), address(1), address(2)],
         flow_lifetime: millis(60_000),
         watch_wait: millis(WATCH),
-        list_part: 1,
+        max_part_servers: 1,
     };
     SimulatedHost {
-        engine: BeliefEngine::new(settings, index as u64),
+        engine: DiscoveryEngine::new(settings, index as u64),
         waiting: WaitingQueries::default(),
         condition: Condition::Running,
         call: None,
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/mod.rs
@@ -8,15 +8,15 @@
 use std::sync;
 use std::time;
 
-pub use cardamomwinch_coordination::forwarding::beliefs::start_list;
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
-    ServerEntry, StoreChange, StoreRevision,
-};
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefEngine, BeliefSettings};
 use cardamomwinch_coordination::forwarding::cold_starts::ColdShare;
 use cardamomwinch_coordination::forwarding::directory::{
     ServerDirectory, ServerPhase, ServerRecord,
 };
+pub use cardamomwinch_coordination::forwarding::discovery::server_list;
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
+    ServerEntry, StoreChange, StoreRevision,
+};
+use cardamomwinch_coordination::forwarding::discovery::{DiscoveryEngine, DiscoverySettings};
 use cardamomwinch_coordination::forwarding::engine::{
     ForwardingEngine, ForwardingSink, TICK_PERIOD,
 };
@@ -60,17 +60,17 @@
 
 /// The discovery engine of host `number` of domain `near`; the seeds are the first two
 /// hosts.
-pub fn belief_engine(number: u8) -> BeliefEngine {
-    let settings = BeliefSettings {
+pub fn discovery_engine(number: u8) -> DiscoveryEngine {
+    let settings = DiscoverySettings {
         domain: domain("near"),
         regions: DomainRegions::default(),
         address: host_address(number),
         seeds: vec![host_address(1), host_address(2)],
         flow_lifetime: millis(60_000),
         watch_wait: millis(2_000),
-        list_part: start_list::PART_LIMIT,
+        max_part_servers: server_list::MAX_PART_SERVERS,
     };
-    BeliefEngine::new(settings, number.into())
+    DiscoveryEngine::new(settings, number.into())
 }
 
 /// The server `number` of service `desk` in domain `near`.
@@ -213,8 +213,8 @@
                 }),
                 routes: sync::Arc::new(routes),
                 directory: sync::Arc::new(directory(servers)),
-                heard_at: at(0),
-                silent_at: None,
+                as_of: at(0),
+                store_failed_at: None,
                 reports: sync::Arc::default(),
             },
             ended: Vec::new(),
@@ -230,7 +230,7 @@
     }
 
     /// Skips the ticks until `now`, as if the process did not run.
-    pub fn sleep_until(&mut self, now: Timestamp) {
+    pub fn pause_until(&mut self, now: Timestamp) {
         self.ran_at = now;
     }
 
@@ -246,7 +246,7 @@
 
     /// Decides about `packet`; the view is fresh.
     pub fn handle(&mut self, now: Timestamp, packet: &FlowPacket<'_>) -> RecordingSink {
-        self.view.heard_at = now;
+        self.view.as_of = now;
         self.handle_stale(now, packet)
     }
 
--- a/crates/cardamomwinch_coordination/tests/forwarding_support/watched_flows.rs
+++ b/crates/cardamomwinch_coordination/tests/forwarding_support/watched_flows.rs
@@ -5,7 +5,7 @@
 use crate::forwarding_support::*;
 
 /// A host with two servers and flows on both.
-pub fn host_of_two(flows: u16) -> TestHost {
+pub fn host_with_two_servers(flows: u16) -> TestHost {
     let mut host = TestHost::new(vec![near_server(1), near_server(2)]);
     for port in 1..=flows {
         host.establish(at(0), port);
@@ -25,7 +25,7 @@
 }
 
 /// Shows progress of a flow on `server`.
-pub fn show_life(host: &mut TestHost, moment: u64, server: BackendId) {
+pub fn show_progress(host: &mut TestHost, moment: u64, server: BackendId) {
     let port = ports_on(host, server)[0];
     let acknowledged = 9_000 + 2_000 * moment as u32;
     host.handle(at(moment), &data(port, server, 500, acknowledged, 0));
--- a/crates/cardamomwinch_forwarder/src/administration.rs
+++ b/crates/cardamomwinch_forwarder/src/administration.rs
@@ -1,7 +1,7 @@
 //! What operators may ask a forwarding host.
 
 use async_channel::Sender;
-use cardamomwinch_coordination::forwarding::beliefs::BeliefEngine;
+use cardamomwinch_coordination::forwarding::discovery::DiscoveryEngine;
 use cardamomwinch_coordination::forwarding::explanation;
 use cardamomwinch_coordination::forwarding::packet::FlowToken;
 use cardamomwinch_coordination::forwarding::view::ForwardingView;
@@ -55,7 +55,7 @@
 }
 
 /// Describes what `engine` believes at `now`.
-pub fn describe_beliefs(engine: &BeliefEngine, now: Timestamp) -> api::BeliefReport {
+pub fn describe_beliefs(engine: &DiscoveryEngine, now: Timestamp) -> api::BeliefReport {
     let view = engine.view();
     let servers = view.directory.iter().map(|server| api::BelievedServer {
         server: server.id.to_string(),
@@ -65,7 +65,7 @@
         phase: belief_lines::phase_name(server.phase).to_owned(),
     });
     let evacuated = view.directory.evacuations().iter();
-    let evacuated = evacuated.filter(|evacuation| evacuation.is_lasting());
+    let evacuated = evacuated.filter(|evacuation| evacuation.is_active());
     let hosts = engine.peers().hosts();
     api::BeliefReport {
         version: view.routes.version().get(),
--- a/crates/cardamomwinch_forwarder/src/belief_lines.rs
+++ b/crates/cardamomwinch_forwarder/src/belief_lines.rs
@@ -2,9 +2,9 @@
 
 use std::net;
 
-use cardamomwinch_coordination::forwarding::beliefs::BeliefChange;
-use cardamomwinch_coordination::forwarding::beliefs::store_call::ServerStart;
 use cardamomwinch_coordination::forwarding::directory::{ServerPhase, ServerRecord};
+use cardamomwinch_coordination::forwarding::discovery::DiscoveryChange;
+use cardamomwinch_coordination::forwarding::discovery::store_call::ServerStart;
 use cardamomwinch_transport::prelude::DecisionRecord;
 use serde::Serialize;
 
@@ -142,15 +142,15 @@
     }
 }
 
-impl From<&BeliefChange> for BeliefLine {
-    fn from(change: &BeliefChange) -> Self {
+impl From<&DiscoveryChange> for BeliefLine {
+    fn from(change: &DiscoveryChange) -> Self {
         match change {
-            BeliefChange::ConfigurationInForce { version, routes } => Self::Configuration {
+            DiscoveryChange::ConfigurationInForce { version, routes } => Self::Configuration {
                 version: version.get(),
                 routes: *routes,
             },
-            BeliefChange::ServerChanged { server } => server.into(),
-            BeliefChange::ChangeOutdated {
+            DiscoveryChange::ServerChanged { server } => server.into(),
+            DiscoveryChange::ChangeOutdated {
                 server,
                 revision,
                 known,
@@ -159,36 +159,36 @@
                 revision: revision.to_string(),
                 known_revision: known.to_string(),
             },
-            BeliefChange::EvacuationChanged { evacuation } => Self::Evacuation {
+            DiscoveryChange::EvacuationChanged { evacuation } => Self::Evacuation {
                 domain: evacuation.domain.to_string(),
-                evacuated: evacuation.is_lasting(),
+                evacuated: evacuation.is_active(),
                 revision: evacuation.changed.to_string(),
             },
-            BeliefChange::ServersListed { revision, servers } => Self::Listing {
+            DiscoveryChange::ServersListed { revision, servers } => Self::Listing {
                 revision: revision.to_string(),
                 servers: *servers,
             },
-            BeliefChange::ManyVanished { servers } => Self::ManyVanished { servers: *servers },
-            BeliefChange::StoreLost => Self::StoreLost {},
-            BeliefChange::StoreRegained { outage: silence } => Self::StoreRegained {
+            DiscoveryChange::ManyVanished { servers } => Self::ManyVanished { servers: *servers },
+            DiscoveryChange::StoreLost => Self::StoreLost {},
+            DiscoveryChange::StoreRegained { outage: silence } => Self::StoreRegained {
                 silence_ms: silence.as_millis() as u64,
             },
-            BeliefChange::StoreRestored { last, first } => Self::StoreRestored {
+            DiscoveryChange::StoreRestored { last, first } => Self::StoreRestored {
                 last_revision: last.to_string(),
                 revision: first.to_string(),
             },
-            BeliefChange::PeerLost { peer } => Self::PeerLost { peer: *peer },
-            BeliefChange::PeerRegained { peer } => Self::PeerRegained { peer: *peer },
-            BeliefChange::OwnServersLost { service } => Self::OwnServersLost {
+            DiscoveryChange::PeerLost { peer } => Self::PeerLost { peer: *peer },
+            DiscoveryChange::PeerRegained { peer } => Self::PeerRegained { peer: *peer },
+            DiscoveryChange::OwnServersLost { service } => Self::OwnServersLost {
                 service: service.to_string(),
             },
-            BeliefChange::OwnServersRegained { service } => Self::OwnServersRegained {
+            DiscoveryChange::OwnServersRegained { service } => Self::OwnServersRegained {
                 service: service.to_string(),
             },
-            BeliefChange::SourceChanged { source } => Self::Source {
+            DiscoveryChange::SourceChanged { source } => Self::Source {
                 source: source.to_string(),
             },
-            BeliefChange::PeerDataApplied {
+            DiscoveryChange::PeerDataApplied {
                 peer,
                 revision,
                 version,
--- a/crates/cardamomwinch_forwarder/src/control_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/control_thread.rs
@@ -7,12 +7,12 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use cardamomwinch_coordination::forwarding::beliefs::BeliefEngine;
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::{
-    PeerQuestion, PeerReport, PeerWord,
+use cardamomwinch_coordination::forwarding::discovery::DiscoveryEngine;
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::{
+    PeerAnswer, PeerQuery, PeerReport,
 };
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{StoreCall, StoreOutcome};
-use cardamomwinch_coordination::forwarding::beliefs::waiting_queries::WaitingQueries;
+use cardamomwinch_coordination::forwarding::discovery::store_call::{StoreCall, StoreOutcome};
+use cardamomwinch_coordination::forwarding::discovery::waiting_queries::WaitingQueries;
 use cardamomwinch_coordination::forwarding::server_reports::ServerReport;
 use cardamomwinch_platform::prelude::StoreClient;
 use cardamomwinch_protocol::administration::BeliefReport;
@@ -38,9 +38,9 @@
     /// A peer asks what is believed.
     Peer {
         /// What it knows already.
-        question: PeerQuestion,
+        question: PeerQuery,
         /// Takes the answer.
-        answer: Sender<PeerWord>,
+        answer: Sender<PeerAnswer>,
     },
     /// The traffic thread has seen something of servers.
     Seen {
@@ -60,8 +60,8 @@
 }
 
 struct ControlState {
-    engine: BeliefEngine,
-    waiting: WaitingQueries<Sender<PeerWord>>,
+    engine: DiscoveryEngine,
+    waiting: WaitingQueries<Sender<PeerAnswer>>,
     /// Wakes the task that passes reports on.
     reported: Sender<()>,
     logger: DecisionLogger<BeliefLine>,
@@ -74,7 +74,7 @@
 
 impl ControlState {
     /// Lets the engine decide, then logs and publishes what came of it.
-    fn decide<T>(&mut self, decide: impl FnOnce(&mut BeliefEngine) -> T) -> T {
+    fn decide<T>(&mut self, decide: impl FnOnce(&mut DiscoveryEngine) -> T) -> T {
         let outcome = decide(&mut self.engine);
         let now = self.clock.now();
         for change in self.engine.take_changes() {
@@ -91,7 +91,7 @@
 
     /// Takes over reports, and has those that are new passed on.
     fn take_reports(&mut self, now: Timestamp, reports: impl Iterator<Item = ServerReport>) {
-        if self.decide(|engine| engine.take_reports(now, reports)) {
+        if self.decide(|engine| engine.add_reports(now, reports)) {
             self.wake_reporting();
         }
     }
@@ -104,7 +104,7 @@
     /// Answers the peers that waited for what is known now.
     fn answer_due(&mut self, now: Timestamp) {
         for due in self.waiting.take_due(&mut self.engine, now) {
-            let mut word = self.engine.answer_peer(now, &due.query);
+            let mut word = self.engine.answer_query(now, &due.query);
             word.waited = due.waited;
             // Whoever asked may have left since.
             drop(due.answer.try_send(word));
@@ -123,7 +123,7 @@
 impl ControlThread {
     /// Puts the thread together.
     pub fn new(
-        engine: BeliefEngine,
+        engine: DiscoveryEngine,
         logger: DecisionLogger<BeliefLine>,
         views: ViewCell,
         timers: TimerService<HostClock>,
@@ -228,7 +228,7 @@
         let next = {
             let mut state = self.state.borrow_mut();
             let now = state.clock.now();
-            state.decide(|engine| engine.next_peer(now))
+            state.decide(|engine| engine.next_query(now))
         };
         let Some((peer, question)) = next else {
             return;
@@ -243,11 +243,11 @@
         self.take_word(peer, word);
     }
 
-    fn take_word(&self, peer: net::SocketAddr, word: Option<PeerWord>) {
+    fn take_word(&self, peer: net::SocketAddr, word: Option<PeerAnswer>) {
         let mut state = self.state.borrow_mut();
         let now = state.clock.now();
         let serial = state.engine.view().reports.serial();
-        state.decide(|engine| engine.handle_peer(now, peer, word));
+        state.decide(|engine| engine.handle_answer(now, peer, word));
         if state.engine.view().reports.serial() != serial {
             state.wake_reporting();
         }
--- a/crates/cardamomwinch_forwarder/src/launch.rs
+++ b/crates/cardamomwinch_forwarder/src/launch.rs
@@ -10,8 +10,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use cardamomwinch_configuration::prelude::ForwarderSettings;
-use cardamomwinch_coordination::forwarding::beliefs::start_list;
-use cardamomwinch_coordination::forwarding::beliefs::{BeliefEngine, BeliefSettings};
+use cardamomwinch_coordination::forwarding::discovery::server_list;
+use cardamomwinch_coordination::forwarding::discovery::{DiscoveryEngine, DiscoverySettings};
 use cardamomwinch_coordination::forwarding::engine::ForwardingEngine;
 use cardamomwinch_coordination::forwarding::server_reports::ReporterId;
 use cardamomwinch_daemon::log_level;
@@ -199,17 +199,17 @@
         ReporterId::new(flow::mix(host ^ flow::mix(started_at)))
     }
 
-    fn belief_engine(&self, peer_address: net::SocketAddr) -> BeliefEngine {
-        let settings = BeliefSettings {
+    fn belief_engine(&self, peer_address: net::SocketAddr) -> DiscoveryEngine {
+        let settings = DiscoverySettings {
             domain: self.settings.domain_id(),
             regions: self.settings.domain_regions().collect(),
             address: peer_address,
             seeds: self.settings.seeds.clone(),
             flow_lifetime: self.settings.flow_lifetime,
             watch_wait: self.settings.platform.watch,
-            list_part: start_list::PART_LIMIT,
+            max_part_servers: server_list::MAX_PART_SERVERS,
         };
-        BeliefEngine::new(settings, HostId::from_name(&self.settings.host).get())
+        DiscoveryEngine::new(settings, HostId::from_name(&self.settings.host).get())
     }
 
     async fn control(
--- a/crates/cardamomwinch_forwarder/src/peer_calls.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_calls.rs
@@ -4,8 +4,8 @@
 use std::time;
 
 use async_channel::Sender;
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::{
-    PeerQuestion, PeerReport, PeerWord,
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::{
+    PeerAnswer, PeerQuery, PeerReport,
 };
 use cardamomwinch_transport::prelude::{CallLimits, PeerClient, PeerRpcError};
 use jsonrpsee::RpcModule;
@@ -56,8 +56,8 @@
 pub async fn ask(
     client: &PeerClient,
     peer: net::SocketAddr,
-    question: PeerQuestion,
-) -> Result<PeerWord, PeerCallError> {
+    question: PeerQuery,
+) -> Result<PeerAnswer, PeerCallError> {
     let mut limits = CallLimits::whole(question.timeout());
     if question.has_no_data() {
         limits.connect = START_CONNECT;
--- a/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
@@ -14,11 +14,11 @@
 use std::net;
 use std::time;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::{
-    PeerEvacuation, PeerHost, PeerQuestion, PeerWord,
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::{
+    PeerAnswer, PeerEvacuation, PeerHost, PeerQuery,
 };
-use cardamomwinch_coordination::forwarding::beliefs::start_list::{ListId, ListPosition};
-use cardamomwinch_coordination::forwarding::beliefs::store_call::StoreRevision;
+use cardamomwinch_coordination::forwarding::discovery::server_list::{ListId, ListPosition};
+use cardamomwinch_coordination::forwarding::discovery::store_call::StoreRevision;
 use cardamomwinch_coordination::forwarding::routes::RouteDifference;
 use cardamomwinch_coordination::forwarding::server_reports::ReportSerial;
 use cardamomwinch_state::prelude::{ConfigurationVersion, DomainId};
@@ -102,8 +102,8 @@
     host: WireHost,
 }
 
-impl From<PeerQuestion> for WireQuestion {
-    fn from(question: PeerQuestion) -> Self {
+impl From<PeerQuery> for WireQuestion {
+    fn from(question: PeerQuery) -> Self {
         Self {
             revision: question.revision,
             version: question.version,
@@ -119,7 +119,7 @@
     }
 }
 
-impl From<WireQuestion> for PeerQuestion {
+impl From<WireQuestion> for PeerQuery {
     fn from(question: WireQuestion) -> Self {
         Self {
             revision: question.revision,
@@ -197,8 +197,8 @@
     reader_heard_ms: Option<u64>,
 }
 
-impl From<PeerWord> for WireWord {
-    fn from(word: PeerWord) -> Self {
+impl From<PeerAnswer> for WireWord {
+    fn from(word: PeerAnswer) -> Self {
         Self {
             revision: word.revision,
             waited_ms: word.waited.as_millis() as u64,
@@ -219,7 +219,7 @@
     }
 }
 
-impl TryFrom<WireWord> for PeerWord {
+impl TryFrom<WireWord> for PeerAnswer {
     type Error = UnknownKindError;
 
     fn try_from(word: WireWord) -> Result<Self, Self::Error> {
--- a/crates/cardamomwinch_forwarder/src/peer_wire/reports.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/reports.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerReport;
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::PeerReport;
 use cardamomwinch_coordination::forwarding::server_reports::{ReportSubject, ReporterId};
 use cardamomwinch_state::prelude::BackendId;
 use serde::{Deserialize, Serialize};
--- a/crates/cardamomwinch_forwarder/src/peer_wire/servers.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/servers.rs
@@ -3,8 +3,8 @@
 use std::net;
 use std::time;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::PeerServer;
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::PeerServer;
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
     ServerStart, StoreEra, StoreRevision,
 };
 use cardamomwinch_state::prelude::{BackendId, DomainId, ServiceId, SlotCount};
--- a/crates/cardamomwinch_forwarder/tests/peer_wire.rs
+++ b/crates/cardamomwinch_forwarder/tests/peer_wire.rs
@@ -4,14 +4,14 @@
 use std::net;
 use std::time;
 
-use cardamomwinch_coordination::forwarding::beliefs::peer_word::{
-    PeerEvacuation, PeerReport, PeerServer, PeerWord,
+use cardamomwinch_coordination::forwarding::cold_starts::ColdStart;
+use cardamomwinch_coordination::forwarding::discovery::peer_messages::{
+    PeerAnswer, PeerEvacuation, PeerReport, PeerServer,
 };
-use cardamomwinch_coordination::forwarding::beliefs::start_list::{ListId, ListPosition};
-use cardamomwinch_coordination::forwarding::beliefs::store_call::{
+use cardamomwinch_coordination::forwarding::discovery::server_list::{ListId, ListPosition};
+use cardamomwinch_coordination::forwarding::discovery::store_call::{
     ServerStart, StoreEra, StoreRevision,
 };
-use cardamomwinch_coordination::forwarding::cold_starts::ColdStart;
 use cardamomwinch_coordination::forwarding::routes::{RouteDifference, RouteEntry, RouteTarget};
 use cardamomwinch_coordination::forwarding::server_reports::{
     ReportSerial, ReportSubject, ReporterId,
@@ -55,8 +55,8 @@
     }
 }
 
-fn word(routes: u32, servers: Vec<PeerServer>) -> PeerWord {
-    PeerWord {
+fn word(routes: u32, servers: Vec<PeerServer>) -> PeerAnswer {
+    PeerAnswer {
         revision: StoreRevision::new(77),
         waited: time::Duration::from_millis(12),
         age: time::Duration::from_millis(34),
@@ -86,11 +86,11 @@
     }
 }
 
-fn encoded(word: PeerWord) -> String {
+fn encoded(word: PeerAnswer) -> String {
     serde_json::to_string(&WireWord::from(word)).unwrap()
 }
 
-fn decoded(text: &str) -> Option<PeerWord> {
+fn decoded(text: &str) -> Option<PeerAnswer> {
     let wire: WireWord = serde_json::from_str(text).unwrap();
     wire.try_into().ok()
 }
@@ -111,7 +111,7 @@
     changes.changed[0].1.regions = vec![RegionId::from_name("bud")];
     changes.cold_starts = Some(vec![ColdStart {
         service: ServiceId::from_name("docvault"),
-        lasting: time::Duration::from_secs(2),
+        duration: time::Duration::from_secs(2),
         openings: OpeningRate::new(4_000),
     }]);
     let evacuation = |name: &str, ended_for, missing_for| PeerEvacuation {
