--- a/crates/cardamomwinch_coordination/src/control/home_dispatch.rs
+++ b/crates/cardamomwinch_coordination/src/control/home_dispatch.rs
@@ -8,8 +8,8 @@
 use crate::control::ControlEngine;
 use crate::control::effect::{ControlEffect, ControlSink};
 use crate::control::event::TakeOverReport;
-use crate::control::homes::voters::CandidateLife;
-use crate::control::homes::{HomeAction, HomeWorld};
+use crate::control::homes::voters::HostIncarnation;
+use crate::control::homes::{HomeAction, HomeContext};
 use crate::counter::Counter;
 use crate::decision::{DecisionReason, DecisionRecord};
 
@@ -17,7 +17,7 @@
 /// A macro, because a method would borrow the whole engine.
 macro_rules! homes_and_context {
     ($engine:ident) => {{
-        let context = HomeWorld {
+        let context = HomeContext {
             identity: $engine.identity,
             phase: $engine.phase,
             adopted: $engine.adoption.version() > ConfigurationVersion::ZERO,
@@ -57,9 +57,9 @@
         sink: &mut S,
     ) {
         let mut actions = Vec::new();
-        let sender = CandidateLife::new(envelope.sender, envelope.incarnation);
+        let sender = HostIncarnation::new(envelope.sender, envelope.incarnation);
         let (homes, context) = homes_and_context!(self);
-        homes.take(now, &context, sender, message, &mut actions);
+        homes.handle_message(now, &context, sender, message, &mut actions);
         self.carry_out(now, actions, sink);
     }
 
@@ -70,7 +70,7 @@
         sink: &mut S,
     ) {
         let mut actions = Vec::new();
-        self.homes.take_exported(now, chunk, &mut actions);
+        self.homes.send_exported(now, chunk, &mut actions);
         self.carry_out(now, actions, sink);
     }
 
@@ -82,7 +82,7 @@
     ) {
         let mut actions = Vec::new();
         let (homes, context) = homes_and_context!(self);
-        homes.take_imported(now, &context, report, &mut actions);
+        homes.handle_imported(now, &context, report, &mut actions);
         self.carry_out(now, actions, sink);
     }
 
--- a/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/handing_over.rs
@@ -14,7 +14,7 @@
 use crate::control::homes::incoming::ImportedHandOver;
 use crate::control::homes::leases::InheritedRecords;
 use crate::control::homes::outgoing::OutgoingHandOver;
-use crate::control::homes::{HomeAction, HomeTable, HomeWorld, SentRelease, ranking};
+use crate::control::homes::{HomeAction, HomeContext, HomeTable, SentRelease, ranking};
 
 /// The interval at which releases are repeated.
 const RELEASE_INTERVAL: time::Duration = time::Duration::from_millis(100);
@@ -30,7 +30,7 @@
 
 impl HomeTable {
     /// Sends a chunk that the traffic thread has exported to the successor.
-    pub fn take_exported(
+    pub fn send_exported(
         &mut self,
         now: Timestamp,
         chunk: HandOverChunk,
@@ -41,10 +41,10 @@
 
     /// Records that the traffic thread has imported a chunk. After the last chunk,
     /// requests the lease.
-    pub fn take_imported(
+    pub fn handle_imported(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         report: TakeOverReport,
         out: &mut Vec<HomeAction>,
     ) {
@@ -80,7 +80,7 @@
     pub(super) fn request_inherited(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let shards: Vec<ShardId> = self.leases.inherited(now).collect();
@@ -90,7 +90,7 @@
     pub(super) fn begin_hand_overs(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let leaving = context.is_stopping() || !context.may_hold();
@@ -131,7 +131,7 @@
     pub(super) fn better_claimant(
         &self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         others: &[HostId],
         shard: ShardId,
     ) -> Option<HostId> {
@@ -153,7 +153,7 @@
     pub(super) fn commit(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         ready: OutgoingHandOver,
         out: &mut Vec<HomeAction>,
     ) {
@@ -192,7 +192,7 @@
     pub(super) fn send_releases(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         shards: &[ShardId],
         out: &mut Vec<HomeAction>,
     ) {
@@ -236,7 +236,7 @@
     pub(super) fn repeat_releases(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         self.releases
@@ -251,7 +251,7 @@
     pub(super) fn finish_stop(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let Some(stop_by) = self.stop_by else {
--- a/crates/cardamomwinch_coordination/src/control/homes/holders.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/holders.rs
@@ -5,7 +5,7 @@
 use cardamomwinch_protocol::peer::homes::{HolderNotice, ShardSet};
 use cardamomwinch_state::prelude::{DomainId, HostId, ShardId, SortedVector, Timestamp};
 
-use crate::control::homes::HomeWorld;
+use crate::control::homes::HomeContext;
 use crate::control::homes::ranking;
 
 /// How long a notice from another failure domain stays valid.
@@ -57,7 +57,7 @@
     pub fn handle_notice(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         sender: HostId,
         notice: &HolderNotice,
     ) -> bool {
@@ -88,7 +88,7 @@
     pub fn candidates(
         &self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         domain: DomainId,
     ) -> Vec<HostId> {
         let hosts = context.hosts.in_domain(domain);
@@ -99,7 +99,7 @@
             .collect()
     }
 
-    fn takes_shards(&self, now: Timestamp, context: &HomeWorld<'_>, host: HostId) -> bool {
+    fn takes_shards(&self, now: Timestamp, context: &HomeContext<'_>, host: HostId) -> bool {
         if host == context.identity.host {
             return context.is_serving();
         }
@@ -112,7 +112,7 @@
     pub fn learned(
         &self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         shard: ShardId,
     ) -> Option<HostId> {
         let learned = self.learned.get(&shard)?;
@@ -128,7 +128,7 @@
     pub fn expected_holders(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         domain: DomainId,
     ) -> &[Option<HostId>] {
         let mut candidates = self.candidates(now, context, domain);
--- a/crates/cardamomwinch_coordination/src/control/homes/leases.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/leases.rs
@@ -12,7 +12,7 @@
     ConfigurationLimits, HostId, HostListVersion, HostTable, ShardId, SortedVector, Timestamp,
 };
 
-use crate::control::homes::HomeWorld;
+use crate::control::homes::HomeContext;
 use crate::control::homes::voter_sets::{ReceivedGrant, VoterSets};
 use crate::snapshot::HomeLease;
 
@@ -68,7 +68,7 @@
     }
 
     /// Applies a newly adopted list of hosts, or a new number of shards.
-    pub fn adopt_hosts(&mut self, context: &HomeWorld<'_>) {
+    pub fn adopt_hosts(&mut self, context: &HomeContext<'_>) {
         let first = self.first_list == HostListVersion::ZERO;
         if first {
             self.first_list = context.hosts.version;
@@ -140,7 +140,7 @@
     pub fn request(
         &self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         round: LeaseRound,
         wanted: &[ShardId],
     ) -> LeaseRequest {
@@ -184,7 +184,7 @@
     pub fn handle_grant(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         voter: HostId,
         grant: &LeaseGrant,
     ) -> Vec<ShardId> {
--- a/crates/cardamomwinch_coordination/src/control/homes/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/mod.rs
@@ -27,7 +27,7 @@
 use crate::control::homes::incoming::IncomingTable;
 use crate::control::homes::leases::LeaseTable;
 use crate::control::homes::outgoing::OutgoingTable;
-use crate::control::homes::voters::{CandidateLife, VoterTable};
+use crate::control::homes::voters::{HostIncarnation, VoterTable};
 use crate::control::membership::PeerMembership;
 use crate::identity::HostIdentity;
 use crate::snapshot::{ServingPhase, ShardView};
@@ -44,7 +44,7 @@
 
 /// The state of the control engine that decisions about homes depend on.
 #[derive(Debug, Clone, Copy)]
-pub struct HomeWorld<'c> {
+pub struct HomeContext<'c> {
     /// The identity of this host.
     pub identity: HostIdentity,
     /// Whether this host is starting, serving or stopping.
@@ -59,7 +59,7 @@
     pub membership: &'c PeerMembership,
 }
 
-impl HomeWorld<'_> {
+impl HomeContext<'_> {
     pub(crate) fn is_stopping(&self) -> bool {
         self.phase == ServingPhase::Stopping
     }
@@ -74,8 +74,8 @@
         own.is_some_and(|own| ranking::may_hold(own, self.identity.domain))
     }
 
-    fn own_incarnation(&self) -> CandidateLife {
-        CandidateLife {
+    fn own_incarnation(&self) -> HostIncarnation {
+        HostIncarnation {
             host: self.identity.host,
             incarnation: self.identity.incarnation,
         }
@@ -201,7 +201,7 @@
     /// them. A pause shows as a gap between two events that is longer than a
     /// lease. The host then gives up every lease and grants nothing for the
     /// duration of a lease.
-    pub fn note_event(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+    pub fn note_event(&mut self, now: Timestamp, context: &HomeContext<'_>) {
         let lease = context.limits.home_lease;
         let paused = self.started.is_some() && now.since(self.last_event) > lease;
         if paused {
@@ -215,7 +215,7 @@
         self.note_hosts(now, context);
     }
 
-    fn note_start(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+    fn note_start(&mut self, now: Timestamp, context: &HomeContext<'_>) {
         let started = *self.started.get_or_insert(now);
         if self.shard_count == 0 && context.adopted {
             let lease = context.limits.home_lease;
@@ -225,7 +225,7 @@
         }
     }
 
-    fn note_hosts(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+    fn note_hosts(&mut self, now: Timestamp, context: &HomeContext<'_>) {
         let count = context.limits.shards_per_domain;
         if !context.adopted || context.hosts.version == HostListVersion::ZERO {
             return;
@@ -250,7 +250,12 @@
 
     /// Renews leases, repeats messages, and begins, aborts or finishes hand-overs
     /// that are due at `now`.
-    pub fn advance(&mut self, now: Timestamp, context: &HomeWorld<'_>, out: &mut Vec<HomeAction>) {
+    pub fn advance(
+        &mut self,
+        now: Timestamp,
+        context: &HomeContext<'_>,
+        out: &mut Vec<HomeAction>,
+    ) {
         if self.shard_count > 0 {
             self.outgoing.advance(now, out);
             self.incoming.advance(now);
@@ -268,11 +273,11 @@
     }
 
     /// Handles a message from another host.
-    pub fn take(
+    pub fn handle_message(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
-        sender: CandidateLife,
+        context: &HomeContext<'_>,
+        sender: HostIncarnation,
         message: &HomeMessage,
         out: &mut Vec<HomeAction>,
     ) {
@@ -317,7 +322,7 @@
     }
 }
 
-impl CandidateLife {
+impl HostIncarnation {
     /// Returns `incarnation` of `host`.
     pub const fn new(host: HostId, incarnation: Incarnation) -> Self {
         Self { host, incarnation }
--- a/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/outgoing.rs
@@ -15,7 +15,7 @@
 use cardamomwinch_state::prelude::{HostId, ShardId, SortedVector, Timestamp};
 
 use crate::control::homes::HomeAction;
-use crate::control::homes::voters::CandidateLife;
+use crate::control::homes::voters::HostIncarnation;
 
 /// A hand-over whose chunks are not all acknowledged within this time is aborted.
 pub const HAND_OVER_TIMEOUT: time::Duration = time::Duration::from_millis(500);
@@ -62,7 +62,7 @@
     /// the chunks of its earlier incarnation, so the hand-over would seem complete
     /// although it is not. Receipts of the new incarnation are ignored, and the
     /// hand-over times out.
-    fn record_receipt(&mut self, sender: CandidateLife, receipt: ChunkReceipt) -> bool {
+    fn record_receipt(&mut self, sender: HostIncarnation, receipt: ChunkReceipt) -> bool {
         let incarnation = sender.incarnation;
         let known = self.acknowledged_by.unwrap_or(LeaseSuccessor {
             host: sender.host,
@@ -173,7 +173,7 @@
     pub fn handle_receipt(
         &mut self,
         now: Timestamp,
-        sender: CandidateLife,
+        sender: HostIncarnation,
         receipt: ChunkReceipt,
     ) -> Option<OutgoingHandOver> {
         let shard = receipt.hand_over.shard;
--- a/crates/cardamomwinch_coordination/src/control/homes/requesting.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/requesting.rs
@@ -3,15 +3,15 @@
 use cardamomwinch_protocol::peer::homes::{HomeMessage, LeaseGrant, LeaseRequest};
 use cardamomwinch_state::prelude::{HostId, ShardId, SortedVector, Timestamp};
 
-use crate::control::homes::voters::CandidateLife;
-use crate::control::homes::{HomeAction, HomeTable, HomeWorld, ShardClaim, ranking};
+use crate::control::homes::voters::HostIncarnation;
+use crate::control::homes::{HomeAction, HomeContext, HomeTable, ShardClaim, ranking};
 
 impl HomeTable {
     pub(super) fn handle_request(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
-        sender: CandidateLife,
+        context: &HomeContext<'_>,
+        sender: HostIncarnation,
         request: &LeaseRequest,
         out: &mut Vec<HomeAction>,
     ) {
@@ -54,7 +54,7 @@
     pub(super) fn handle_grant(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         voter: HostId,
         grant: &LeaseGrant,
         out: &mut Vec<HomeAction>,
@@ -73,7 +73,7 @@
     pub(super) fn request_round(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let candidates = self
@@ -94,7 +94,7 @@
     pub(super) fn request(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         wanted: &[ShardId],
         out: &mut Vec<HomeAction>,
     ) {
@@ -128,7 +128,7 @@
     pub(super) fn vote_for_self(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         request: &LeaseRequest,
         out: &mut Vec<HomeAction>,
     ) {
--- a/crates/cardamomwinch_coordination/src/control/homes/views.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/views.rs
@@ -6,7 +6,7 @@
 use cardamomwinch_protocol::peer::homes::{HolderNotice, HomeMessage};
 use cardamomwinch_state::prelude::{DomainId, HostId, HostTable, ShardId, SortedVector, Timestamp};
 
-use crate::control::homes::{HomeAction, HomeTable, HomeWorld};
+use crate::control::homes::{HomeAction, HomeContext, HomeTable};
 use crate::snapshot::ShardView;
 
 /// The interval at which a host sends the list of its shards to one host of
@@ -17,7 +17,7 @@
     pub(super) fn send_notice(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         if now < self.next_notice {
@@ -40,7 +40,7 @@
         });
     }
 
-    fn notice(&self, now: Timestamp, context: &HomeWorld<'_>) -> HolderNotice {
+    fn notice(&self, now: Timestamp, context: &HomeContext<'_>) -> HolderNotice {
         HolderNotice {
             domain: context.identity.domain,
             shard_count: self.shard_count,
@@ -59,7 +59,7 @@
     pub(super) fn announce_stop(
         &self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         out: &mut Vec<HomeAction>,
     ) {
         let domain = context.identity.domain;
@@ -76,7 +76,7 @@
     }
 
     /// Recomputes the homes for a snapshot.
-    pub fn refresh(&mut self, now: Timestamp, context: &HomeWorld<'_>) {
+    pub fn refresh(&mut self, now: Timestamp, context: &HomeContext<'_>) {
         let mut views = SortedVector::new();
         for domain in domains(context.hosts) {
             let by_shard = self.holders.expected_holders(now, context, domain).to_vec();
@@ -91,7 +91,7 @@
     pub(super) fn view(
         &self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
+        context: &HomeContext<'_>,
         shard: ShardId,
         expected: Option<HostId>,
     ) -> ShardView {
--- a/crates/cardamomwinch_coordination/src/control/homes/voters.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/voters.rs
@@ -33,7 +33,7 @@
     DomainId, HostId, HostListVersion, HostTable, Incarnation, ShardId, SortedVector, Timestamp,
 };
 
-use crate::control::homes::HomeWorld;
+use crate::control::homes::HomeContext;
 use crate::control::homes::ranking::{self, VOTER_COUNT};
 
 /// The longest duration of a grant, whatever the request asks for.
@@ -41,7 +41,7 @@
 
 /// One incarnation of a host: the time from one start of its process to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CandidateLife {
+pub struct HostIncarnation {
     /// The host.
     pub host: HostId,
     /// Its incarnation.
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterGrant {
     /// The host that it was granted to.
-    pub holder: CandidateLife,
+    pub holder: HostIncarnation,
     /// When it expires, by this host's clock.
     pub until: Timestamp,
     /// The latest round in which the holder requested the shard. Releases up to
@@ -149,8 +149,8 @@
     pub fn decide(
         &mut self,
         now: Timestamp,
-        context: &HomeWorld<'_>,
-        candidate: CandidateLife,
+        context: &HomeContext<'_>,
+        candidate: HostIncarnation,
         request: &LeaseRequest,
     ) -> Option<LeaseGrant> {
         if !self.is_latest_incarnation(candidate) {
@@ -204,8 +204,8 @@
     /// Their expiry does not change.
     pub fn release(
         &mut self,
-        context: &HomeWorld<'_>,
-        candidate: CandidateLife,
+        context: &HomeContext<'_>,
+        candidate: HostIncarnation,
         release: &LeaseRelease,
     ) {
         let Some(entry) = context.hosts.get(candidate.host) else {
@@ -222,7 +222,7 @@
             };
             if held.holder == candidate && release.round > held.round {
                 let successor = release.successor;
-                held.holder = CandidateLife::new(successor.host, successor.incarnation);
+                held.holder = HostIncarnation::new(successor.host, successor.incarnation);
                 held.round = successor.round;
                 held.is_named = true;
             }
@@ -231,7 +231,7 @@
 
     /// Whether `candidate` is the latest known incarnation of its host. Messages
     /// of an earlier incarnation may arrive after a restart.
-    fn is_latest_incarnation(&mut self, candidate: CandidateLife) -> bool {
+    fn is_latest_incarnation(&mut self, candidate: HostIncarnation) -> bool {
         let incarnation = candidate.incarnation;
         let known = self
             .incarnations
--- a/crates/cardamomwinch_coordination/tests/homes_releases.rs
+++ b/crates/cardamomwinch_coordination/tests/homes_releases.rs
@@ -6,8 +6,8 @@
 use std::time;
 
 use cardamomwinch_coordination::control::homes::outgoing::OutgoingTable;
-use cardamomwinch_coordination::control::homes::voters::{CandidateLife, VoterTable};
-use cardamomwinch_coordination::control::homes::{HomeAction, HomeTable, HomeWorld};
+use cardamomwinch_coordination::control::homes::voters::{HostIncarnation, VoterTable};
+use cardamomwinch_coordination::control::homes::{HomeAction, HomeContext, HomeTable};
 use cardamomwinch_coordination::control::membership::PeerMembership;
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_protocol::peer::hand_over::HandOverChunk;
@@ -30,9 +30,9 @@
     DomainId::from_name("kut")
 }
 
-fn incarnation_of(index: usize, incarnation: u64) -> CandidateLife {
+fn incarnation_of(index: usize, incarnation: u64) -> HostIncarnation {
     let host = HostId::from_name(HOSTS[index]);
-    CandidateLife::new(host, Incarnation::new(incarnation))
+    HostIncarnation::new(host, Incarnation::new(incarnation))
 }
 
 fn hosts(version: u64) -> HostTable {
@@ -69,9 +69,9 @@
     hosts: &'c HostTable,
     limits: &'c ConfigurationLimits,
     membership: &'c PeerMembership,
-) -> HomeWorld<'c> {
+) -> HomeContext<'c> {
     let own = incarnation_of(index, 1);
-    HomeWorld {
+    HomeContext {
         identity: HostIdentity {
             host: own.host,
             domain: domain(),
@@ -107,7 +107,7 @@
     }
 
     /// Whether the voter grants the shard to a candidate with the list `list`.
-    fn grants_by(&mut self, list: u64, candidate: CandidateLife, round: u32) -> bool {
+    fn grants_by(&mut self, list: u64, candidate: HostIncarnation, round: u32) -> bool {
         let request = LeaseRequest {
             round: LeaseRound(round),
             lease_millis: self.limits.home_lease.as_millis() as u32,
@@ -123,12 +123,18 @@
         answer.is_some_and(|answer| answer.granted.contains(0))
     }
 
-    fn grants(&mut self, candidate: CandidateLife, round: u32) -> bool {
+    fn grants(&mut self, candidate: HostIncarnation, round: u32) -> bool {
         self.grants_by(self.hosts.version.get(), candidate, round)
     }
 
     /// `holder` releases the shard to `successor`, whose last round was `known`.
-    fn release(&mut self, holder: CandidateLife, round: u32, successor: CandidateLife, known: u32) {
+    fn release(
+        &mut self,
+        holder: HostIncarnation,
+        round: u32,
+        successor: HostIncarnation,
+        known: u32,
+    ) {
         let release = LeaseRelease {
             round: LeaseRound(round),
             successor: LeaseSuccessor {
@@ -258,7 +264,7 @@
         items: Vec::new(),
     };
     table.note_event(now, &context);
-    table.take(
+    table.handle_message(
         now,
         &context,
         incarnation_of(HOME, 1),
--- a/crates/cardamomwinch_model/tests/conformance_homes.rs
+++ b/crates/cardamomwinch_model/tests/conformance_homes.rs
@@ -6,8 +6,8 @@
 use std::time;
 
 use cardamomwinch_coordination::control::event::TakeOverReport;
-use cardamomwinch_coordination::control::homes::voters::{CandidateLife, VoterTable};
-use cardamomwinch_coordination::control::homes::{HomeAction, HomeTable, HomeWorld};
+use cardamomwinch_coordination::control::homes::voters::{HostIncarnation, VoterTable};
+use cardamomwinch_coordination::control::homes::{HomeAction, HomeContext, HomeTable};
 use cardamomwinch_coordination::control::membership::PeerMembership;
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_model::homes::{RunningGrant, VoterFacts};
@@ -70,8 +70,8 @@
     limits: &'w ConfigurationLimits,
     hosts: &'w HostTable,
     membership: &'w PeerMembership,
-) -> HomeWorld<'w> {
-    HomeWorld {
+) -> HomeContext<'w> {
+    HomeContext {
         identity: HostIdentity {
             host: host(own),
             domain: domain(),
@@ -114,7 +114,7 @@
 /// What the specification says that a voter remembers.
 #[derive(Debug, Clone, Copy)]
 struct MirroredGrant {
-    holder: CandidateLife,
+    holder: HostIncarnation,
     until: Timestamp,
     round: LeaseRound,
     /// By a release, and not granted the shard yet.
@@ -154,8 +154,8 @@
         }
     }
 
-    fn life(&self, index: usize) -> CandidateLife {
-        CandidateLife::new(host(index), Incarnation::new(self.lives[index]))
+    fn life(&self, index: usize) -> HostIncarnation {
+        HostIncarnation::new(host(index), Incarnation::new(self.lives[index]))
     }
 
     /// The next round of a host, or one that is not above the last it sent.
@@ -169,7 +169,7 @@
         Some(LeaseRound(*last - back.unwrap_or(0)))
     }
 
-    fn take(&mut self, world: &HomeWorld<'_>, step: VoterStep) -> Result<(), TestCaseError> {
+    fn take(&mut self, world: &HomeContext<'_>, step: VoterStep) -> Result<(), TestCaseError> {
         match step {
             VoterStep::Advance(by) => self.now = self.now.after(time::Duration::from_millis(by)),
             VoterStep::Restart(index) => self.lives[index] += 1,
@@ -185,7 +185,7 @@
 
     fn request(
         &mut self,
-        world: &HomeWorld<'_>,
+        world: &HomeContext<'_>,
         index: usize,
         back: Option<u32>,
     ) -> Result<(), TestCaseError> {
@@ -235,7 +235,7 @@
         Ok(())
     }
 
-    fn release(&mut self, world: &HomeWorld<'_>, index: usize, to: usize, back: Option<u32>) {
+    fn release(&mut self, world: &HomeContext<'_>, index: usize, to: usize, back: Option<u32>) {
         let candidate = self.life(index);
         let Some(round) = self.round(index, back) else {
             return;
@@ -316,7 +316,7 @@
     let (limits, hosts) = (limits(), hosts());
     let membership = PeerMembership::default();
     let world = world(1, &limits, &hosts, &membership);
-    let holder = CandidateLife::new(host(0), Incarnation::new(1));
+    let holder = HostIncarnation::new(host(0), Incarnation::new(1));
     let mut table = HomeTable::default();
     let mut out = Vec::new();
     let mut now = BEGIN;
@@ -338,19 +338,19 @@
     };
     let first = chunk_of(now);
     let message = HomeMessage::HandOver(first.clone());
-    table.take(now, &world, holder, &message, &mut out);
+    table.handle_message(now, &world, holder, &message, &mut out);
     let message = HomeMessage::Commit(HandOverCommit {
         hand_over: first.hand_over,
         released: now,
         records_since: BEGIN,
     });
-    table.take(now, &world, holder, &message, &mut out);
+    table.handle_message(now, &world, holder, &message, &mut out);
     let report = TakeOverReport {
         hand_over: first.hand_over,
         position: 0,
         records_since: None,
     };
-    table.take_imported(now, &world, report, &mut out);
+    table.handle_imported(now, &world, report, &mut out);
     let mut rounds = out.iter().filter_map(|action| match action {
         HomeAction::Send {
             message: HomeMessage::Request(request),
@@ -363,17 +363,17 @@
     now = now.after(MOMENT * 5);
     table.note_event(now, &world);
     let message = HomeMessage::HandOver(chunk_of(now));
-    table.take(now, &world, holder, &message, &mut out);
+    table.handle_message(now, &world, holder, &message, &mut out);
     now = now.after(MOMENT);
     for voter in [0, 2] {
-        let voter = CandidateLife::new(host(voter), Incarnation::new(1));
+        let voter = HostIncarnation::new(host(voter), Incarnation::new(1));
         let message = HomeMessage::Grant(LeaseGrant {
             round,
             host_list: hosts.version,
             granted: only_shard(),
             earlier: Vec::new(),
         });
-        table.take(now, &world, voter, &message, &mut out);
+        table.handle_message(now, &world, voter, &message, &mut out);
     }
     let lease = table.leases().lease(now, shard);
     let since = lease
