--- a/crates/cardamomwinch_coordination/src/routing/generations.rs
+++ b/crates/cardamomwinch_coordination/src/routing/generations.rs
@@ -24,7 +24,7 @@
 /// one second.
 pub const START_OVERLAP: time::Duration = time::Duration::from_secs(4);
 /// The maximum time that a flow is expected to stay open.
-pub const FLOW_LIFE: time::Duration = time::Duration::from_secs(24 * 3600);
+pub const MAX_FLOW_DURATION: time::Duration = time::Duration::from_secs(24 * 3600);
 /// The maximum number of kept generations. A search does not ask more
 /// candidates than this.
 pub const GENERATION_LIMIT: usize = SEARCH_LIMIT;
@@ -74,7 +74,7 @@
         };
         self.generations.insert(0, generation);
         self.generations.retain(|kept| {
-            let ended = kept.superseded.map(|end| end.after(FLOW_LIFE));
+            let ended = kept.superseded.map(|end| end.after(MAX_FLOW_DURATION));
             ended.is_none_or(|end| now < end)
         });
         if self.generations.len() > GENERATION_LIMIT {
--- a/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/pin_sweeping.rs
@@ -8,7 +8,7 @@
 
 use cardamomwinch_state::prelude::{FlowTable, Timestamp};
 
-use crate::routing::generations::FLOW_LIFE;
+use crate::routing::generations::MAX_FLOW_DURATION;
 use crate::traffic::TrafficEngine;
 use crate::traffic::announcing;
 use crate::traffic::context::EventContext;
@@ -128,7 +128,7 @@
         }
         // A search finds the server, at the cost of asking several servers.
         (_, PinPressure::Full) => SEARCHABLE_IDLE.max(request_retention),
-        _ => FLOW_LIFE,
+        _ => MAX_FLOW_DURATION,
     };
     pin.last_seen.after(idle)
 }
--- a/crates/cardamomwinch_coordination/tests/routing_generations.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_generations.rs
@@ -7,7 +7,7 @@
 use std::time;
 
 use cardamomwinch_coordination::routing::generations::{
-    ADOPTION_OVERLAP, FLOW_LIFE, GENERATION_LIMIT, GenerationHistory, START_OVERLAP,
+    ADOPTION_OVERLAP, GENERATION_LIMIT, GenerationHistory, MAX_FLOW_DURATION, START_OVERLAP,
 };
 use cardamomwinch_state::prelude::*;
 use routing_support::{START, configuration, server, server_of, service_id};
@@ -83,7 +83,7 @@
     let mut history = GenerationHistory::default();
     history.adopt(START, &configuration(1, &servers(1..=4)));
     history.adopt(START.after(SECOND), &configuration(2, &servers(2..=5)));
-    let later = START.after(SECOND).after(FLOW_LIFE);
+    let later = START.after(SECOND).after(MAX_FLOW_DURATION);
     history.adopt(later, &configuration(3, &servers(3..=6)));
     assert_eq!(history.tables().len(), 2);
     assert!(!history.contains_server(service_id(), server(1, "a").id));
