--- a/crates/cardamomwinch_coordination/src/control/publication.rs
+++ b/crates/cardamomwinch_coordination/src/control/publication.rs
@@ -127,7 +127,7 @@
             domain_names: sync::Arc::clone(&self.domain_names),
             shards: homes.shards().clone(),
             backends: SortedVector::new(),
-            helpers: relay_peers(now, identity, hosts, membership),
+            relay_peers: relay_peers(now, identity, hosts, membership),
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/snapshot.rs
+++ b/crates/cardamomwinch_coordination/src/snapshot.rs
@@ -120,7 +120,7 @@
     /// Reachable peers to which a datagram can be relayed if this host may not
     /// decide about it: those of the own failure domain, or of other domains if
     /// there are none.
-    pub helpers: Vec<HostId>,
+    pub relay_peers: Vec<HostId>,
 }
 
 impl RoutingSnapshot {
@@ -141,7 +141,7 @@
             domain_names: sync::Arc::default(),
             shards: SortedVector::new(),
             backends: SortedVector::new(),
-            helpers: Vec::new(),
+            relay_peers: Vec::new(),
         }
     }
 
--- a/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/caller_datagrams.rs
@@ -182,7 +182,7 @@
             let entry = context.snapshot.hosts.get(**host);
             entry.is_some_and(|entry| entry.domain == shard.domain)
         };
-        let relay_peers = &context.snapshot.helpers;
+        let relay_peers = &context.snapshot.relay_peers;
         let count = relay_peers.iter().filter(in_domain).count();
         let index = usize::from(routed.relay.hops).checked_rem(count)?;
         relay_peers.iter().filter(in_domain).nth(index).copied()
@@ -296,7 +296,7 @@
         datagram: &CallerDatagram<'_>,
         relay: RelayContext,
     ) {
-        let relay_peers = &context.snapshot.helpers;
+        let relay_peers = &context.snapshot.relay_peers;
         if relay.hops > RELAY_PEER_HOP_LIMIT || relay_peers.is_empty() {
             return context.count(Counter::Unconfirmed);
         }
--- a/crates/cardamomwinch_coordination/tests/requests_handed_over.rs
+++ b/crates/cardamomwinch_coordination/tests/requests_handed_over.rs
@@ -253,7 +253,7 @@
 #[test]
 fn a_request_that_comes_back_to_a_home_after_a_pause_is_left_to_its_next_copy() {
     let mut bench = EngineBench::new(1, 1);
-    bench.snapshot.helpers = vec![host("muc-nord-2")];
+    bench.snapshot.relay_peers = vec![host("muc-nord-2")];
     let header = bench.header(1, false, 9000);
     bench.snapshot.fresh_until = Timestamp::ZERO;
     let first = relayed(&bench, header, 1);
