--- a/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
+++ b/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
@@ -440,13 +440,13 @@
             Happening::Probe(host) => return self.probe(host),
             Happening::Digest(host, sender, digest) => {
                 if self.alive[host] {
-                    self.engines[host].note_digest(now, sender, digest, &mut effects);
+                    self.engines[host].handle_digest(now, sender, digest, &mut effects);
                 }
                 host
             }
             Happening::Message(host, sender, message) => {
                 if self.alive[host] {
-                    self.engines[host].take_message(now, sender, &message, &mut effects);
+                    self.engines[host].handle_message(now, sender, &message, &mut effects);
                 }
                 host
             }
@@ -454,7 +454,12 @@
             Happening::Outcome(host, outcome) => {
                 if self.alive[host] {
                     let reachability = &self.reachability;
-                    self.engines[host].take_platform(now, outcome, reachability, &mut effects);
+                    self.engines[host].handle_platform_outcome(
+                        now,
+                        outcome,
+                        reachability,
+                        &mut effects,
+                    );
                 }
                 host
             }
@@ -490,7 +495,7 @@
                     let delay = self.delay();
                     self.schedule(delay, Happening::Call(host, request));
                 }
-                AdoptionEffect::Tell {
+                AdoptionEffect::Send {
                     host: to, message, ..
                 } => self.send(host, to, message),
                 _ => {}
--- a/crates/cardamomwinch_coordination/examples/health_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/health_cost.rs
@@ -1,5 +1,5 @@
 //! Measures what judging the health of backend servers costs the control thread
-//! of one host, and how many questions it asks, at several sizes.
+//! of one host, and how many load probes it sends, at several sizes.
 //!
 //! `cargo run --release -p cardamomwinch_coordination --example health_cost`
 #![allow(missing_docs)]
@@ -78,15 +78,15 @@
     let shards = shards(size);
     let mut table = HealthTable::default();
     let mut spent = time::Duration::ZERO;
-    let mut asked = 0;
-    let mut followed = 0;
+    let mut probed = 0;
+    let mut tracked = 0;
     for tick in 0..SECONDS * TICKS_A_SECOND {
         let millis = tick * 1000 / TICKS_A_SECOND;
         let now = START.after(time::Duration::from_millis(millis));
         let begun = time::Instant::now();
-        table.follow(now, &configuration, &shards);
-        let questions = table.due_questions(now, &configuration);
-        for question in &questions {
+        table.track(now, &configuration, &shards);
+        let probes = table.due_probes(now, &configuration);
+        for probe in &probes {
             let report = LoadReport {
                 busy_slots: 1,
                 connections: 100,
@@ -94,7 +94,7 @@
                 draining: false,
                 answers: None,
             };
-            table.take_load(now, question.backend, Ok(report));
+            table.handle_load(now, probe.backend, Ok(report));
         }
         let views = table.views(now);
         let observations: Vec<BackendObservation> = views
@@ -107,25 +107,25 @@
                 silent_for: time::Duration::ZERO,
             })
             .collect();
-        table.take_observations(now, &observations);
+        table.apply_observations(now, &observations);
         table.review(now, &configuration);
         spent += begun.elapsed();
-        asked += questions.len();
-        followed = views.len();
+        probed += probes.len();
+        tracked = views.len();
     }
     println!(
-        "| {} | {} | {} | {followed} | {:.1} | {:.3} |",
+        "| {} | {} | {} | {tracked} | {:.1} | {:.3} |",
         size.servers,
         size.domains,
         size.hosts,
-        asked as f64 / SECONDS as f64,
+        probed as f64 / SECONDS as f64,
         spent.as_secs_f64() * 100.0 / SECONDS as f64,
     );
 }
 
 fn main() {
     println!(
-        "| servers | domains | hosts | servers of this home | questions a second | % of a core |"
+        "| servers | domains | hosts | servers of this home | probes a second | % of a core |"
     );
     println!("|---|---|---|---|---|---|");
     let sizes = [
--- a/crates/cardamomwinch_coordination/src/bounds.rs
+++ b/crates/cardamomwinch_coordination/src/bounds.rs
@@ -8,7 +8,7 @@
 /// Control and traffic use the same gap. If control did not detect a pause that
 /// traffic detected, its next snapshot would confirm state from before the
 /// pause.
-pub const SLEEP_GAP: time::Duration = time::Duration::from_millis(700);
+pub const PAUSE_GAP: time::Duration = time::Duration::from_millis(700);
 
 /// The bounds of one traffic engine. Each table refuses entries beyond its bound.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// the server.
     pub queue_per_slot: u32,
     /// The gap between two events that shows a pause of the process.
-    pub sleep_gap: time::Duration,
+    pub pause_gap: time::Duration,
 }
 
 impl Default for TrafficBounds {
@@ -36,7 +36,7 @@
             searches: 4096,
             held_bytes: 16 * 1024 * 1024,
             queue_per_slot: 4,
-            sleep_gap: SLEEP_GAP,
+            pause_gap: PAUSE_GAP,
         }
     }
 }
--- a/crates/cardamomwinch_coordination/src/control/adoption/effect.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/effect.rs
@@ -17,7 +17,7 @@
     /// Call the platform.
     Call(PlatformRequest),
     /// Send a message to another host.
-    Tell {
+    Send {
         /// The receiver.
         host: HostId,
         /// The address for control messages, if the receiver is not in the list of
@@ -27,12 +27,12 @@
         message: ConfigurationMessage,
     },
     /// Send the earlier lookup tables to a host that started.
-    TellEarlier {
+    SendEarlierTables {
         /// The host that started.
         host: HostId,
     },
     /// Apply the earlier lookup tables of a peer.
-    Earlier(EarlierTables),
+    ApplyEarlierTables(EarlierTables),
     /// Increment a counter.
     Count(Counter),
     /// Log that a document was refused.
@@ -40,5 +40,5 @@
     /// Put a configuration in force.
     InForce(Box<Resolution>),
     /// Report that a newer list of hosts is in force.
-    Hosts,
+    HostsChanged,
 }
--- a/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
@@ -179,7 +179,7 @@
     }
 
     /// Handles the end of a pause of the process or of the control thread.
-    pub fn note_sleep(&mut self, now: Timestamp) {
+    pub fn note_pause(&mut self, now: Timestamp) {
         self.confirmation.note_pause(now);
     }
 
@@ -257,7 +257,7 @@
             known,
             wants_earlier: self.earlier_tables.is_open(asked),
         };
-        AdoptionEffect::Tell {
+        AdoptionEffect::Send {
             host,
             address,
             message,
@@ -280,7 +280,7 @@
             digest: self.digest,
             reply_to: own.peer_address,
         };
-        effects.push(AdoptionEffect::Tell {
+        effects.push(AdoptionEffect::Send {
             host,
             address: None,
             message,
@@ -288,7 +288,7 @@
     }
 
     /// Handles the digest of a peer's accepted state.
-    pub fn note_digest(
+    pub fn handle_digest(
         &mut self,
         now: Timestamp,
         sender: HostId,
@@ -304,7 +304,7 @@
     /// Handles a message from a peer about configuration. Because merging only
     /// replaces documents by newer ones, a message may arrive twice, late, or from a
     /// host that is not in this host's list yet.
-    pub fn take_message(
+    pub fn handle_message(
         &mut self,
         now: Timestamp,
         sender: HostId,
@@ -314,7 +314,7 @@
         match message {
             ConfigurationMessage::Announce { digest, reply_to } => {
                 if self.hosts().get(sender).is_some() {
-                    self.note_digest(now, sender, *digest, effects);
+                    self.handle_digest(now, sender, *digest, effects);
                 } else if exchange::may_be_ahead(*digest, self.digest)
                     && self.exchange.try_query(now, sender)
                 {
@@ -328,7 +328,7 @@
             } => {
                 // A host that has not compared its own state may lack them too.
                 if *wants_earlier && self.confirmation.is_done() {
-                    effects.push(AdoptionEffect::TellEarlier { host: sender });
+                    effects.push(AdoptionEffect::SendEarlierTables { host: sender });
                 }
                 self.handle_want(now, sender, *asked, known, effects);
             }
@@ -336,7 +336,7 @@
                 if self.earlier_tables.is_open(now) {
                     self.earlier_tables
                         .handle_answer(self.state.version(), tables);
-                    effects.push(AdoptionEffect::Earlier(tables.clone()));
+                    effects.push(AdoptionEffect::ApplyEarlierTables(tables.clone()));
                 }
             }
             ConfigurationMessage::Offer(offer) => self.handle_offer(now, sender, offer, effects),
@@ -353,7 +353,7 @@
     ) {
         let confirmed = self.confirmation.is_done();
         let offer = self.state.difference(known, asked, confirmed);
-        effects.push(AdoptionEffect::Tell {
+        effects.push(AdoptionEffect::Send {
             host: sender,
             address: None,
             message: ConfigurationMessage::Offer(offer),
@@ -448,7 +448,7 @@
             self.ranking.update(self.identity, stamp, hosts);
             let superseded = |refused: &mut RefusedDocument| refused.revision <= stamp.revision;
             self.refused_hosts.take_if(superseded);
-            effects.push(AdoptionEffect::Hosts);
+            effects.push(AdoptionEffect::HostsChanged);
         }
         if self.digest != earlier && self.confirmation.is_done() {
             self.exchange.begin_announcing(now);
--- a/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/platform.rs
@@ -106,7 +106,7 @@
     }
 
     /// Handles the outcome of a call.
-    pub fn take_platform<R: PeerReachability>(
+    pub fn handle_platform_outcome<R: PeerReachability>(
         &mut self,
         now: Timestamp,
         outcome: PlatformOutcome,
--- a/crates/cardamomwinch_coordination/src/control/effect.rs
+++ b/crates/cardamomwinch_coordination/src/control/effect.rs
@@ -29,7 +29,7 @@
     /// Call the platform and report the outcome.
     Platform(PlatformRequest),
     /// Ask the load endpoint of a backend server and report the outcome.
-    AskLoad {
+    ProbeLoad {
         /// The server.
         backend: BackendId,
         /// The address of the endpoint.
--- a/crates/cardamomwinch_coordination/src/control/health/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/health/mod.rs
@@ -33,7 +33,7 @@
 
 /// How a server's health changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HealthTurn {
+pub enum HealthTransition {
     /// It gets no new flows, because it appears to fail.
     Ejected,
     /// It gets new flows again, few at first.
@@ -54,7 +54,7 @@
     /// Its shard.
     pub shard: ShardId,
     /// How its health changed.
-    pub turn: HealthTurn,
+    pub transition: HealthTransition,
 }
 
 /// A probe of a load endpoint to send now.
@@ -97,7 +97,7 @@
 
     /// Tracks the servers whose shards this host holds the lease of, and no others. This
     /// looks through all servers, so it is done only at intervals.
-    pub fn follow(
+    pub fn track(
         &mut self,
         now: Timestamp,
         configuration: &InForceConfiguration,
@@ -124,7 +124,7 @@
     }
 
     /// The probes to send now.
-    pub fn due_questions(
+    pub fn due_probes(
         &mut self,
         now: Timestamp,
         configuration: &InForceConfiguration,
@@ -143,7 +143,7 @@
     }
 
     /// Records the outcome of a probe.
-    pub fn take_load(
+    pub fn handle_load(
         &mut self,
         now: Timestamp,
         backend: BackendId,
@@ -155,7 +155,7 @@
     }
 
     /// Records the observations of traffic threads.
-    pub fn take_observations(&mut self, now: Timestamp, observations: &[BackendObservation]) {
+    pub fn apply_observations(&mut self, now: Timestamp, observations: &[BackendObservation]) {
         for observation in observations {
             if let Some(server) = self.servers.get_mut(&observation.backend) {
                 server.apply_observation(now, observation);
@@ -183,13 +183,13 @@
         changes: &mut Vec<HealthChange>,
     ) {
         for (backend, server) in self.servers.iter_mut() {
-            let turn = match (server.draining, server.logged_draining) {
-                (true, false) => HealthTurn::Draining,
-                (false, true) => HealthTurn::DrainingEnded,
+            let transition = match (server.draining, server.logged_draining) {
+                (true, false) => HealthTransition::Draining,
+                (false, true) => HealthTransition::DrainingEnded,
                 _ => continue,
             };
             server.logged_draining = server.draining;
-            changes.extend(change(configuration, *backend, turn));
+            changes.extend(change(configuration, *backend, transition));
         }
     }
 
@@ -202,7 +202,7 @@
         for (backend, server) in self.servers.iter_mut() {
             if server.return_if_healthy(now) {
                 self.cold.note(now, *backend);
-                changes.extend(change(configuration, *backend, HealthTurn::Returned));
+                changes.extend(change(configuration, *backend, HealthTransition::Returned));
             }
         }
     }
@@ -226,7 +226,7 @@
             }
             if let Some(server) = self.servers.get_mut(&backend) {
                 server.eject(now);
-                changes.extend(change(configuration, backend, HealthTurn::Ejected));
+                changes.extend(change(configuration, backend, HealthTransition::Ejected));
             }
         }
     }
@@ -291,13 +291,13 @@
 fn change(
     configuration: &InForceConfiguration,
     backend: BackendId,
-    turn: HealthTurn,
+    transition: HealthTransition,
 ) -> Option<HealthChange> {
     let entry = configuration.backends.get(&backend)?;
     Some(HealthChange {
         backend,
         service: entry.service,
         shard: entry.shard(configuration.limits.shards_per_domain),
-        turn,
+        transition,
     })
 }
--- a/crates/cardamomwinch_coordination/src/control/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/mod.rs
@@ -28,7 +28,7 @@
 use crate::control::adoption::refusal::RefusedDocument;
 use crate::control::effect::{ControlEffect, ControlSink};
 use crate::control::event::{ControlEvent, PlatformOutcome};
-use crate::control::health::{HealthTable, HealthTurn};
+use crate::control::health::{HealthTable, HealthTransition};
 use crate::control::homes::HomeTable;
 use crate::control::membership::{MembershipOutput, PeerMembership};
 use crate::control::publication::SnapshotPublisher;
@@ -149,11 +149,11 @@
             ControlEvent::Peer(envelope) => self.handle_peer_message(now, &envelope, sink),
             ControlEvent::Platform(outcome) => self.handle_platform_outcome(now, outcome, sink),
             ControlEvent::Load { backend, result } => {
-                self.health.take_load(now, backend, result);
+                self.health.handle_load(now, backend, result);
                 self.review_health(now, sink);
             }
             ControlEvent::Observed(observations) => {
-                self.health.take_observations(now, &observations);
+                self.health.apply_observations(now, &observations);
             }
             ControlEvent::HandOver(chunk) => self.handle_exported_chunk(now, chunk, sink),
             ControlEvent::TookOver(report) => self.handle_import_report(now, report, sink),
@@ -172,9 +172,9 @@
     /// platform.
     fn detect_pause<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         let last = self.last_event.replace(now);
-        let paused = last.is_some_and(|last| now.since(last) > bounds::SLEEP_GAP);
+        let paused = last.is_some_and(|last| now.since(last) > bounds::PAUSE_GAP);
         if paused {
-            self.adoption.note_sleep(now);
+            self.adoption.note_pause(now);
             sink.emit(ControlEffect::Count(Counter::WokeLate));
             self.publish(now, sink);
         }
@@ -182,7 +182,7 @@
 
     fn tick<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         if self.adoption.is_confirmed() && now >= self.trusted_until() {
-            self.adoption.note_sleep(now);
+            self.adoption.note_pause(now);
         }
         let mut effects = Vec::new();
         self.adoption.tick(now, &self.membership, &mut effects);
@@ -199,9 +199,9 @@
 
     fn probe_loads<S: ControlSink>(&mut self, now: Timestamp, sink: &mut S) {
         let configuration = self.publisher.configuration();
-        self.health.follow(now, configuration, self.homes.shards());
-        for probe in self.health.due_questions(now, configuration) {
-            sink.emit(ControlEffect::AskLoad {
+        self.health.track(now, configuration, self.homes.shards());
+        for probe in self.health.due_probes(now, configuration) {
+            sink.emit(ControlEffect::ProbeLoad {
                 backend: probe.backend,
                 address: probe.address,
             });
@@ -216,11 +216,11 @@
             return;
         }
         for change in changes {
-            sink.emit(ControlEffect::Count(match change.turn {
-                HealthTurn::Ejected => Counter::BackendEjected,
-                HealthTurn::Returned => Counter::BackendReturned,
-                HealthTurn::Draining => Counter::BackendDraining,
-                HealthTurn::DrainingEnded => Counter::BackendDrainingEnded,
+            sink.emit(ControlEffect::Count(match change.transition {
+                HealthTransition::Ejected => Counter::BackendEjected,
+                HealthTransition::Returned => Counter::BackendReturned,
+                HealthTransition::Draining => Counter::BackendDraining,
+                HealthTransition::DrainingEnded => Counter::BackendDrainingEnded,
             }));
             let record = self.health_record(now, change);
             sink.emit(ControlEffect::Decide(record));
@@ -240,7 +240,7 @@
             self.last_contact = now;
         }
         self.adoption
-            .take_platform(now, outcome, &self.membership, &mut effects);
+            .handle_platform_outcome(now, outcome, &self.membership, &mut effects);
         self.apply_adoption_effects(now, effects, sink);
     }
 
@@ -255,7 +255,7 @@
         for effect in effects {
             match effect {
                 AdoptionEffect::Call(request) => sink.emit(ControlEffect::Platform(request)),
-                AdoptionEffect::Tell {
+                AdoptionEffect::Send {
                     host,
                     address,
                     message,
@@ -266,12 +266,12 @@
                         None => self.send(host, message, sink),
                     }
                 }
-                AdoptionEffect::TellEarlier { host } => {
+                AdoptionEffect::SendEarlierTables { host } => {
                     let tables = self.publisher.earlier_tables();
                     let message = ConfigurationMessage::Earlier(tables);
                     self.send(host, PeerMessage::Configuration(message), sink);
                 }
-                AdoptionEffect::Earlier(tables) => {
+                AdoptionEffect::ApplyEarlierTables(tables) => {
                     self.publisher.merge_earlier_tables(tables);
                     changed = true;
                 }
@@ -281,7 +281,7 @@
                     sink.emit(ControlEffect::Count(counter));
                 }
                 AdoptionEffect::Refused(document) => sink.emit(ControlEffect::Refused(document)),
-                AdoptionEffect::Hosts => changed = true,
+                AdoptionEffect::HostsChanged => changed = true,
                 AdoptionEffect::InForce(resolution) => {
                     let resolution = *resolution;
                     self.domain_names = resolution.domain_names.clone();
--- a/crates/cardamomwinch_coordination/src/control/peer_messages.rs
+++ b/crates/cardamomwinch_coordination/src/control/peer_messages.rs
@@ -85,7 +85,8 @@
                 if let Some(digest) = message.digest() {
                     let mut effects = Vec::new();
                     let sender = envelope.sender;
-                    self.adoption.note_digest(now, sender, digest, &mut effects);
+                    self.adoption
+                        .handle_digest(now, sender, digest, &mut effects);
                     self.apply_adoption_effects(now, effects, sink);
                 }
             }
@@ -105,7 +106,7 @@
     ) {
         let mut effects = Vec::new();
         self.adoption
-            .take_message(now, sender, message, &mut effects);
+            .handle_message(now, sender, message, &mut effects);
         self.apply_adoption_effects(now, effects, sink);
     }
 
--- a/crates/cardamomwinch_coordination/src/traffic/mod.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/mod.rs
@@ -245,7 +245,7 @@
     /// only after it has received messages from other hosts.
     fn detect_pause<S: TrafficSink>(&mut self, context: &mut EventContext<'_, S>) {
         let gap = context.now.since(self.last_event);
-        if self.last_event > Timestamp::ZERO && gap > self.bounds.sleep_gap {
+        if self.last_event > Timestamp::ZERO && gap > self.bounds.pause_gap {
             self.resumed_at = Some(context.now);
             context.count(Counter::WokeLate);
         }
--- a/crates/cardamomwinch_coordination/tests/health_draining.rs
+++ b/crates/cardamomwinch_coordination/tests/health_draining.rs
@@ -55,7 +55,7 @@
         let (calls, probes, logged) = (&mut self.calls, &mut self.probes, &mut self.logged);
         let mut sink = |effect: HostEffect<'_>| match effect {
             HostEffect::Control(ControlEffect::Platform(request)) => calls.push(request),
-            HostEffect::Control(ControlEffect::AskLoad { backend, address }) => {
+            HostEffect::Control(ControlEffect::ProbeLoad { backend, address }) => {
                 probes.push((backend, address));
             }
             HostEffect::Control(ControlEffect::Decide(record)) => logged.push(record),
--- a/crates/cardamomwinch_coordination/tests/health_ejection.rs
+++ b/crates/cardamomwinch_coordination/tests/health_ejection.rs
@@ -7,7 +7,7 @@
 
 use cardamomwinch_coordination::control::event::LoadFailure;
 use cardamomwinch_coordination::control::health::observation::BackendObservation;
-use cardamomwinch_coordination::control::health::{HealthChange, HealthTable, HealthTurn};
+use cardamomwinch_coordination::control::health::{HealthChange, HealthTable, HealthTransition};
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_coordination::snapshot::ShardView;
 use cardamomwinch_protocol::prelude::*;
@@ -128,8 +128,8 @@
     fn step(&mut self) {
         self.now = self.now.after(STEP);
         self.table
-            .follow(self.now, &self.configuration, &self.shards);
-        for probe in self.table.due_questions(self.now, &self.configuration) {
+            .track(self.now, &self.configuration, &self.shards);
+        for probe in self.table.due_probes(self.now, &self.configuration) {
             let position = self.position(probe.backend);
             self.probes[position] += 1;
             let result = match self.behaviors[position] {
@@ -144,16 +144,16 @@
                     ..HEALTHY
                 }),
             };
-            self.table.take_load(self.now, probe.backend, result);
+            self.table.handle_load(self.now, probe.backend, result);
         }
         let observations: Vec<BackendObservation> = (0..self.behaviors.len())
             .map(|index| self.observed(index))
             .collect();
-        self.table.take_observations(self.now, &observations);
+        self.table.apply_observations(self.now, &observations);
         let changes = self.table.review(self.now, &self.configuration);
         let ejected = changes
             .iter()
-            .any(|change| change.turn == HealthTurn::Ejected);
+            .any(|change| change.transition == HealthTransition::Ejected);
         self.ejections.extend(ejected.then_some(self.now));
         self.changes.extend(changes);
     }
@@ -193,10 +193,10 @@
         views.get(&server(index).id).unwrap().warm_percent
     }
 
-    fn turns(&self, turn: HealthTurn) -> usize {
+    fn transitions(&self, transition: HealthTransition) -> usize {
         self.changes
             .iter()
-            .filter(|change| change.turn == turn)
+            .filter(|change| change.transition == transition)
             .count()
     }
 }
@@ -223,8 +223,8 @@
     assert!(percents[0] < 50, "{percents:?}");
     assert!(percents.is_sorted(), "{percents:?}");
     assert_eq!(percents.last(), Some(&100));
-    assert_eq!(bench.turns(HealthTurn::Ejected), 1);
-    assert_eq!(bench.turns(HealthTurn::Returned), 1);
+    assert_eq!(bench.transitions(HealthTransition::Ejected), 1);
+    assert_eq!(bench.transitions(HealthTransition::Returned), 1);
 }
 
 /// The network between this host and all servers of the failure domain is cut, so every
@@ -239,7 +239,7 @@
     assert_eq!(bench.ejected(), Vec::<usize>::new());
     bench.behaviors = vec![Behavior::Healthy; 4];
     bench.pass(5);
-    assert_eq!(bench.turns(HealthTurn::Ejected), 0);
+    assert_eq!(bench.transitions(HealthTransition::Ejected), 0);
 }
 
 /// Three of four servers fail one after the other. If all three were ejected, the last one
@@ -295,7 +295,7 @@
         .collect();
     assert!(gaps.is_sorted(), "{gaps:?}");
     assert!(
-        bench.turns(HealthTurn::Returned) >= 2,
+        bench.transitions(HealthTransition::Returned) >= 2,
         "{:?}",
         bench.changes
     );
@@ -317,7 +317,7 @@
     bench.pass(5);
     bench.behaviors[0] = Behavior::Drains;
     let drained_at = bench.now;
-    while bench.turns(HealthTurn::Draining) == 0 {
+    while bench.transitions(HealthTransition::Draining) == 0 {
         bench.step();
     }
     assert!(bench.now.since(drained_at) < time::Duration::from_secs(3));
@@ -339,7 +339,7 @@
             .unwrap()
             .draining
     );
-    assert_eq!(bench.turns(HealthTurn::DrainingEnded), 0);
+    assert_eq!(bench.transitions(HealthTransition::DrainingEnded), 0);
 }
 
 /// A server joins while the service runs, and starts with a part of its slots. Servers that
--- a/crates/cardamomwinch_daemon/src/control_effects.rs
+++ b/crates/cardamomwinch_daemon/src/control_effects.rs
@@ -118,7 +118,7 @@
                 address, envelope, ..
             } => self.outlets.send_peer(address, envelope),
             ControlEffect::Platform(request) => self.outlets.call_platform(request),
-            ControlEffect::AskLoad { backend, address } => {
+            ControlEffect::ProbeLoad { backend, address } => {
                 self.outlets.ask_load(backend, address);
             }
             ControlEffect::Publish(snapshot) => self.outlets.snapshots.publish(snapshot),
--- a/crates/cardamomwinch_experiment/src/wire.rs
+++ b/crates/cardamomwinch_experiment/src/wire.rs
@@ -46,7 +46,7 @@
         match effect {
             ControlEffect::ToPeer { host, envelope, .. } => Some(Self::ToPeer(host, envelope)),
             ControlEffect::Platform(request) => Some(Self::Platform(request)),
-            ControlEffect::AskLoad { backend, address } => Some(Self::AskLoad(backend, address)),
+            ControlEffect::ProbeLoad { backend, address } => Some(Self::AskLoad(backend, address)),
             ControlEffect::Count(counter) => Some(Self::Count(counter)),
             ControlEffect::Drained => Some(Self::Drained),
             // The rest stays between the engines of one host.
--- a/crates/cardamomwinch_model/tests/support/mod.rs
+++ b/crates/cardamomwinch_model/tests/support/mod.rs
@@ -21,7 +21,7 @@
 /// The first point in time; far from zero, so that all differences exist.
 pub(crate) const BEGIN: Timestamp = Timestamp::new(1_000_000_000_000);
 /// No pause is noticed, since the worlds here advance in long steps.
-const SLEEP_GAP: time::Duration = time::Duration::from_secs(1_000_000);
+const PAUSE_GAP: time::Duration = time::Duration::from_secs(1_000_000);
 
 /// How the small world is laid out.
 #[derive(Debug, Clone, Copy)]
@@ -188,7 +188,7 @@
     };
     let keys = AuthenticationKeys::new(SecretKey::new([7; 32]), None);
     let bounds = TrafficBounds {
-        sleep_gap: SLEEP_GAP,
+        pause_gap: PAUSE_GAP,
         ..TrafficBounds::default()
     };
     TrafficEngine::new(identity, ThreadPlace::ONLY, keys, bounds)
--- a/examples/capacity_slopes.rs
+++ b/examples/capacity_slopes.rs
@@ -357,7 +357,9 @@
             event,
             &mut |effect: HostEffect<'_>| match effect {
                 HostEffect::Control(ControlEffect::Platform(request)) => calls.push(request),
-                HostEffect::Control(ControlEffect::AskLoad { backend, .. }) => asked.push(backend),
+                HostEffect::Control(ControlEffect::ProbeLoad { backend, .. }) => {
+                    asked.push(backend);
+                }
                 _ => {}
             },
         );
