--- a/crates/cardamomwinch_coordination/benches/bench_common/mod.rs
+++ b/crates/cardamomwinch_coordination/benches/bench_common/mod.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// What a host believes when `home` holds every shard.
+/// The snapshot of a host where `home` holds every shard.
 pub(crate) fn snapshot(configuration: InForceConfiguration, home: HostId) -> RoutingSnapshot {
     let tables = LookupTables::derive(&configuration, None);
     let here = identity();
