--- a/crates/cardamomwinch_configuration/src/check.rs
+++ b/crates/cardamomwinch_configuration/src/check.rs
@@ -1,4 +1,4 @@
-//! Errors of a document with their places, collected into one report.
+//! Errors of a document with their positions, collected into one report.
 
 use std::error;
 use std::fmt;
@@ -7,7 +7,7 @@
 
 use crate::problem::CheckProblem;
 
-/// One error and where it is.
+/// One error and its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("{file}:{line}:{column}: {key}: {problem}"))]
@@ -24,7 +24,7 @@
     pub problem: CheckProblem,
 }
 
-/// Every error of a document, in the order of their places.
+/// All errors of a document, ordered by position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CheckReport {
     /// The errors.
--- a/crates/cardamomwinch_configuration/src/checker.rs
+++ b/crates/cardamomwinch_configuration/src/checker.rs
@@ -1,4 +1,4 @@
-//! Collects the errors of a document while it is read, with their places.
+//! Collects the errors of a document, with their positions, while it is read.
 
 use std::cmp;
 use std::fmt;
@@ -6,22 +6,22 @@
 use crate::check::{CheckError, CheckReport};
 use crate::problem::CheckProblem;
 
-/// Text quoted in an error is cut after these characters. Without the cut a
-/// document of one long name and many errors below it would make a report
-/// many times its size.
-const QUOTE_LIMIT: usize = 64;
+/// Quoted text in an error is truncated after this many characters. Otherwise
+/// a document with one long name and many errors below it would produce a
+/// report many times its own size.
+const MAX_QUOTED_CHARS: usize = 64;
 
-/// `text`, cut where it is long.
+/// Returns `text`, truncated if it is long.
 pub(crate) fn quote(text: &str) -> String {
-    match text.char_indices().nth(QUOTE_LIMIT) {
+    match text.char_indices().nth(MAX_QUOTED_CHARS) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text.to_owned(),
     }
 }
 
-/// `text`, cut where it is long, on one line. A name with a line break would
-/// otherwise split its error in two, and one with an escape sequence could
-/// change the operator's terminal.
+/// Like [`quote`], but on a single line. A name with a line break would
+/// otherwise spread its error over two lines, and an escape sequence could
+/// change the state of the operator's terminal.
 pub(crate) fn quote_on_one_line(text: &str) -> String {
     let quoted = quote(text);
     if quoted.contains(char::is_control) {
@@ -36,7 +36,7 @@
 pub(crate) struct KeyPath(String);
 
 impl KeyPath {
-    /// The path of `key` below this one.
+    /// Returns the path of `key` below this one.
     pub(crate) fn child(&self, key: &str) -> Self {
         let key = quote_on_one_line(key);
         if self.0.is_empty() {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Notes that `problem` was found at byte `offset` under `path`.
+    /// Records `problem` at byte `offset` under `path`.
     pub(crate) fn report(&mut self, offset: usize, path: &KeyPath, problem: CheckProblem) {
         self.findings.push(Finding {
             offset,
@@ -92,7 +92,7 @@
         self.line_starts.partition_point(|start| *start <= offset)
     }
 
-    /// `value` if the document has no error, and the errors otherwise.
+    /// Returns `value` if the document has no errors, and otherwise the report.
     pub(crate) fn finish<T>(self, value: Option<T>) -> Result<T, CheckReport> {
         match value {
             Some(value) if self.findings.is_empty() => Ok(value),
@@ -100,18 +100,18 @@
         }
     }
 
-    /// Places are computed in one walk over the text: counting the columns of
-    /// each error from the start of its line would take minutes for a document
-    /// that is one long line full of errors.
+    /// Computes all positions in one pass over the text. Counting the columns
+    /// of each error from the start of its line would take minutes for a
+    /// document that is one long line full of errors.
     fn into_report(mut self) -> CheckReport {
         self.findings.sort_by_key(|finding| finding.offset);
-        let mut walk = PlaceWalk::new(self.text);
+        let mut cursor = PositionCursor::new(self.text);
         let errors = self.findings.into_iter().map(|finding| {
-            walk.advance(finding.offset);
+            cursor.advance(finding.offset);
             CheckError {
                 file: self.file.to_owned(),
-                line: walk.line,
-                column: walk.column,
+                line: cursor.line,
+                column: cursor.column,
                 key: finding.key,
                 problem: finding.problem,
             }
@@ -122,14 +122,14 @@
     }
 }
 
-struct PlaceWalk<'t> {
+struct PositionCursor<'t> {
     text: &'t str,
     offset: usize,
     line: usize,
     column: usize,
 }
 
-impl<'t> PlaceWalk<'t> {
+impl<'t> PositionCursor<'t> {
     const fn new(text: &'t str) -> Self {
         Self {
             text,
--- a/crates/cardamomwinch_configuration/src/claims.rs
+++ b/crates/cardamomwinch_configuration/src/claims.rs
@@ -1,4 +1,4 @@
-//! What each fragment claims for itself, and which claims clash.
+//! The resources that fragments claim, and the conflicts between claims.
 
 use std::net;
 
@@ -6,7 +6,7 @@
 
 use crate::resolve::{AcceptedFragment, FragmentRefusal};
 
-/// What a fragment may claim.
+/// A resource that a fragment can claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ClaimedResource {
     Team(TeamId),
@@ -30,17 +30,17 @@
 }
 
 impl FragmentClaims {
-    pub(crate) fn of(held: &AcceptedFragment) -> Self {
+    pub(crate) fn of(accepted: &AcceptedFragment) -> Self {
         let mut claims = Vec::new();
         let mut claim = |resource, name: &str| {
             let name = name.to_owned();
             claims.push(ResourceClaim { resource, name });
         };
         claim(
-            ClaimedResource::Team(TeamId::from_name(&held.team)),
-            &held.team,
+            ClaimedResource::Team(TeamId::from_name(&accepted.team)),
+            &accepted.team,
         );
-        for (name, service) in held.fragment.services.iter() {
+        for (name, service) in accepted.fragment.services.iter() {
             let id = ServiceId::from_name(name);
             claim(ClaimedResource::Service(id), name);
             claim(ClaimedResource::Address(service.address), name);
@@ -52,22 +52,22 @@
                 claim(ClaimedResource::Backend(backend_id), name);
             }
         }
-        // Thousands of backend servers name the same few failure domains; one
-        // claim for each keeps the search for a clash short.
+        // Thousands of backend servers name the same few failure domains. One
+        // claim for each domain keeps the search for conflicts short.
         claims.sort();
         claims.dedup();
-        let team = held.team.clone();
+        let team = accepted.team.clone();
         Self { team, claims }
     }
 }
 
-/// A claim and the fragment that makes it.
+/// A claim and the rank of the fragment that makes it.
 struct RankedClaim {
     claim: ResourceClaim,
     rank: usize,
 }
 
-/// The claims of all fragments, and which fragments were admitted so far.
+/// The claims of all fragments, and which fragments have been admitted so far.
 pub(crate) struct ClaimTable {
     fragments: Vec<FragmentClaims>,
     /// Sorted by resource, then rank.
@@ -76,7 +76,7 @@
 }
 
 impl ClaimTable {
-    /// Creates a table over `fragments`, of which earlier ones go first.
+    /// Creates a table of `fragments`, in descending order of precedence.
     pub(crate) fn new(fragments: Vec<FragmentClaims>) -> Self {
         let ranked = fragments.iter().enumerate().flat_map(|(rank, fragment)| {
             let claims = fragment.claims.iter().cloned();
@@ -92,11 +92,11 @@
         }
     }
 
-    /// Admits the fragment of `rank`, unless it clashes with an admitted one.
-    /// A clash with a refused fragment costs nothing.
+    /// Admits the fragment of `rank` unless it conflicts with an admitted one.
+    /// Conflicts with refused fragments don't count.
     pub(crate) fn admit(&mut self, rank: usize) -> Result<(), FragmentRefusal> {
         let claims = self.fragments[rank].claims.iter();
-        match claims.filter_map(|claim| self.clash(claim)).next() {
+        match claims.filter_map(|claim| self.conflict(claim)).next() {
             Some(refusal) => Err(refusal),
             None => {
                 self.admitted[rank] = true;
@@ -105,19 +105,20 @@
         }
     }
 
-    fn clash(&self, claim: &ResourceClaim) -> Option<FragmentRefusal> {
+    fn conflict(&self, claim: &ResourceClaim) -> Option<FragmentRefusal> {
         let resource = claim.resource;
         let start = self
             .claims
-            .partition_point(|held| held.claim.resource < resource);
+            .partition_point(|ranked| ranked.claim.resource < resource);
         let same = self.claims[start..].iter();
-        let same = same.take_while(|held| held.claim.resource == resource);
-        let mut admitted = same.filter(|held| self.admitted[held.rank]);
-        admitted.find_map(|held| refusal(claim, &held.claim, &self.fragments[held.rank].team))
+        let same = same.take_while(|ranked| ranked.claim.resource == resource);
+        let mut admitted = same.filter(|ranked| self.admitted[ranked.rank]);
+        admitted.find_map(|ranked| refusal(claim, &ranked.claim, &self.fragments[ranked.rank].team))
     }
 }
 
-/// Why `claim` can't stand beside the claim `held` of team `holder`, if so.
+/// Returns why `claim` conflicts with the claim `held` of team `holder`, if it
+/// does.
 fn refusal(claim: &ResourceClaim, held: &ResourceClaim, holder: &str) -> Option<FragmentRefusal> {
     let holder = holder.to_owned();
     let name = claim.name.clone();
@@ -141,8 +142,8 @@
             service: name,
             holder,
         }),
-        // A shared failure domain is no clash. The identifier of a backend
-        // server holds that of its service, which has clashed before.
+        // Teams may share a failure domain. The identifier of a backend server
+        // is derived from that of its service, whose claim conflicts first.
         ClaimedResource::Domain(_) | ClaimedResource::Backend(_) | ClaimedResource::Address(_) => {
             None
         }
--- a/crates/cardamomwinch_configuration/src/collision.rs
+++ b/crates/cardamomwinch_configuration/src/collision.rs
@@ -1,9 +1,9 @@
-//! Finds names that give the same identifier.
+//! Finds names that have the same identifier.
 //!
-//! Every host derives an identifier from a name, so two names that collide
-//! would be one thing to all of them: flows of one would be sent to the other.
-//! With 64 bits this is most unlikely by chance, but the authors of a fragment
-//! choose the names, and the check costs nothing.
+//! Every host derives identifiers from names. Two names that collide would be
+//! the same thing to all hosts: flows of one would be sent to the other. With
+//! 64 bits a collision by chance is very unlikely, but the authors of a
+//! fragment choose the names, and the check is cheap.
 
 /// A name and the identifier derived from it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -23,7 +23,7 @@
     pub second: String,
 }
 
-/// The collisions among `names`, ordered by identifier.
+/// Returns the collisions among `names`, ordered by identifier.
 pub fn find_collisions<I: Ord>(mut names: Vec<IdentifiedName<I>>) -> Vec<NameCollision> {
     names.sort();
     let neighbours = names.windows(2);
--- a/crates/cardamomwinch_configuration/src/compare.rs
+++ b/crates/cardamomwinch_configuration/src/compare.rs
@@ -1,4 +1,5 @@
-//! What a change of configuration would move.
+//! Compares two configurations: what changes for services, backend servers and
+//! new flows.
 
 use std::net;
 
@@ -29,15 +30,15 @@
 
 /// A service and its public address.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServicePlace {
+pub struct ServiceLocation {
     /// The name of the service.
     pub service: String,
     /// Its public address.
     pub address: net::SocketAddr,
 }
 
-/// A service that gets another public address: callers of the old one are not
-/// served any more.
+/// A service whose public address changes. Callers of the old address are no
+/// longer served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceMove {
     /// The name of the service.
@@ -48,7 +49,7 @@
 
 /// A backend server and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BackendPlace {
+pub struct BackendLocation {
     /// The name of the service.
     pub service: String,
     /// The name of the backend server.
@@ -60,13 +61,14 @@
 /// A backend server that is removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendRemoval {
-    /// Which one, and where it is.
-    pub place: BackendPlace,
-    /// Whether it takes new flows until then. Its flows are then surely cut.
-    pub takes_new_flows: bool,
+    /// The backend server.
+    pub location: BackendLocation,
+    /// Whether it accepts new flows until it is removed. If so, its open flows
+    /// are certain to be cut.
+    pub accepts_new_flows: bool,
 }
 
-/// A backend server that gets another address: its flows can't follow.
+/// A backend server whose address changes. Its open flows cannot move with it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendMove {
     /// The name of the service.
@@ -77,28 +79,29 @@
     pub address: ValueChange<net::SocketAddr>,
 }
 
-/// What an address stands for.
+/// What an address is used for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AddressRole {
-    /// Callers use it.
+    /// It is the public address of a service.
     Service,
-    /// A backend server has it.
+    /// It is the address of a backend server.
     BackendServer,
 }
 
-/// An address that changes its service. This is a danger: a late datagram or
-/// a caller that remembers the address reaches another service than it meant.
+/// An address that moves from one service to another. This is dangerous: a late
+/// datagram, or a caller that still uses the address, reaches the wrong
+/// service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AddressReassignment {
     /// The address.
     pub address: net::SocketAddr,
-    /// What it stands for.
+    /// What it is used for.
     pub role: AddressRole,
     /// The name of the service that it belongs to.
     pub service: ValueChange<String>,
 }
 
-/// What changes about a backend server that stays where it is.
+/// What changes about a backend server besides its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendChange {
     /// The name of the service.
@@ -113,30 +116,30 @@
     pub slots: Option<ValueChange<SlotCount>>,
     /// Flows it holds open at the same time.
     pub connections: Option<ValueChange<ConnectionCount>>,
-    /// Whether it is now said to stand in another failure domain.
+    /// Whether its failure domain changes.
     pub changes_domain: bool,
 }
 
-/// How the part of new flows that a backend server gets changes.
+/// A change of the share of new flows that a backend server gets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareChange {
     /// The name of the backend server.
     pub backend: String,
-    /// Its part of the new flows.
+    /// Its share of the new flows.
     pub share: ValueChange<FlowShare>,
 }
 
-/// How the new flows of a service are divided otherwise.
+/// The changed shares of the new flows of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceShares {
     /// The name of the service.
     pub service: String,
-    /// The backend servers whose part changes, by name.
+    /// The backend servers whose share changes, by name.
     pub backends: Vec<ShareChange>,
 }
 
-/// What a change would move. Lists are ordered by name of service and backend
-/// server.
+/// The differences between two configurations. Lists are ordered by the names
+/// of service and backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigurationDifference {
     /// The versions compared.
@@ -145,30 +148,30 @@
     pub preset: Option<ValueChange<String>>,
     /// Limits that all hosts apply alike.
     pub limits: Option<ValueChange<ConfigurationLimits>>,
-    /// Services that are new.
-    pub services_added: Vec<ServicePlace>,
-    /// Services that go: all their flows end.
-    pub services_removed: Vec<ServicePlace>,
+    /// Added services.
+    pub services_added: Vec<ServiceLocation>,
+    /// Removed services. All their flows end.
+    pub services_removed: Vec<ServiceLocation>,
     /// Services that get another public address.
     pub services_moved: Vec<ServiceMove>,
-    /// Services that have no backend server left that takes new flows.
+    /// Services that have no backend server left that accepts new flows.
     pub services_without_backends: Vec<String>,
-    /// Backend servers that are new.
-    pub backends_added: Vec<BackendPlace>,
-    /// Backend servers that go.
+    /// Added backend servers.
+    pub backends_added: Vec<BackendLocation>,
+    /// Removed backend servers.
     pub backends_removed: Vec<BackendRemoval>,
     /// Backend servers that get another address.
     pub backends_moved: Vec<BackendMove>,
-    /// Addresses that change their service.
+    /// Addresses that move to another service.
     pub addresses_reassigned: Vec<AddressReassignment>,
-    /// Backend servers that stay and change.
+    /// Backend servers that remain and change in something besides the address.
     pub backends_changed: Vec<BackendChange>,
-    /// How new flows are divided otherwise.
+    /// Changed shares of new flows.
     pub shares: Vec<ServiceShares>,
 }
 
 impl ConfigurationDifference {
-    /// Whether nothing that is in force changes.
+    /// Whether nothing changes, apart from the version.
     pub fn is_empty(&self) -> bool {
         self.preset.is_none()
             && self.limits.is_none()
@@ -185,14 +188,14 @@
     }
 }
 
-/// A backend server under the names that people know it by.
+/// The names that identify a backend server to operators.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BackendName<'c> {
     service: &'c str,
     backend: &'c str,
 }
 
-/// A configuration by name instead of by identifier.
+/// A configuration, indexed by name instead of by identifier.
 struct NamedView<'c> {
     configuration: &'c InForceConfiguration,
     services: SortedVector<&'c str, net::SocketAddr>,
@@ -217,30 +220,30 @@
     }
 
     /// Services that `other` does not have.
-    fn services_beyond(&self, other: &Self) -> Vec<ServicePlace> {
+    fn services_missing_from(&self, other: &Self) -> Vec<ServiceLocation> {
         let services = self.services.iter();
-        let beyond = services.filter(|(service, _)| !other.services.contains_key(service));
-        let places = beyond.map(|(service, address)| ServicePlace {
+        let missing = services.filter(|(service, _)| !other.services.contains_key(service));
+        let locations = missing.map(|(service, address)| ServiceLocation {
             service: (*service).to_owned(),
             address: *address,
         });
-        places.collect()
+        locations.collect()
     }
 
     /// Backend servers that `other` does not have.
-    fn backends_beyond<'s>(
+    fn backends_missing_from<'s>(
         &'s self,
         other: &'s Self,
-    ) -> impl Iterator<Item = (BackendPlace, &'c BackendEntry)> + 's {
+    ) -> impl Iterator<Item = (BackendLocation, &'c BackendEntry)> + 's {
         let backends = self.backends.iter();
-        let beyond = backends.filter(|(name, _)| !other.backends.contains_key(name));
-        beyond.map(|(name, entry)| {
-            let place = BackendPlace {
+        let missing = backends.filter(|(name, _)| !other.backends.contains_key(name));
+        missing.map(|(name, entry)| {
+            let location = BackendLocation {
                 service: name.service.to_owned(),
                 backend: name.backend.to_owned(),
                 address: entry.address,
             };
-            (place, *entry)
+            (location, *entry)
         })
     }
 
@@ -256,7 +259,7 @@
         services.chain(backends).collect()
     }
 
-    /// The weights of the servers that take new flows, by service.
+    /// The total weight of the servers that accept new flows, by service.
     fn total_weights(&self) -> SortedVector<&'c str, u64> {
         let mut totals: SortedVector<_, _> = self.services.keys().map(|name| (*name, 0)).collect();
         for (name, entry) in self.backends.iter() {
@@ -269,7 +272,7 @@
         totals
     }
 
-    /// The part of new flows that each backend server gets.
+    /// The share of new flows that each backend server gets.
     fn shares(&self) -> SortedVector<BackendName<'c>, FlowShare> {
         let totals = self.total_weights();
         let shares = self.backends.iter().map(|(name, entry)| {
@@ -291,7 +294,7 @@
     Some(entry.name.as_str())
 }
 
-/// What changing from `old` to `new` would move.
+/// Returns what changes from `old` to `new`.
 pub fn compare(old: &InForceConfiguration, new: &InForceConfiguration) -> ConfigurationDifference {
     let old = NamedView::new(old);
     let new = NamedView::new(new);
@@ -302,11 +305,14 @@
         },
         preset: ValueChange::between(&old.configuration.preset, &new.configuration.preset),
         limits: ValueChange::between(&old.configuration.limits, &new.configuration.limits),
-        services_added: new.services_beyond(&old),
-        services_removed: old.services_beyond(&new),
+        services_added: new.services_missing_from(&old),
+        services_removed: old.services_missing_from(&new),
         services_moved: services_moved(&old, &new),
         services_without_backends: newly_without_backends(&old, &new),
-        backends_added: new.backends_beyond(&old).map(|(place, _)| place).collect(),
+        backends_added: new
+            .backends_missing_from(&old)
+            .map(|(location, _)| location)
+            .collect(),
         backends_removed: backends_removed(&old, &new),
         backends_moved: backends_moved(&old, &new),
         addresses_reassigned: addresses_reassigned(&old, &new),
@@ -333,10 +339,10 @@
 
 fn backends_removed(old: &NamedView<'_>, new: &NamedView<'_>) -> Vec<BackendRemoval> {
     let removed = old
-        .backends_beyond(new)
-        .map(|(place, entry)| BackendRemoval {
-            place,
-            takes_new_flows: entry.takes_new_flows(),
+        .backends_missing_from(new)
+        .map(|(location, entry)| BackendRemoval {
+            location,
+            accepts_new_flows: entry.takes_new_flows(),
         });
     removed.collect()
 }
--- a/crates/cardamomwinch_configuration/src/document.rs
+++ b/crates/cardamomwinch_configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! Reads a text as JSON with comments, within bounds.
+//! Parses JSON with comments, limited in size and nesting.
 
 use jsonc_parser::ast;
 use jsonc_parser::common::Ranged;
@@ -16,7 +16,7 @@
 /// The deepest nesting of objects and arrays. The deepest valid document has 5.
 pub const NESTING_LIMIT: usize = 32;
 
-/// Reads `text` and hands its top-level object to `read`.
+/// Parses `text` and passes its top-level object to `read`.
 pub(crate) fn read_document<T>(
     file: &str,
     text: &str,
@@ -30,7 +30,8 @@
     checker.finish(value)
 }
 
-/// A document of gigabytes must not be walked for the place of its error.
+/// Reports a document that is too large. Its text isn't passed to the checker,
+/// which would scan it for line breaks: it may be gigabytes long.
 fn refuse_large<T>(file: &str, found: usize) -> Result<T, CheckReport> {
     let mut checker = DocumentChecker::new(file, "");
     let limit = DOCUMENT_BYTE_LIMIT;
@@ -79,11 +80,11 @@
     (error.range().start, CheckProblem::Syntax { found })
 }
 
-/// Checks what the parser itself does not. It recurses once per level, so a
-/// few kilobytes of opening brackets would overflow the stack and end the
-/// process; it also takes values that no comma separates, which hides a typing
-/// error, and single quotes. The tokens come from the parser's own scanner, so both see the same
-/// strings and comments.
+/// Checks what the parser itself does not. The parser recurses once per level,
+/// so a few kilobytes of opening brackets would overflow the stack and end the
+/// process. It also accepts values without a comma between them, which hides
+/// typing errors, and single quotes. The tokens come from the parser's own
+/// scanner, so both see the same strings and comments.
 fn scan_tokens(text: &str) -> Option<(usize, CheckProblem)> {
     let mut scanner = jsonc_parser::Scanner::new(text);
     let mut depth: usize = 0;
@@ -140,7 +141,7 @@
     }
 }
 
-/// The kind of `value`.
+/// Returns the kind of `value`.
 pub(crate) const fn kind_of(value: &ast::Value<'_>) -> ValueKind {
     match value {
         ast::Value::StringLit(_) => ValueKind::Text,
@@ -152,7 +153,7 @@
     }
 }
 
-/// Where `node` starts, as a byte offset.
+/// Returns the byte offset at which `node` starts.
 pub(crate) fn start_of(node: &impl Ranged) -> usize {
     node.range().start
 }
--- a/crates/cardamomwinch_configuration/src/document_kind.rs
+++ b/crates/cardamomwinch_configuration/src/document_kind.rs
@@ -1,4 +1,4 @@
-//! The kinds of documents, and which one a text probably is.
+//! The kinds of documents, and a guess at the kind of a text.
 
 use std::fmt;
 use std::str;
@@ -30,7 +30,7 @@
     Hosts,
 }
 
-/// Text that names no kind of document.
+/// Text that is not the name of a kind of document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("unknown kind {found:?}, allowed are settings, forwarder, root, fragment, hosts"))]
@@ -83,11 +83,11 @@
         }
     }
 
-    /// The kind that shares most top-level keys with `text`, which came from
-    /// `file`; nothing where it shares none with any.
+    /// Returns the kind that shares the most top-level keys with `text`, which
+    /// came from `file`, or `None` if no kind shares any.
     ///
     /// # Errors
-    /// Reports a text that is no object in JSON with comments.
+    /// Reports a text that is not an object in JSON with comments.
     pub fn guess(file: &str, text: &str) -> Result<Option<Self>, CheckReport> {
         document::read_document(file, text, |_, object| {
             let known = |kind: Self| {
--- a/crates/cardamomwinch_configuration/src/flow_share.rs
+++ b/crates/cardamomwinch_configuration/src/flow_share.rs
@@ -1,4 +1,4 @@
-//! The part of the new flows of a service that one backend server gets.
+//! The share of the new flows of a service that one backend server gets.
 
 use std::fmt;
 use std::str;
@@ -6,14 +6,14 @@
 use cardamomwinch_state::prelude::BackendEntry;
 use snafu::Snafu;
 
-/// Hundredths of a percent in the whole.
+/// All new flows, in hundredths of a percent.
 const WHOLE: u64 = 10_000;
 
-/// A part of all new flows, in hundredths of a percent.
+/// A share of all new flows, in hundredths of a percent.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FlowShare(u32);
 
-/// Text that is no percentage with two decimals.
+/// Text that is not a percentage with two decimals.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("expected a percentage such as 12.50%, found {found:?}"))]
@@ -28,13 +28,13 @@
         Self(hundredths)
     }
 
-    /// Hundredths of a percent.
+    /// Returns the number of hundredths of a percent.
     pub const fn get(self) -> u32 {
         self.0
     }
 
-    /// The share of `backend` where the weights of all servers that take new
-    /// flows add up to `total`.
+    /// Returns the share of `backend` if the weights of all servers that accept
+    /// new flows add up to `total`.
     pub(crate) fn of(backend: &BackendEntry, total: u64) -> Self {
         if total == 0 || !backend.takes_new_flows() {
             return Self::default();
--- a/crates/cardamomwinch_configuration/src/forwarder_settings.rs
+++ b/crates/cardamomwinch_configuration/src/forwarder_settings.rs
@@ -24,29 +24,29 @@
     pub host: String,
     /// The name of its failure domain.
     pub domain: String,
-    /// The names of all failure domains, each with that of its region. A failure domain
-    /// that is not named takes no flows that are bound to regions.
+    /// The name of each failure domain with the name of its region. A failure domain
+    /// that is not named gets no flows that are bound to regions.
     pub regions: Vec<(String, String)>,
-    /// Where it takes packets from the fabric (UDP). Packets to callers go to
-    /// the same port of theirs.
+    /// Where it receives packets from the fabric (UDP). Packets to callers go to
+    /// the same port at the callers.
     pub traffic_address: net::SocketAddr,
-    /// Where it tells the fabric whether it is ready (HTTP).
+    /// Where it reports to the fabric whether it is ready (HTTP).
     pub readiness_address: net::SocketAddr,
-    /// Where other hosts ask it (TCP).
+    /// Where it answers queries of other hosts (TCP).
     pub peer_address: net::SocketAddr,
     /// Where it serves the administration API and metrics (HTTP).
     pub admin_address: net::SocketAddr,
-    /// Where and how the platform is read.
+    /// How the platform is reached and read.
     pub platform: PlatformSettings,
-    /// Peer addresses of hosts to ask at first; they may be out of date.
+    /// Peer addresses of the hosts to query first; they may be out of date.
     pub seeds: Vec<net::SocketAddr>,
     /// The keys that authenticate the hosts to each other.
     pub keys: AuthenticationKeys,
-    /// Flows watched at most.
+    /// The maximum number of watched flows.
     pub flows: usize,
     /// How long a flow may last.
     pub flow_lifetime: time::Duration,
-    /// After which time of stopping the process is ended by force.
+    /// The time after which a stopping process is terminated.
     pub stop_within: time::Duration,
     /// What is logged.
     pub log: LogSettings,
--- a/crates/cardamomwinch_configuration/src/fragment.rs
+++ b/crates/cardamomwinch_configuration/src/fragment.rs
@@ -22,9 +22,9 @@
 /// A backend server as its team defines it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendDefinition {
-    /// The name of the failure domain it stands in.
+    /// The name of its failure domain.
     pub domain: String,
-    /// Where it takes datagrams.
+    /// Where it receives datagrams.
     pub address: net::SocketAddr,
     /// Requests it runs at the same time.
     pub slots: SlotCount,
@@ -53,7 +53,7 @@
     /// Its services by name.
     pub services: SortedVector<String, ServiceDefinition>,
     /// What each preset changes, by the name of the preset. A preset that is
-    /// absent changes nothing.
+    /// not listed changes nothing.
     pub presets: SortedVector<String, PresetOverrides>,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// What is gathered over all services of the fragment and checked at the end.
+/// What is collected from all services of the fragment and checked at the end.
 #[derive(Default)]
 struct FragmentIndex {
     addresses: TakenAddresses,
@@ -179,9 +179,9 @@
     })
 }
 
-/// One address stands for one service or for one backend server of one
-/// service. Were it shared, a datagram could reach a service that its flow
-/// does not belong to.
+/// Reads an address, which may belong to only one service or to one backend
+/// server of one service. If it were shared, a datagram could reach a service
+/// that its flow does not belong to.
 fn read_address(
     checker: &mut DocumentChecker<'_>,
     object: &ObjectNode<'_>,
--- a/crates/cardamomwinch_configuration/src/host_list.rs
+++ b/crates/cardamomwinch_configuration/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The list of hosts that the platform publishes. It lags behind the truth.
+//! The list of hosts that the platform publishes. It may be out of date.
 
 use cardamomwinch_state::prelude::{
     DomainId, HostEntry, HostId, HostListVersion, HostPhase, HostTable, SortedVector,
--- a/crates/cardamomwinch_configuration/src/keys.rs
+++ b/crates/cardamomwinch_configuration/src/keys.rs
@@ -1,5 +1,5 @@
-//! The keys that each object may have, for the readers and for the reference
-//! page.
+//! The keys that each object may have. The parsers and the test of the
+//! reference page use them.
 
 /// Keys of the settings of a host.
 pub const SETTINGS: &[&str] = &[
@@ -81,7 +81,7 @@
     "phase",
 ];
 
-/// The keys of one object, under the heading that it has on the reference page.
+/// The keys of one object, and its heading on the reference page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ObjectKeys {
     /// The heading on the reference page.
--- a/crates/cardamomwinch_configuration/src/nearest.rs
+++ b/crates/cardamomwinch_configuration/src/nearest.rs
@@ -1,14 +1,14 @@
-//! Suggests the name that was probably meant.
+//! Suggests the name that was probably meant by a misspelt one.
 
-/// Candidates beyond these are not compared, so that a large document full of
+/// At most this many candidates are compared, so that a large document full of
 /// unknown names is still checked quickly.
 const CANDIDATE_LIMIT: usize = 64;
 
-/// Longer names are not compared, for the same reason.
+/// Names with more bytes are not compared, for the same reason.
 const LENGTH_LIMIT: usize = 64;
 
-/// The candidate with the smallest edit distance from `found`, if that is at
-/// most a third of the length of `found`.
+/// Returns the candidate with the smallest edit distance from `found`, if that
+/// distance is at most a third of the length of `found`, or 1.
 pub(crate) fn nearest<'c>(
     found: &str,
     candidates: impl IntoIterator<Item = &'c str>,
@@ -27,7 +27,8 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// The number of insertions, removals and replacements between two words.
+/// Returns the number of insertions, removals and replacements between two
+/// words.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/cardamomwinch_configuration/src/node.rs
+++ b/crates/cardamomwinch_configuration/src/node.rs
@@ -20,7 +20,7 @@
         Self { value, path }
     }
 
-    /// Where the value starts, as a byte offset.
+    /// Returns the byte offset at which the value starts.
     pub(crate) fn start(&self) -> usize {
         start_of(self.value)
     }
@@ -36,7 +36,7 @@
         self.report(checker, CheckProblem::WrongType { found, allowed });
     }
 
-    /// The value as an object.
+    /// Returns the value as an object. Reports any other kind of value.
     pub(crate) fn object(&self, checker: &mut DocumentChecker<'_>) -> Option<ObjectNode<'d>> {
         let object = self.as_object();
         if object.is_none() {
@@ -45,14 +45,15 @@
         object
     }
 
-    /// The value as an object, without a report where it is none.
+    /// Returns the value as an object, or `None` without a report.
     pub(crate) fn as_object(&self) -> Option<ObjectNode<'d>> {
         let object = self.value.as_object()?;
         let path = self.path.clone();
         Some(ObjectNode { object, path })
     }
 
-    /// The entries of the value as an array, each under its position.
+    /// Returns the elements of the value as an array, each with its index as the
+    /// last part of its path. Reports any other kind of value.
     pub(crate) fn elements(&self, checker: &mut DocumentChecker<'_>) -> Option<Vec<Self>> {
         let Some(array) = self.value.as_array() else {
             self.report_kind(checker, ValueKind::Array);
@@ -70,7 +71,7 @@
 pub(crate) struct NamedNode<'d> {
     pub(crate) name: &'d str,
     pub(crate) node: ValueNode<'d>,
-    /// Where the name starts, as a byte offset.
+    /// The byte offset at which the name starts.
     pub(crate) name_start: usize,
 }
 
@@ -82,7 +83,7 @@
 }
 
 impl<'d> ObjectNode<'d> {
-    /// Where the object starts, as a byte offset.
+    /// Returns the byte offset at which the object starts.
     pub(crate) fn start(&self) -> usize {
         start_of(self.object)
     }
@@ -115,7 +116,7 @@
         });
     }
 
-    /// The value that `read` makes of `key`, which must be there.
+    /// Reads the value under `key` with `read`. Reports a missing key.
     pub(crate) fn required<T>(
         &self,
         checker: &mut DocumentChecker<'_>,
@@ -132,7 +133,8 @@
         }
     }
 
-    /// The value that `read` makes of `key`, or `default` where it is absent.
+    /// Reads the value under `key` with `read`, or returns `default` if the key
+    /// is missing.
     pub(crate) fn optional<T>(
         &self,
         checker: &mut DocumentChecker<'_>,
@@ -161,8 +163,8 @@
         })
     }
 
-    /// The entries of an object whose keys are names that the author chose.
-    /// Reports malformed and repeated names.
+    /// Returns the entries of an object whose keys are names that the author
+    /// chose. Reports malformed and repeated names.
     pub(crate) fn named_entries(&self, checker: &mut DocumentChecker<'_>) -> Vec<NamedNode<'d>> {
         let entries: Vec<_> = self.entries().collect();
         for entry in &entries {
--- a/crates/cardamomwinch_configuration/src/preset.rs
+++ b/crates/cardamomwinch_configuration/src/preset.rs
@@ -13,10 +13,10 @@
 use crate::rules::{self, NumberRule};
 use crate::values;
 
-/// An error lists at most this many of the defined names.
+/// The maximum number of defined names that an error lists.
 const LISTED_NAME_LIMIT: usize = 16;
 
-/// What a preset changes about one backend server; the rest stays.
+/// What a preset changes about one backend server. `None` changes nothing.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct BackendOverride {
     /// Another share of new flows.
@@ -30,7 +30,7 @@
 }
 
 impl BackendOverride {
-    /// Changes `backend` accordingly.
+    /// Applies the override to `backend`.
     pub fn apply(&self, backend: &mut BackendDefinition) {
         backend.weight = self.weight.unwrap_or(backend.weight);
         backend.phase = self.phase.unwrap_or(backend.phase);
@@ -56,8 +56,8 @@
     }
 }
 
-/// The number under the key of `rule`, if the override has one. The outer
-/// absence means that the number is wrong.
+/// Reads the number under the key of `rule`. The inner option is `None` if the
+/// key is missing, the outer one if the number is invalid.
 fn read_number(
     checker: &mut DocumentChecker<'_>,
     object: &ObjectNode<'_>,
@@ -77,7 +77,8 @@
 }
 
 impl PresetOverrides {
-    /// What the preset changes about backend server `backend` of `service`.
+    /// Returns what the preset changes about backend server `backend` of
+    /// `service`.
     pub fn get(&self, service: &str, backend: &str) -> Option<&BackendOverride> {
         let service = self.services.get(&service.to_owned())?;
         service.get(&backend.to_owned())
@@ -115,11 +116,11 @@
 }
 
 /// The services that the fragment defines, and the names of their backend
-/// servers where these can be read.
+/// servers if these can be read.
 ///
-/// They are taken from the text rather than from the services that were read,
-/// so that an error within a service does not turn every reference to it into
-/// another error. They are gathered once: gathering them for each reference
+/// The names come from the text rather than from the parsed services, so that
+/// an error within a service does not turn every reference to it into another
+/// error. They are collected only once: collecting them for each reference
 /// would let one team's fragment keep every host busy for minutes.
 struct DefinedServices<'d> {
     names: DefinedNames<'d>,
@@ -140,7 +141,8 @@
     }
 }
 
-/// Reads the presets of a fragment whose services stand at `services`.
+/// Reads the presets of a fragment whose services are under the node
+/// `services`.
 pub(crate) fn read_presets(
     checker: &mut DocumentChecker<'_>,
     node: &ValueNode<'_>,
--- a/crates/cardamomwinch_configuration/src/problem.rs
+++ b/crates/cardamomwinch_configuration/src/problem.rs
@@ -1,4 +1,5 @@
-//! What can be wrong in a document, each with what was found and what is allowed.
+//! The problems that a document can have. Each says what was found and what is
+//! allowed.
 
 use std::fmt;
 use std::net;
@@ -44,7 +45,7 @@
 pub enum AddressFault {
     /// It is not an IP number with a port.
     Malformed,
-    /// Its port is zero where others have to reach it.
+    /// Its port is zero although others have to reach it.
     PortZero,
 }
 
@@ -75,11 +76,11 @@
     }
 }
 
-/// One thing that is wrong in a document.
+/// One problem in a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum CheckProblem {
-    /// The document is larger than a value of the platform may be.
+    /// The document is larger than the platform allows for a value.
     #[snafu(display("the document has {found} bytes, allowed are {limit}"))]
     TooLarge {
         /// Its size in bytes.
@@ -96,7 +97,7 @@
     /// The text is not JSON with comments.
     #[snafu(display("not JSON with comments: {found}"))]
     Syntax {
-        /// What the parser stumbled over.
+        /// The error that the parser reports.
         found: errors::ParseErrorKind,
     },
     /// Two values follow each other without a comma.
@@ -105,7 +106,7 @@
     /// A string in single quotes, which other readers of JSON refuse.
     #[snafu(display("found a string in single quotes, allowed are double quotes"))]
     SingleQuotes,
-    /// A key that means nothing here.
+    /// A key that is not allowed here.
     #[snafu(display(
         "unknown key {found:?}{}, allowed are {}",
         suggestion(*nearest),
@@ -116,10 +117,10 @@
         found: String,
         /// The keys that are allowed here.
         allowed: &'static [&'static str],
-        /// The allowed key that is nearest, if one is near.
+        /// The most similar allowed key, if one is similar enough.
         nearest: Option<&'static str>,
     },
-    /// The same key a second time.
+    /// A key that occurs a second time.
     #[snafu(display("key {found:?} is given already in line {first_line}"))]
     DuplicateKey {
         /// The repeated key.
@@ -127,7 +128,7 @@
         /// The line of its first occurrence, from one.
         first_line: usize,
     },
-    /// The same name a second time.
+    /// A name that occurs a second time.
     #[snafu(display("name {found:?} is given already in line {first_line}"))]
     DuplicateName {
         /// The repeated name.
@@ -135,7 +136,7 @@
         /// The line of its first occurrence, from one.
         first_line: usize,
     },
-    /// A key without which the document means nothing.
+    /// A required key that is missing.
     #[snafu(display("the key is required and missing"))]
     MissingKey,
     /// A value of the wrong kind.
@@ -156,7 +157,7 @@
         /// The largest allowed.
         maximum: u64,
     },
-    /// A number that has to exceed that of another key.
+    /// A number that must be greater than that of another key.
     #[snafu(display("found {found}, allowed is more than the {limit} of {other}"))]
     NotAbove {
         /// The number found.
@@ -174,12 +175,12 @@
         /// Why it is refused.
         fault: AddressFault,
     },
-    /// An address that something else has.
+    /// An address that is already in use.
     #[snafu(display("address {found} is taken already by {holder}"))]
     AddressTaken {
         /// The address.
         found: net::SocketAddr,
-        /// The key that has it.
+        /// The key that uses it first.
         holder: String,
     },
     /// A name with characters that names may not have.
@@ -187,12 +188,12 @@
         "found name {found:?}, allowed are 1 to {limit} ASCII letters, digits, '-' and '_'"
     ))]
     BadName {
-        /// The name found, shortened where it is long.
+        /// The name found, truncated if it is long.
         found: String,
         /// The longest name in characters.
         limit: usize,
     },
-    /// A word that is none of the allowed ones.
+    /// A word that is not among the allowed ones.
     #[snafu(display(
         "found {found:?}{}, allowed are {}",
         suggestion(*nearest),
@@ -203,7 +204,7 @@
         found: String,
         /// The words allowed.
         allowed: &'static [&'static str],
-        /// The allowed word that is nearest, if one is near.
+        /// The most similar allowed word, if one is similar enough.
         nearest: Option<&'static str>,
     },
     /// A secret key of the wrong form. The text itself stays secret.
@@ -212,7 +213,7 @@
         /// The length of the text found.
         length: usize,
     },
-    /// A list that needs an entry.
+    /// An empty list that needs at least one entry.
     #[snafu(display("found an empty list, allowed is one with at least one entry"))]
     EmptyList,
     /// A name that the document does not define.
@@ -228,10 +229,10 @@
         found: String,
         /// The first few names that are defined.
         defined: Vec<String>,
-        /// The defined name that is nearest, if one is near.
+        /// The most similar defined name, if one is similar enough.
         nearest: Option<String>,
     },
-    /// Two names that give the same identifier.
+    /// Two names that have the same identifier.
     #[snafu(display("name {found:?} gives the same identifier as {other:?}: rename one"))]
     IdentifierCollision {
         /// The later name.
--- a/crates/cardamomwinch_configuration/src/resolve.rs
+++ b/crates/cardamomwinch_configuration/src/resolve.rs
@@ -1,11 +1,11 @@
 //! Resolves the root document and the fragments of all teams into the
 //! configuration in force.
 //!
-//! Teams write their fragments apart, so two may claim the same thing. The
-//! fragment with the higher revision is then refused as a whole and alone: who
-//! was there first keeps what it has, and no other team notices. The outcome
-//! depends on the fragments only, not on their order, so that every host that
-//! holds the same fragments refuses the same ones.
+//! Teams write their fragments independently, so two of them may claim the same
+//! resource. Only the fragment with the higher revision is then refused, and as
+//! a whole: the team that published first keeps its claim, and no other team is
+//! affected. The outcome depends only on the fragments, not on their order, so
+//! that all hosts with the same fragments refuse the same ones.
 
 use std::net;
 
@@ -19,10 +19,10 @@
 use crate::fragment::{BackendDefinition, ServiceDefinition, TeamFragment};
 use crate::root::RootDocument;
 
-/// A fragment that was read without an error.
+/// A fragment that has no errors of its own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedFragment {
-    /// The team under whose name the platform holds it.
+    /// The team under whose name the platform stores it.
     pub team: String,
     /// Its revision. A team has one fragment for each revision.
     pub revision: FragmentRevision,
@@ -30,11 +30,11 @@
     pub fragment: TeamFragment,
 }
 
-/// Why a fragment without an error of its own is refused.
+/// Why a fragment without errors of its own is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum FragmentRefusal {
-    /// The root document lists no such team.
+    /// The root document does not list the team.
     #[snafu(display("the root document does not list the team"))]
     NotListed,
     /// The fragment names another team than the one that published it.
@@ -54,17 +54,17 @@
         /// The team that has it.
         holder: String,
     },
-    /// Another team has this address for a service or a backend server.
+    /// Another team uses this address for a service or a backend server.
     #[snafu(display("address {address} of {claimant} is taken already by team {holder}"))]
     AddressTaken {
         /// The address.
         address: net::SocketAddr,
-        /// The service or backend server that would have had it.
+        /// The service or backend server for which this fragment claims it.
         claimant: String,
         /// The team that has it.
         holder: String,
     },
-    /// A name gives the same identifier as one of another team.
+    /// A name has the same identifier as a name of another team.
     #[snafu(display("name {name:?} gives the same identifier as {other:?} of team {holder}"))]
     IdentifierCollision {
         /// The name in this fragment.
@@ -79,29 +79,29 @@
 /// A fragment that is not in force, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RefusedFragment {
-    /// The team under whose name the platform holds it.
+    /// The team under whose name the platform stores it.
     pub team: String,
     /// Its revision.
     pub revision: FragmentRevision,
-    /// Why.
+    /// Why it is refused.
     pub reason: FragmentRefusal,
 }
 
-/// What [`resolve`] found.
+/// The outcome of [`resolve`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Resolution {
     /// The configuration in force.
     pub configuration: InForceConfiguration,
-    /// The refused fragments by team and revision.
+    /// The refused fragments, ordered by team and revision.
     pub refused: Vec<RefusedFragment>,
-    /// The names of the failure domains in force, for people.
+    /// The names of the failure domains in force, for display.
     pub domain_names: SortedVector<DomainId, String>,
-    /// The names of the teams in force, for people.
+    /// The names of the teams in force, for display.
     pub team_names: SortedVector<TeamId, String>,
 }
 
-/// Applies the preset of `root` to `fragments` and puts them together as
-/// `version`.
+/// Applies the preset of `root` to `fragments` and combines them into the
+/// configuration of `version`.
 pub fn resolve(
     root: &RootDocument,
     version: ConfigurationVersion,
@@ -133,11 +133,11 @@
         refused,
         domain_names: accepted
             .iter()
-            .flat_map(|held| domain_names(held))
+            .flat_map(|fragment| domain_names(fragment))
             .collect(),
         team_names: accepted
             .iter()
-            .map(|held| (TeamId::from_name(&held.team), held.team.clone()))
+            .map(|fragment| (TeamId::from_name(&fragment.team), fragment.team.clone()))
             .collect(),
     }
 }
@@ -162,8 +162,8 @@
     }
 }
 
-fn domain_names(held: &AcceptedFragment) -> impl Iterator<Item = (DomainId, String)> {
-    let services = held.fragment.services.values();
+fn domain_names(accepted: &AcceptedFragment) -> impl Iterator<Item = (DomainId, String)> {
+    let services = accepted.fragment.services.values();
     let backends = services.flat_map(|service| service.backends.values());
     backends.map(|backend| (DomainId::from_name(&backend.domain), backend.domain.clone()))
 }
@@ -175,12 +175,12 @@
 ) -> InForceConfiguration {
     let mut services = Vec::new();
     let mut backends = Vec::new();
-    for held in accepted {
-        for (name, definition) in held.fragment.services.iter() {
-            let service = service_entry(&held.team, name, definition);
+    for source in accepted {
+        for (name, definition) in source.fragment.services.iter() {
+            let service = service_entry(&source.team, name, definition);
             for (backend_name, backend) in definition.backends.iter() {
                 let backend =
-                    with_preset(&held.fragment, &root.preset, name, backend_name, backend);
+                    with_preset(&source.fragment, &root.preset, name, backend_name, backend);
                 let entry = backend_entry(service.id, backend_name, &backend);
                 backends.push((entry.id, entry));
             }
--- a/crates/cardamomwinch_configuration/src/root.rs
+++ b/crates/cardamomwinch_configuration/src/root.rs
@@ -1,6 +1,6 @@
 //! The root document: the preset in force, the revision of each team's
 //! fragment, and the limits that all hosts apply alike. The revision under
-//! which the platform holds it is the version of the configuration.
+//! which the platform stores it is the version of the configuration.
 
 use cardamomwinch_state::prelude::{ConfigurationLimits, FragmentRevision, SortedVector};
 
@@ -84,8 +84,9 @@
     Some(limits)
 }
 
-/// A lease no longer than the clock skew is over on one host before another
-/// has seen it begin: no home host could ever act.
+/// Checks that the lease is longer than the clock skew. Otherwise a lease could
+/// end by one host's clock before it begins by another's, and no home host
+/// could ever act.
 fn check_lease(
     checker: &mut DocumentChecker<'_>,
     object: &ObjectNode<'_>,
--- a/crates/cardamomwinch_configuration/src/rules.rs
+++ b/crates/cardamomwinch_configuration/src/rules.rs
@@ -1,5 +1,5 @@
-//! Range and default of every number, in one place for the readers and for the
-//! reference page.
+//! The range and default of every number. The parsers and the test of the
+//! reference page use them.
 
 use std::time;
 
@@ -7,7 +7,7 @@
 use crate::node::ObjectNode;
 use crate::values;
 
-/// A number that may be absent.
+/// The range and default of an optional number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NumberRule {
     /// The key.
@@ -16,7 +16,7 @@
     pub minimum: u64,
     /// The largest allowed number.
     pub maximum: u64,
-    /// The number that holds where the key is absent.
+    /// The number that applies if the key is missing.
     pub default: u64,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The number under the key of this rule, or its default.
+    /// Reads the number under the key of this rule, or returns the default.
     pub(crate) fn read(
         self,
         checker: &mut DocumentChecker<'_>,
@@ -50,7 +50,7 @@
         self.read(checker, object)?.try_into().ok()
     }
 
-    /// Like [`Self::read`], as a count of things in memory.
+    /// Like [`Self::read`], as a count of items in memory.
     pub(crate) fn read_usize(
         self,
         checker: &mut DocumentChecker<'_>,
@@ -84,41 +84,42 @@
 pub const PLATFORM_WATCH: NumberRule = NumberRule::new("watch_ms", 100, 600_000, 20_000);
 /// Threads that forward datagrams.
 pub const TRAFFIC_THREADS: NumberRule = NumberRule::new("traffic_threads", 1, 64, 1);
-/// Flows that the host holds at most.
+/// Maximum number of flows that the host holds.
 pub const FLOW_BOUND: NumberRule = NumberRule::new("flows", 1, 10_000_000, 500_000);
-/// Requests that the host waits for at most.
+/// Maximum number of requests that the host waits for.
 pub const REQUEST_BOUND: NumberRule = NumberRule::new("requests", 1, 10_000_000, 100_000);
-/// Finished requests that the host remembers at most.
+/// Maximum number of finished requests that the host remembers.
 pub const REQUEST_RECORD_BOUND: NumberRule =
     NumberRule::new("request_records", 1, 10_000_000, 200_000);
-/// Datagrams that wait for the control thread at most.
+/// Maximum number of datagrams that wait for the control thread.
 pub const DATAGRAM_QUEUE_BOUND: NumberRule = NumberRule::new("datagram_queue", 1, 1_000_000, 4_096);
-/// Log lines a second about routing and placement.
+/// Log lines per second about routing and placement.
 pub const DECISIONS_PER_SECOND: NumberRule =
     NumberRule::new("decisions_per_second", 0, 1_000_000, 500);
 /// How long a graceful stop may take, in milliseconds.
 pub const STOP_DEADLINE: NumberRule = NumberRule::new("stop_deadline_ms", 1, 3_600_000, 10_000);
 
-/// Flows that a forwarding host watches at most: with half a kilobyte each, a
-/// quarter of the smallest host's memory.
+/// Maximum number of flows that a forwarding host watches. At half a kilobyte
+/// each, the default takes a quarter of the smallest host's memory.
 pub const WATCHED_FLOWS: NumberRule = NumberRule::new("watched_flows", 1, 10_000_000, 40_000);
 /// How long a flow may last, in seconds.
 pub const FLOW_LIFETIME: NumberRule = NumberRule::new("flow_lifetime_s", 1, 604_800, 60);
-/// After which time of stopping a forwarding host is ended by force, in seconds.
+/// The time after which a stopping forwarding host is terminated, in seconds.
 pub const STOP_WITHIN: NumberRule = NumberRule::new("stop_within_s", 1, 3_600, 6);
 
-/// The longest time between first sending and deadline, in milliseconds.
+/// The longest time from the first sending of a request to its deadline, in
+/// milliseconds.
 pub const REQUEST_LIFETIME: NumberRule =
     NumberRule::new("request_lifetime_ms", 100, 600_000, 10_000);
 /// How far apart the clocks of two hosts may be, in milliseconds.
 pub const CLOCK_SKEW: NumberRule = NumberRule::new("clock_skew_ms", 0, 10_000, 100);
-/// How long a home host may act without renewal, in milliseconds.
+/// How long a home host may act without renewing its lease, in milliseconds.
 pub const HOME_LEASE: NumberRule = NumberRule::new("home_lease_ms", 100, 60_000, 1_500);
-/// Shards of a failure domain.
+/// Number of shards of a failure domain.
 pub const SHARDS_PER_DOMAIN: NumberRule = NumberRule::new("shards_per_domain", 1, 1_024, 32);
 /// The seed of the flow hash.
 pub const FLOW_HASH_SEED: NumberRule = NumberRule::new("flow_hash_seed", 0, u64::MAX, 0);
-/// Retries per hundred first tries.
+/// Retries per hundred first attempts.
 pub const RETRY_PERCENT: NumberRule = NumberRule::new("retry_percent", 0, 100, 10);
 
 /// Requests that a backend server runs at the same time.
--- a/crates/cardamomwinch_configuration/src/settings.rs
+++ b/crates/cardamomwinch_configuration/src/settings.rs
@@ -26,18 +26,18 @@
     Off,
     /// What an operator has to act on.
     Error,
-    /// What an operator should know, besides.
+    /// Also what an operator should know.
     Warn,
-    /// Decisions, besides.
+    /// Also decisions.
     #[default]
     Info,
-    /// What a developer needs, besides.
+    /// Also what a developer needs.
     Debug,
     /// Everything.
     Trace,
 }
 
-/// Text that names no log level.
+/// Text that is not the name of a log level.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("unknown log level {found:?}"))]
@@ -85,10 +85,10 @@
     }
 }
 
-/// Where and how the platform is read.
+/// How the platform is reached and read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Addresses of the platform, to be tried in turn; at least one.
+    /// Addresses of the platform, which are tried in turn. There is at least one.
     pub addresses: Vec<net::SocketAddr>,
     /// How long a read may take.
     pub timeout: time::Duration,
@@ -135,13 +135,13 @@
 /// Bounds of the tables and queues of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BoundSettings {
-    /// Flows held.
+    /// Maximum number of flows held.
     pub flows: usize,
-    /// Requests waited for.
+    /// Maximum number of requests waited for.
     pub requests: usize,
-    /// Finished requests remembered.
+    /// Maximum number of finished requests remembered.
     pub request_records: usize,
-    /// Datagrams that wait for the control thread.
+    /// Maximum number of datagrams that wait for the control thread.
     pub datagram_queue: usize,
 }
 
@@ -178,7 +178,8 @@
 pub struct LogSettings {
     /// The level.
     pub level: LogLevel,
-    /// Lines a second about routing and placement; those above are counted.
+    /// Lines per second about routing and placement. Further lines are left out
+    /// and counted.
     pub decisions_per_second: u32,
 }
 
@@ -211,15 +212,15 @@
     pub host: String,
     /// The name of its failure domain.
     pub domain: String,
-    /// Where it takes datagrams from the fabric (UDP).
+    /// Where it receives datagrams from the fabric (UDP).
     pub traffic_address: net::SocketAddr,
-    /// Where it takes datagrams relayed by other hosts (UDP).
+    /// Where it receives datagrams relayed by other hosts (UDP).
     pub relay_address: net::SocketAddr,
-    /// Where it takes control messages of other hosts (UDP and TCP).
+    /// Where it receives control messages of other hosts (UDP and TCP).
     pub peer_address: net::SocketAddr,
     /// Where it serves the administration API (TCP).
     pub admin_address: net::SocketAddr,
-    /// Where and how the platform is read.
+    /// How the platform is reached and read.
     pub platform: PlatformSettings,
     /// The keys that authenticate the hosts to each other.
     pub keys: AuthenticationKeys,
--- a/crates/cardamomwinch_configuration/src/taken.rs
+++ b/crates/cardamomwinch_configuration/src/taken.rs
@@ -1,4 +1,4 @@
-//! Finds addresses that a document gives twice.
+//! Finds addresses that occur twice in a document.
 
 use std::net;
 
@@ -20,7 +20,7 @@
 }
 
 impl TakenAddresses {
-    /// Notes that `address` stands at `node`.
+    /// Records that `address` is used at `node`.
     pub(crate) fn note(&mut self, address: net::SocketAddr, node: &ValueNode<'_>) {
         self.uses.push(AddressUse {
             address,
@@ -29,8 +29,8 @@
         });
     }
 
-    /// Reads and notes the address under `key`, on which the host is to listen.
-    /// Where the port is left to the system, it cannot be taken twice.
+    /// Reads and records the address under `key`, on which the host listens. An
+    /// address whose port the operating system chooses can't be taken twice.
     pub(crate) fn local(
         &mut self,
         checker: &mut DocumentChecker<'_>,
@@ -44,8 +44,8 @@
         Some(address)
     }
 
-    /// Reads the addresses under `names`, on which the host is to listen, and reports
-    /// those that are given twice.
+    /// Reads the addresses under `names`, on which the host listens, and reports
+    /// those that occur twice.
     pub(crate) fn read_local<const N: usize>(
         checker: &mut DocumentChecker<'_>,
         object: &ObjectNode<'_>,
@@ -60,15 +60,15 @@
 
     /// Reports every use of an address but its first in the text.
     pub(crate) fn report(mut self, checker: &mut DocumentChecker<'_>) {
-        self.uses.sort_by_key(|place| (place.address, place.start));
+        self.uses.sort_by_key(|usage| (usage.address, usage.start));
         let same_address = |left: &AddressUse, right: &AddressUse| left.address == right.address;
         for same in self.uses.chunk_by(same_address) {
-            for place in &same[1..] {
+            for repeated in &same[1..] {
                 let problem = CheckProblem::AddressTaken {
-                    found: place.address,
+                    found: repeated.address,
                     holder: same[0].path.to_string(),
                 };
-                checker.report(place.start, &place.path, problem);
+                checker.report(repeated.start, &repeated.path, problem);
             }
         }
     }
--- a/crates/cardamomwinch_configuration/src/values.rs
+++ b/crates/cardamomwinch_configuration/src/values.rs
@@ -1,4 +1,5 @@
-//! Readers of single values. Each reports what is wrong and then gives nothing.
+//! Functions that read single values. Each reports an invalid value and then
+//! returns `None`.
 
 use std::net;
 
@@ -13,12 +14,12 @@
 /// The longest name in characters.
 pub const NAME_LENGTH_LIMIT: usize = 64;
 
-/// A type whose values are words.
+/// A type whose values are written as words.
 pub(crate) trait WordChoice: Sized {
     /// The words.
     const WORDS: &'static [&'static str];
 
-    /// The value that `word` means.
+    /// Returns the value that `word` stands for.
     fn from_word(word: &str) -> Option<Self>;
 }
 
@@ -51,11 +52,11 @@
 pub(crate) enum PortRule {
     /// Port zero lets the operating system choose.
     ZeroAllowed,
-    /// The port must be a real one.
+    /// The port must not be zero.
     Reachable,
 }
 
-/// A string.
+/// Reads a string.
 pub(crate) fn text<'d>(checker: &mut DocumentChecker<'_>, node: &ValueNode<'d>) -> Option<&'d str> {
     let literal = node.value.as_string_lit();
     if literal.is_none() {
@@ -64,7 +65,7 @@
     literal.map(|literal| literal.value.as_ref())
 }
 
-/// What is wrong with `name` as a name, if anything.
+/// Returns why `name` is not a valid name, if it isn't.
 pub(crate) fn name_problem(name: &str) -> Option<CheckProblem> {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     let fits = (1..=NAME_LENGTH_LIMIT).contains(&name.len());
@@ -77,7 +78,7 @@
     })
 }
 
-/// A name.
+/// Reads a name.
 pub(crate) fn name(checker: &mut DocumentChecker<'_>, node: &ValueNode<'_>) -> Option<String> {
     let name = text(checker, node)?;
     match name_problem(name) {
@@ -89,7 +90,7 @@
     }
 }
 
-/// One of the words of `T`.
+/// Reads one of the words of `T`.
 pub(crate) fn choice<T: WordChoice>(
     checker: &mut DocumentChecker<'_>,
     node: &ValueNode<'_>,
@@ -107,7 +108,7 @@
     value
 }
 
-/// An address whose port may be zero.
+/// Reads an address whose port may be zero.
 pub(crate) fn local_address(
     checker: &mut DocumentChecker<'_>,
     node: &ValueNode<'_>,
@@ -115,7 +116,7 @@
     address(checker, node, PortRule::ZeroAllowed)
 }
 
-/// An address that others reach.
+/// Reads an address that others have to reach.
 pub(crate) fn reachable_address(
     checker: &mut DocumentChecker<'_>,
     node: &ValueNode<'_>,
@@ -140,7 +141,7 @@
     None
 }
 
-/// A whole number within a range.
+/// Reads a whole number within a range.
 pub(crate) fn whole_number(
     checker: &mut DocumentChecker<'_>,
     node: &ValueNode<'_>,
@@ -164,7 +165,7 @@
     allowed
 }
 
-/// A secret key of 64 hexadecimal digits.
+/// Reads a secret key of 64 hexadecimal digits.
 pub(crate) fn secret(checker: &mut DocumentChecker<'_>, node: &ValueNode<'_>) -> Option<SecretKey> {
     let digits = text(checker, node)?;
     let key = digits.parse::<SecretKey>();
--- a/crates/cardamomwinch_configuration/tests/arbitrary_text.rs
+++ b/crates/cardamomwinch_configuration/tests/arbitrary_text.rs
@@ -26,7 +26,8 @@
     TestRunner::new_with_rng(config, random)
 }
 
-/// Reads `bytes` as every kind of document; places must lie within the text.
+/// Reads `bytes` as every kind of document. Reported lines must lie within the
+/// text.
 fn read_as_every_kind(bytes: &[u8]) {
     let text = String::from_utf8_lossy(bytes);
     let lines = text.split('\n').count();
@@ -73,8 +74,8 @@
     let cases = (0..VALID.len(), changes);
     let outcome = runner().run(&cases, |(document, changes)| {
         let mut bytes = VALID[document].as_bytes().to_vec();
-        for (place, byte, action) in changes {
-            let at = place.index(bytes.len());
+        for (index, byte, action) in changes {
+            let at = index.index(bytes.len());
             match action {
                 0 => bytes[at] = byte,
                 1 => bytes.insert(at, byte),
--- a/crates/cardamomwinch_configuration/tests/many_teams.rs
+++ b/crates/cardamomwinch_configuration/tests/many_teams.rs
@@ -1,5 +1,4 @@
-//! Many teams that claim from few names and addresses, at random but the same
-//! on every run.
+//! Many teams claim a few names and addresses at random, from a fixed seed.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::cell::Cell;
@@ -25,7 +24,7 @@
         });
         let services = services.collect::<Vec<_>>().join(",");
         let text = format!(r#"{{"team": "t{team}", "services": {{{services}}}}}"#);
-        // A fragment with an error of its own never gets as far.
+        // A fragment with errors of its own is not passed to `resolve`.
         let fragment = TeamFragment::parse("f", &text).ok()?;
         let revision = FragmentRevision::new(*revision);
         Some(AcceptedFragment { team: format!("t{team}"), revision, fragment })
@@ -42,9 +41,10 @@
     }
 }
 
-/// Hosts receive the fragments in different orders. Were the outcome to depend
-/// on it, two hosts would hold different services under one version; were two
-/// clashing fragments both in force, a datagram could reach the wrong service.
+/// Hosts receive the fragments in different orders. If the outcome depended on
+/// the order, two hosts would have different services under one version. If two
+/// conflicting fragments were both in force, a datagram could reach the wrong
+/// service.
 #[test]
 fn every_host_resolves_alike_and_no_claim_is_held_twice() {
     let service = (0..NAMES, 1..ADDRESSES, 1..ADDRESSES);
@@ -60,12 +60,12 @@
     let held_services = Cell::new(0);
     let outcome = TestRunner::new_with_rng(config, random).run(
         &(teams, any::<prop::sample::Index>()),
-        |(teams, turn)| {
+        |(teams, rotation)| {
             let mut fragments = fragments(&teams);
             let resolution = resolve(&root(), ConfigurationVersion::ZERO, &fragments);
             if !fragments.is_empty() {
-                let turn = turn.index(fragments.len());
-                fragments.rotate_left(turn);
+                let rotation = rotation.index(fragments.len());
+                fragments.rotate_left(rotation);
             }
             fragments.reverse();
             prop_assert_eq!(
@@ -81,11 +81,11 @@
             };
             let accepted: Vec<_> = fragments
                 .iter()
-                .filter(|held| !refused(&held.team))
+                .filter(|fragment| !refused(&fragment.team))
                 .collect();
             let claimed: usize = accepted
                 .iter()
-                .map(|held| held.fragment.services.len())
+                .map(|accepted| accepted.fragment.services.len())
                 .sum();
             let configuration = &resolution.configuration;
             prop_assert_eq!(configuration.services.len(), claimed);
@@ -113,6 +113,6 @@
         },
     );
     outcome.unwrap();
-    assert!(refusals.get() > 100, "hardly a case had a clash");
-    assert!(held_services.get() > 100, "hardly a case had a service");
+    assert!(refusals.get() > 100, "hardly any case had a conflict");
+    assert!(held_services.get() > 100, "hardly any case had a service");
 }
--- a/crates/cardamomwinch_configuration/tests/resolving.rs
+++ b/crates/cardamomwinch_configuration/tests/resolving.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use cardamomwinch_configuration::collision::{self, IdentifiedName, NameCollision};
-use cardamomwinch_configuration::compare::{AddressRole, BackendPlace};
+use cardamomwinch_configuration::compare::{AddressRole, BackendLocation};
 use cardamomwinch_configuration::prelude::*;
 use cardamomwinch_state::prelude::*;
 use yare::parameterized;
@@ -15,7 +15,7 @@
     RootDocument::parse("root", &text).unwrap()
 }
 
-fn held(team: &str, revision: u64, services: &str) -> AcceptedFragment {
+fn accepted(team: &str, revision: u64, services: &str) -> AcceptedFragment {
     let text = format!(r#"{{"team": "{team}", "services": {{{services}}}, "presets": {{}}}}"#);
     parsed(team, revision, &text)
 }
@@ -37,15 +37,15 @@
 }
 
 fn in_force(services: &str) -> InForceConfiguration {
-    let fragments = [held("search", 1, services)];
+    let fragments = [accepted("search", 1, services)];
     let resolution = resolve(&root("ordinary"), VERSION, &fragments);
     assert_eq!(resolution.refused, []);
     resolution.configuration
 }
 
-/// Two teams that never talk to each other claim the same thing. The later
-/// fragment is refused; the earlier one and that of an unconcerned team stay,
-/// in whichever order the host received them.
+/// Two teams independently claim the same resource. The later fragment is
+/// refused. The earlier one and that of an uninvolved team stay in force, in
+/// whatever order the host received them.
 #[parameterized(
     service_name = { "benchmark-desk", 7002, 9002,
         FragmentRefusal::ServiceNameTaken { service: "benchmark-desk".into(), holder: "search".into() } },
@@ -57,13 +57,13 @@
         FragmentRefusal::AddressTaken { address: "127.0.0.1:7001".parse().unwrap(), claimant: "dv-1".into(), holder: "search".into() } },
 )]
 fn the_later_claim_is_refused_alone(name: &str, port: u16, backend: u16, reason: FragmentRefusal) {
-    let search = held(
+    let search = accepted(
         "search",
         4,
         &service("benchmark-desk", 7001, &[("bd-1", 9001, "")]),
     );
-    let vault = held("vault", 5, &service(name, port, &[("dv-1", backend, "")]));
-    let desk = held("desk", 6, &service("notices", 7003, &[("n-1", 9003, "")]));
+    let vault = accepted("vault", 5, &service(name, port, &[("dv-1", backend, "")]));
+    let desk = accepted("desk", 6, &service("notices", 7003, &[("n-1", 9003, "")]));
     let expected = resolve(&root("ordinary"), VERSION, &[search.clone(), desk.clone()]);
     assert_eq!(expected.configuration.services.len(), 2);
     for order in [
@@ -85,21 +85,21 @@
 
 #[test]
 fn of_equal_revisions_the_greater_team_name_is_refused() {
-    let search = held("search", 4, &service("a", 7001, &[]));
-    let vault = held("vault", 4, &service("a", 7002, &[]));
+    let search = accepted("search", 4, &service("a", 7001, &[]));
+    let vault = accepted("vault", 4, &service("a", 7002, &[]));
     let resolution = resolve(&root("ordinary"), VERSION, &[vault, search]);
     assert_eq!(resolution.refused[0].team, "vault");
 }
 
-/// Team vault clashes with search and is refused. Team desk claims what only
-/// vault claims besides; were it refused too, the fault of one team would have
-/// cost another its service.
+/// Team vault conflicts with team search and is refused. Team desk claims a name
+/// that otherwise only vault claims. If desk were refused too, the mistake of
+/// one team would cost another its service.
 #[test]
 fn a_refused_fragment_holds_nothing() {
-    let search = held("search", 1, &service("a", 7001, &[]));
+    let search = accepted("search", 1, &service("a", 7001, &[]));
     let two = format!("{}, {}", service("a", 7002, &[]), service("b", 7003, &[]));
-    let vault = held("vault", 2, &two);
-    let desk = held("desk", 3, &service("b", 7004, &[]));
+    let vault = accepted("vault", 2, &two);
+    let desk = accepted("desk", 3, &service("b", 7004, &[]));
     let resolution = resolve(&root("ordinary"), VERSION, &[desk, vault, search]);
     assert_eq!(resolution.refused.len(), 1);
     assert_eq!(resolution.refused[0].team, "vault");
@@ -108,12 +108,12 @@
 
 #[test]
 fn fragments_without_a_listed_team_are_refused() {
-    let unlisted = held("unlisted", 1, &service("a", 7001, &[]));
-    let mut other = held("vault", 1, &service("b", 7002, &[]));
+    let unlisted = accepted("unlisted", 1, &service("a", 7001, &[]));
+    let mut other = accepted("vault", 1, &service("b", 7002, &[]));
     other.team = "search".into();
     let twice = [
-        held("desk", 1, &service("c", 7003, &[])),
-        held("desk", 2, ""),
+        accepted("desk", 1, &service("c", 7003, &[])),
+        accepted("desk", 2, ""),
     ];
     let fragments = [vec![unlisted, other], twice.to_vec()].concat();
     let resolution = resolve(&root("ordinary"), VERSION, &fragments);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn shares_follow_weights_of_servers_that_take_new_flows() {
+fn shares_follow_weights_of_servers_that_accept_new_flows() {
     let old = in_force(&service("a", 7001, &[("a-1", 9001, ""), ("a-2", 9002, "")]));
     let draining = r#", "phase": "draining""#;
     let new = in_force(&service(
@@ -223,9 +223,9 @@
     assert_eq!("66.67%".parse::<FlowShare>().unwrap(), FlowShare::new(6667));
 }
 
-/// A change hands the addresses of service a to service b. A caller that
-/// remembers the old address, or a datagram that is late, would reach b; the
-/// comparison names both addresses so that an operator sees it before.
+/// A change gives the addresses of service a to service b. A caller that still
+/// uses the old address, or a late datagram, would reach b. The comparison
+/// lists both addresses so that an operator sees this beforehand.
 #[test]
 fn reassigned_addresses_are_named() {
     let old = in_force(&service("a", 7001, &[("a-1", 9001, "")]));
@@ -238,7 +238,7 @@
         .collect();
     assert_eq!(roles, [AddressRole::Service, AddressRole::BackendServer]);
     assert_eq!(difference.services_removed[0].service, "a");
-    assert!(difference.backends_removed[0].takes_new_flows);
+    assert!(difference.backends_removed[0].accepts_new_flows);
 }
 
 #[test]
@@ -249,11 +249,11 @@
     assert_eq!(difference.services_moved[0].address.new.port(), 7002);
     assert_eq!(difference.backends_moved[0].address.new.port(), 9003);
     assert_eq!(difference.services_without_backends, ["a"]);
-    let expected = BackendPlace {
+    let expected = BackendLocation {
         service: "a".into(),
         backend: "a-2".into(),
         address: "127.0.0.1:9002".parse().unwrap(),
     };
-    assert_eq!(difference.backends_removed[0].place, expected);
+    assert_eq!(difference.backends_removed[0].location, expected);
     assert_eq!(difference.backends_added, []);
 }
--- a/crates/cardamomwinch_ctl/src/difference_text.rs
+++ b/crates/cardamomwinch_ctl/src/difference_text.rs
@@ -4,7 +4,8 @@
 use std::time;
 
 use cardamomwinch_configuration::compare::{
-    AddressRole, BackendChange, BackendPlace, ConfigurationDifference, ServicePlace, ValueChange,
+    AddressRole, BackendChange, BackendLocation, ConfigurationDifference, ServiceLocation,
+    ValueChange,
 };
 use cardamomwinch_state::prelude::ConfigurationLimits;
 use serde::Serialize;
@@ -71,12 +72,13 @@
         self
     }
 
-    fn at_service(self, place: &ServicePlace) -> Self {
-        self.of_service(&place.service)
+    fn at_service(self, location: &ServiceLocation) -> Self {
+        self.of_service(&location.service)
     }
 
-    fn at_backend(self, place: &BackendPlace) -> Self {
-        self.of_service(&place.service).of_backend(&place.backend)
+    fn at_backend(self, location: &BackendLocation) -> Self {
+        self.of_service(&location.service)
+            .of_backend(&location.backend)
     }
 
     fn before(mut self, old: impl fmt::Display) -> Self {
@@ -203,14 +205,14 @@
         lines.push(line.of_backend(&moved.backend).changing(&moved.address));
     }
     for removed in &difference.backends_removed {
-        let line = if removed.takes_new_flows {
+        let line = if removed.accepts_new_flows {
             ChangeLine::new(Danger, "backend server removed without draining")
         } else {
             ChangeLine::new(Change, "backend server removed")
         };
         lines.push(
-            line.at_backend(&removed.place)
-                .before(removed.place.address),
+            line.at_backend(&removed.location)
+                .before(removed.location.address),
         );
     }
     for added in &difference.backends_added {
