--- a/crates/cardamomwinch_model/src/adoption/flows.rs
+++ b/crates/cardamomwinch_model/src/adoption/flows.rs
@@ -1,12 +1,12 @@
-//! Where hosts send the packets of the flow.
+//! The steps of the flow: where hosts send its packets.
 
 use crate::adoption::state::{AdoptionState, FlowState, ServerChoice, VersionNumber};
 use crate::adoption::{
-    AdoptionAction, AdoptionMistake, AdoptionProperty, AdoptionSpecification, FAR_HOST, HOST_COUNT,
-    HostIndex, LAST_VERSION, LastChange, StepSink,
+    AdoptionAction, AdoptionMistake, AdoptionProperty, AdoptionSpecification, HOST_COUNT,
+    HostIndex, LAST_VERSION, LastChange, REMOTE_HOST, StepSink,
 };
 
-/// The first version that no longer gives the first server new flows.
+/// The first version in which the first server gets no new flows.
 const DRAINING_VERSION: VersionNumber = 2;
 
 /// How the server of a packet was found.
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The servers of the lookup table of `version`.
+    /// Returns the servers in the lookup table of `version`.
     fn table(&self, version: VersionNumber) -> &'static [ServerChoice] {
         let listed = self.makes(AdoptionMistake::DrainingListed) && version == DRAINING_VERSION;
         match version {
@@ -47,7 +47,7 @@
     }
 
     fn push_opens(&self, state: &AdoptionState, sink: &mut StepSink<'_>) {
-        for host in (0..FAR_HOST).filter(|host| state.hosts[*host].acts()) {
+        for host in (0..REMOTE_HOST).filter(|host| state.hosts[*host].acts()) {
             let version = state.hosts[host].version;
             for server in self.table(version) {
                 let mut next = *state;
@@ -56,7 +56,7 @@
                 if *server == ServerChoice::First && version >= DRAINING_VERSION {
                     next.fail(AdoptionProperty::DrainingSpared);
                 }
-                self.judge_packet(&mut next, host, *server);
+                self.check_packet(&mut next, host, *server);
                 sink.push(AdoptionAction::Open(host, *server), next);
             }
         }
@@ -75,24 +75,24 @@
             return;
         }
         // Without a token, the home of the flow is the host that pins it.
-        let mut near = (0..FAR_HOST).filter(|home| state.reaches(host, *home));
-        let pinned = (0..FAR_HOST).any(|home| state.hosts[home].pinned);
+        let mut homes = (0..REMOTE_HOST).filter(|home| state.reaches(host, *home));
+        let pinned = (0..REMOTE_HOST).any(|home| state.hosts[home].pinned);
         if pinned && !self.bounds.echoes_token {
-            let home = near.find(|home| state.hosts[*home].pinned);
+            let home = homes.find(|home| state.hosts[*home].pinned);
             if let Some(home) = home.filter(|home| state.hosts[*home].acts()) {
                 self.push_sent(state, home, server, ServerSource::Pin, action, sink);
             }
             return;
         }
-        for home in near.filter(|home| state.hosts[*home].acts()) {
+        for home in homes.filter(|home| state.hosts[*home].acts()) {
             for picked in self.table(state.hosts[home].version) {
                 self.push_sent(state, home, *picked, ServerSource::Table, action, sink);
             }
         }
     }
 
-    /// A host relays with the server that it knows, and the receiver may have
-    /// adopted another version.
+    /// A host relays a packet with the server that it knows. The receiver may
+    /// have adopted another version.
     fn push_relayed(
         &self,
         state: &AdoptionState,
@@ -106,11 +106,18 @@
             next.relayed = Some(server);
             sink.push(AdoptionAction::Relay(host), next);
         }
-        if let Some(decided) = state.relayed.filter(|_| host != FAR_HOST) {
-            let mut taken = *state;
-            taken.relayed = None;
+        if let Some(decided) = state.relayed.filter(|_| host != REMOTE_HOST) {
+            let mut received = *state;
+            received.relayed = None;
             let action = AdoptionAction::TakeRelayed(host);
-            self.push_sent(&taken, host, decided, ServerSource::Relayed, action, sink);
+            self.push_sent(
+                &received,
+                host,
+                decided,
+                ServerSource::Relayed,
+                action,
+                sink,
+            );
         }
     }
 
@@ -135,12 +142,12 @@
         }
     }
 
-    /// Whether the address of `server` belongs to another service in what
-    /// `host` has in force.
+    /// Returns whether the address of `server` belongs to another service in the
+    /// version that `host` has in force.
     fn is_reassigned(&self, state: &AdoptionState, host: HostIndex, server: ServerChoice) -> bool {
         let adopted = state.hosts[host].version == LAST_VERSION;
-        let given_away = self.bounds.last_change == LastChange::Reassigned;
-        server == ServerChoice::First && adopted && given_away
+        let reassigned = self.bounds.last_change == LastChange::Reassigned;
+        server == ServerChoice::First && adopted && reassigned
     }
 
     fn is_guarded(&self, source: ServerSource) -> bool {
@@ -168,7 +175,8 @@
         }
         let mut next = *state;
         if self.is_guarded(source) && self.is_reassigned(state, host, server) {
-            // The change itself has taken the server away from the flow.
+            // The flow ends because the planned change reassigned the address of
+            // its server.
             end_flow(&mut next);
         } else if self.is_forgotten(state, host, server) {
             self.lose_flow(&mut next);
@@ -176,7 +184,7 @@
             // The server does not know the flow.
             self.lose_flow(&mut next);
         } else {
-            self.judge_packet(&mut next, host, server);
+            self.check_packet(&mut next, host, server);
         }
         sink.push(action, next);
     }
@@ -193,7 +201,8 @@
         end_flow(next);
     }
 
-    fn judge_packet(&self, next: &mut AdoptionState, host: HostIndex, server: ServerChoice) {
+    /// Checks a packet that `host` sends to `server`.
+    fn check_packet(&self, next: &mut AdoptionState, host: HostIndex, server: ServerChoice) {
         if self.is_reassigned(next, host, server) {
             next.fail(AdoptionProperty::OwnServiceOnly);
         }
--- a/crates/cardamomwinch_model/src/adoption/mistake.rs
+++ b/crates/cardamomwinch_model/src/adoption/mistake.rs
@@ -7,7 +7,7 @@
 
 macro_rules! mistakes {
     ($($(#[$doc:meta])* $variant:ident => $property:ident in $bounds:expr,)*) => {
-        /// A rule that is left out, so that the search has something to find.
+        /// A rule that is left out, so that the search must find a violation.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum AdoptionMistake {
             $($(#[$doc])* $variant,)*
@@ -17,14 +17,14 @@
             /// Every mistake.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The property that fails.
+            /// Returns the property that fails.
             pub const fn property(self) -> AdoptionProperty {
                 match self {
                     $(Self::$variant => AdoptionProperty::$property,)*
                 }
             }
 
-            /// The part of the world in which the property is seen to fail.
+            /// Returns bounds in which the property fails.
             pub const fn bounds(self) -> AdoptionBounds {
                 match self {
                     $(Self::$variant => $bounds,)*
@@ -45,7 +45,7 @@
 mistakes! {
     /// A host adopts an older answer of the platform.
     OlderAnswerAdopted => VersionOnlyRises in REMOVED_WITH_TOKEN,
-    /// A host adopts what a peer has, even where that is older.
+    /// A host adopts the version of a peer even if it is older.
     OlderPeerAdopted => VersionOnlyRises in REMOVED_WITH_TOKEN,
     /// A token is trusted although its address now belongs to another service.
     TokenUnguarded => OwnServiceOnly in REASSIGNED_WITH_TOKEN,
@@ -54,22 +54,23 @@
     /// The server that a relaying host has found is trusted although its
     /// address now belongs to another service.
     RelayedServerUnguarded => OwnServiceOnly in REASSIGNED_WITHOUT_TOKEN,
-    /// A waiting request is sent although the address of its server belongs to
-    /// another service by now.
+    /// A waiting request is sent although the address of its server now belongs
+    /// to another service.
     WaitingUnguarded => OwnServiceOnly in REASSIGNED_WITH_TOKEN,
-    /// A host that slept acts before it has heard from others.
+    /// A host that was paused acts before it has confirmed its version with
+    /// others.
     ActsUnconfirmed => OwnServiceOnly in AdoptionBounds::trusting_servers(true),
-    /// A host that stops leaves the servers of its flows untold.
+    /// A host that stops does not hand over the servers of its flows.
     PinsLeftBehind => FlowKeepsServer in REMOVED_WITHOUT_TOKEN,
-    /// The flows of a server that left the configuration are ended.
+    /// The flows of a server that was removed from the configuration are ended.
     RemovedServerForgotten => FlowKeepsServer in REMOVED_WITH_TOKEN,
-    /// The lookup table is asked before the token.
+    /// The lookup table goes before the token.
     TableBeforeToken => FlowKeepsServer in REMOVED_WITH_TOKEN,
     /// The lookup table lists draining servers.
     DrainingListed => DrainingSpared in REMOVED_WITH_TOKEN,
-    /// A host that has read an older answer reads no more.
+    /// A host that has read an older answer stops reading.
     OlderAnswerEndsReading => PublishedReached in REMOVED_WITH_TOKEN,
-    /// Hosts learn from the platform only.
+    /// Hosts learn versions only from the platform, not from peers.
     PeersNotAsked => PeersConverge in REMOVED_WITH_TOKEN,
 }
 
--- a/crates/cardamomwinch_model/src/adoption/mod.rs
+++ b/crates/cardamomwinch_model/src/adoption/mod.rs
@@ -1,10 +1,10 @@
-//! Which version a host has in force, and where it sends the packets of a flow.
+//! Specifies which version a host has in force, and where it sends the packets
+//! of a flow.
 //!
 //! Three hosts in two failure domains adopt three versions. Version 1 gives the
 //! service of the flow two backend servers, version 2 drains the first, and
-//! version 3 either removes that one or gives its address to another service.
-//! Both servers stand in the first failure domain, and so does the home that
-//! places flows.
+//! version 3 either removes the first or gives its address to another service.
+//! Both servers and the home that places flows are in the first failure domain.
 
 mod flows;
 mod mistake;
@@ -20,28 +20,28 @@
 
 use crate::search::Specification;
 
-/// A host; the last one stands in a failure domain of its own.
+/// A host. The last one is in a failure domain of its own.
 pub type HostIndex = usize;
 
 /// The number of hosts.
 pub const HOST_COUNT: usize = 3;
-/// The host that the failure domain of the servers can be cut off from.
-pub const FAR_HOST: HostIndex = 2;
+/// The host that can be cut off from the failure domain of the servers.
+pub const REMOTE_HOST: HostIndex = 2;
 /// The last version that is published.
 pub const LAST_VERSION: VersionNumber = 3;
 
-/// What must hold of adoption and routing.
+/// A property that adoption and routing must have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AdoptionProperty {
-    /// The version in force on a host never falls while the host lives.
+    /// The version in force on a host never falls while its process runs.
     VersionOnlyRises,
-    /// A packet reaches no service but its flow's.
+    /// A packet reaches no service but that of its flow.
     OwnServiceOnly,
-    /// An established flow keeps its server over every planned change.
+    /// An established flow keeps its server through every planned change.
     FlowKeepsServer,
     /// A host that has adopted the draining of a server gives it no new flow.
     DrainingSpared,
-    /// Once everything is healed, all hosts can reach the last published version.
+    /// Once all faults are over, all hosts can reach the last published version.
     PublishedReached,
     /// Once the hosts reach each other, all can reach the highest version that
     /// any of them has, without the platform.
@@ -57,13 +57,13 @@
 /// What the last version does to the first server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LastChange {
-    /// It is no longer listed; its process serves its open flows.
+    /// It is no longer listed. Its process still serves its open flows.
     Removed,
     /// Its address is given to another service.
     Reassigned,
 }
 
-/// How much of the world is searched.
+/// Bounds on what is searched: the kind of change and the number of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdoptionBounds {
     /// What the last version does to the first server.
@@ -72,20 +72,20 @@
     pub echoes_token: bool,
     /// Whether a server refuses packets of a service that is not its own.
     pub server_refuses: bool,
-    /// Crashes that may happen.
+    /// Maximum number of crashes.
     pub crashes: u8,
-    /// Planned stops that may happen.
+    /// Maximum number of planned stops.
     pub stops: u8,
-    /// Pauses that may happen.
+    /// Maximum number of process pauses.
     pub pauses: u8,
-    /// Times that the platform may go back to an earlier version.
+    /// How often the platform may go back to an earlier version.
     pub relapses: u8,
-    /// Cuts between the failure domains that may happen.
+    /// Maximum number of cuts between the failure domains.
     pub cuts: u8,
 }
 
 impl AdoptionBounds {
-    /// Worlds that take seconds to search.
+    /// Bounds that take seconds to search.
     pub const ALL: [(&'static str, Self); 6] = [
         (
             "adoption, server removed, token echoed",
@@ -113,7 +113,7 @@
         ),
     ];
 
-    /// Worlds in which every fault may happen twice.
+    /// Bounds in which every fault may happen twice.
     pub const LARGE: [(&'static str, Self); 4] = [
         (
             "adoption, server removed, token echoed, faults twice",
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Everything may go wrong, and servers refuse what is not theirs.
+    /// Every fault may happen once, and servers refuse packets of other services.
     pub const fn everything(last_change: LastChange, echoes_token: bool) -> Self {
         Self {
             last_change,
@@ -161,9 +161,9 @@
         }
     }
 
-    /// Servers refuse nothing. What the hosts can promise then rests on two
-    /// assumptions: the platform does not go back, and a process begins to
-    /// serve another service only when every host that is awake has adopted.
+    /// Servers refuse nothing. The properties then rely on two assumptions: the
+    /// platform does not go back, and a process begins to serve another service
+    /// only after every host that is awake has adopted the change.
     pub const fn trusting_servers(echoes_token: bool) -> Self {
         Self {
             server_refuses: false,
@@ -183,7 +183,7 @@
 }
 
 impl AdoptionSpecification {
-    /// The specification without a mistake.
+    /// Creates the specification without a mistake.
     pub const fn new(bounds: AdoptionBounds) -> Self {
         Self {
             bounds,
@@ -192,16 +192,18 @@
         }
     }
 
-    /// The same specification, in which hosts keep their numbers, so that a
-    /// trace can be read. More states are searched.
+    /// Returns the same specification, but states that differ only in the
+    /// numbering of hosts are not merged. Hosts keep their numbers in a trace, and
+    /// more states are searched.
     #[must_use]
     pub const fn numbered(mut self) -> Self {
         self.symmetric = false;
         self
     }
 
-    /// The same specification with one rule left out. Only the property that
-    /// the rule is for is judged, since others may fail on a shorter way.
+    /// Returns the same specification with one rule left out. Only the property
+    /// that the rule protects is checked, because others may fail on a shorter
+    /// trace.
     #[must_use]
     pub const fn with_mistake(mut self, mistake: AdoptionMistake) -> Self {
         self.mistake = Some(mistake);
@@ -213,7 +215,7 @@
     }
 }
 
-/// A step of the hosts, of the platform or of the world around them.
+/// A step of the hosts, the platform or their environment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdoptionAction {
     /// The platform publishes the next version.
@@ -222,19 +224,19 @@
     Relapse(VersionNumber),
     /// The platform answers with the last published version again.
     Recover,
-    /// A host hears from the platform.
+    /// A host reads the answer of the platform.
     Read(HostIndex),
-    /// A host hears from another host what that one has accepted.
+    /// A host receives from another host the version that is in force there.
     Pull(HostIndex, HostIndex),
-    /// A host dies.
+    /// A host crashes.
     Crash(HostIndex),
     /// A host hands over and stops.
     Stop(HostIndex),
-    /// A host starts with nothing.
+    /// A host starts without any state.
     Restart(HostIndex),
     /// The process of a host is paused.
     Pause(HostIndex),
-    /// The process of a host wakes, still believing what it did.
+    /// The process of a host resumes with the state from before the pause.
     Wake(HostIndex),
     /// The failure domains are cut off from each other.
     Cut,
@@ -251,7 +253,7 @@
     Relay(HostIndex),
     /// A relayed packet arrives at a host.
     TakeRelayed(HostIndex),
-    /// A home lets a request of the flow wait for a slot.
+    /// A home makes a request of the flow wait for a slot.
     Hold(HostIndex),
     /// A home sends the waiting request.
     SendWaiting(HostIndex),
@@ -263,7 +265,7 @@
     }
 }
 
-/// Collects the steps that lead on from one state.
+/// Collects the steps that are possible in one state.
 pub(crate) struct StepSink<'s> {
     pub(crate) steps: &'s mut Vec<(AdoptionAction, AdoptionState)>,
 }
@@ -291,8 +293,8 @@
         let begun = steps.len();
         let mut sink = StepSink { steps };
         self.push_platform(state, &mut sink);
-        self.push_world(state, &mut sink);
-        self.push_lives(state, &mut sink);
+        self.push_environment(state, &mut sink);
+        self.push_process_steps(state, &mut sink);
         self.push_adoption(state, &mut sink);
         self.push_flow(state, &mut sink);
         for (_, next) in &mut steps[begun..] {
@@ -314,11 +316,11 @@
             AdoptionProperty::PublishedReached,
             AdoptionProperty::PeersConverge,
         ];
-        let judged = |property: &AdoptionProperty| {
+        let is_checked = |property: &AdoptionProperty| {
             let mistake = self.mistake;
             mistake.is_none_or(|mistake| mistake.property() == *property)
         };
-        all.into_iter().filter(judged).collect()
+        all.into_iter().filter(is_checked).collect()
     }
 
     fn is_good(&self, property: AdoptionProperty, state: &AdoptionState) -> bool {
@@ -332,7 +334,7 @@
         }
     }
 
-    fn helps(&self, property: AdoptionProperty, action: AdoptionAction) -> bool {
+    fn may_rely_on(&self, property: AdoptionProperty, action: AdoptionAction) -> bool {
         match action {
             AdoptionAction::Pull(..)
             | AdoptionAction::Restart(_)
--- a/crates/cardamomwinch_model/src/adoption/state.rs
+++ b/crates/cardamomwinch_model/src/adoption/state.rs
@@ -1,8 +1,8 @@
 //! The state of the specification of adoption and routing.
 
-use crate::adoption::{AdoptionBounds, AdoptionProperty, FAR_HOST, HOST_COUNT, HostIndex};
+use crate::adoption::{AdoptionBounds, AdoptionProperty, HOST_COUNT, HostIndex, REMOTE_HOST};
 
-/// A version of the configuration; zero where a host has none.
+/// A version of the configuration. A host that has none has version zero.
 pub type VersionNumber = u8;
 
 /// One of the two backend servers of the flow's service.
@@ -21,7 +21,8 @@
     Down,
     /// It is paused.
     Paused,
-    /// It runs, but has not heard yet whether what it believes still holds.
+    /// It runs, but has not confirmed since its start or a pause that its version
+    /// is current.
     Unconfirmed,
     /// It decides about packets.
     Serving,
@@ -38,12 +39,12 @@
     pub pinned: bool,
     /// Whether a request of the flow waits here for a slot of its server.
     pub waiting: bool,
-    /// Only with a mistake: it reads no more.
+    /// Whether it has stopped reading, which happens only with a mistake.
     pub stopped_reading: bool,
 }
 
 impl HostState {
-    /// Whether it hears others.
+    /// Whether it receives messages.
     pub fn is_awake(&self) -> bool {
         matches!(self.phase, HostPhase::Unconfirmed | HostPhase::Serving)
     }
@@ -54,7 +55,7 @@
     }
 }
 
-/// Where the flow stands.
+/// The state of the flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FlowState {
     /// Not open yet.
@@ -65,14 +66,14 @@
     Over,
 }
 
-/// Everything.
+/// The whole state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AdoptionState {
     /// The hosts.
     pub hosts: [HostState; HOST_COUNT],
     /// The last version that the platform has published.
     pub published: VersionNumber,
-    /// The version that the platform answers with.
+    /// The version in the answers of the platform.
     pub answered: VersionNumber,
     /// Whether the failure domains are cut off from each other.
     pub cut: bool,
@@ -80,9 +81,10 @@
     pub moved: bool,
     /// The flow.
     pub flow: FlowState,
-    /// A relayed packet under way, with the server that its sender has found.
+    /// The server that the sender has found for a relayed packet under way, if
+    /// there is such a packet.
     pub relayed: Option<ServerChoice>,
-    /// Whether a host that remembered the flow has crashed.
+    /// Whether a host that remembered the server of the flow has crashed.
     pub pin_lost: bool,
     /// Crashes, planned stops, pauses, relapses and cuts that may still happen.
     pub budgets: FaultBudgets,
@@ -90,7 +92,7 @@
     pub breach: Option<AdoptionProperty>,
 }
 
-/// What may still happen.
+/// The number of faults of each kind that may still happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FaultBudgets {
     /// Crashes.
@@ -106,7 +108,7 @@
 }
 
 impl AdoptionState {
-    /// All hosts serve version 1.
+    /// Returns the state in which all hosts serve version 1.
     pub(crate) fn initial(bounds: &AdoptionBounds) -> Self {
         let host = HostState {
             phase: HostPhase::Serving,
@@ -135,19 +137,19 @@
         }
     }
 
-    /// Whether two hosts can reach each other.
+    /// Returns whether two hosts can reach each other.
     pub(crate) fn reaches(&self, one: HostIndex, other: HostIndex) -> bool {
-        !self.cut || (one == FAR_HOST) == (other == FAR_HOST)
+        !self.cut || (one == REMOTE_HOST) == (other == REMOTE_HOST)
     }
 
-    /// Notes that `property` fails, unless another failed before.
+    /// Records that `property` fails, unless another has failed before.
     pub(crate) fn fail(&mut self, property: AdoptionProperty) {
         self.breach = self.breach.or(Some(property));
     }
 
-    /// The hosts of the first failure domain are alike, so that states which
-    /// differ only in their numbering are searched once.
+    /// Sorts the hosts of the first failure domain. They are interchangeable, so
+    /// states that differ only in their numbering are searched once.
     pub(crate) fn make_canonical(&mut self) {
-        self.hosts[..FAR_HOST].sort_unstable();
+        self.hosts[..REMOTE_HOST].sort_unstable();
     }
 }
--- a/crates/cardamomwinch_model/src/adoption/versions.rs
+++ b/crates/cardamomwinch_model/src/adoption/versions.rs
@@ -1,9 +1,10 @@
-//! The platform, the lives of hosts, and what they adopt.
+//! The steps of the platform, the environment and the processes, and the
+//! adoption of versions.
 
 use crate::adoption::state::{AdoptionState, FlowState, HostPhase, HostState, VersionNumber};
 use crate::adoption::{
-    AdoptionAction, AdoptionMistake, AdoptionProperty, AdoptionSpecification, FAR_HOST, HOST_COUNT,
-    HostIndex, LAST_VERSION, LastChange, StepSink,
+    AdoptionAction, AdoptionMistake, AdoptionProperty, AdoptionSpecification, HOST_COUNT,
+    HostIndex, LAST_VERSION, LastChange, REMOTE_HOST, StepSink,
 };
 
 impl AdoptionSpecification {
@@ -29,7 +30,7 @@
         }
     }
 
-    pub(crate) fn push_world(&self, state: &AdoptionState, sink: &mut StepSink<'_>) {
+    pub(crate) fn push_environment(&self, state: &AdoptionState, sink: &mut StepSink<'_>) {
         let mut next = *state;
         if state.cut {
             next.cut = false;
@@ -50,7 +51,7 @@
         }
     }
 
-    pub(crate) fn push_lives(&self, state: &AdoptionState, sink: &mut StepSink<'_>) {
+    pub(crate) fn push_process_steps(&self, state: &AdoptionState, sink: &mut StepSink<'_>) {
         for index in 0..HOST_COUNT {
             match state.hosts[index].phase {
                 HostPhase::Down => {
@@ -58,7 +59,7 @@
                     next.hosts[index].phase = HostPhase::Unconfirmed;
                     sink.push(AdoptionAction::Restart(index), next);
                 }
-                HostPhase::Paused => self.push_wake(state, index, sink),
+                HostPhase::Paused => self.push_resume(state, index, sink),
                 HostPhase::Unconfirmed => push_crash(state, index, sink),
                 HostPhase::Serving => {
                     push_crash(state, index, sink);
@@ -69,7 +70,7 @@
         }
     }
 
-    fn push_wake(&self, state: &AdoptionState, index: HostIndex, sink: &mut StepSink<'_>) {
+    fn push_resume(&self, state: &AdoptionState, index: HostIndex, sink: &mut StepSink<'_>) {
         let mut next = *state;
         next.hosts[index].phase = match self.makes(AdoptionMistake::ActsUnconfirmed) {
             true => HostPhase::Serving,
@@ -78,7 +79,8 @@
         sink.push(AdoptionAction::Wake(index), next);
     }
 
-    /// A planned stop: another home of the failure domain is told of the flow.
+    /// A planned stop. The server of the flow is handed over to another home of
+    /// the failure domain.
     fn push_stop(&self, state: &AdoptionState, index: HostIndex, sink: &mut StepSink<'_>) {
         if state.budgets.stops == 0 {
             return;
@@ -91,7 +93,7 @@
             sink.push(AdoptionAction::Stop(index), next);
             return;
         }
-        let mut others = (0..FAR_HOST).filter(|other| *other != index);
+        let mut others = (0..REMOTE_HOST).filter(|other| *other != index);
         if let Some(successor) = others.find(|other| state.hosts[*other].acts()) {
             next.hosts[successor].pinned = true;
             sink.push(AdoptionAction::Stop(index), next);
@@ -105,8 +107,8 @@
             }
             self.push_read(state, index, sink);
             for peer in 0..HOST_COUNT {
-                let heard = state.hosts[peer].is_awake() && state.reaches(index, peer);
-                if peer != index && heard && !self.makes(AdoptionMistake::PeersNotAsked) {
+                let reachable = state.hosts[peer].is_awake() && state.reaches(index, peer);
+                if peer != index && reachable && !self.makes(AdoptionMistake::PeersNotAsked) {
                     self.push_pull(state, index, peer, sink);
                 }
             }
@@ -138,11 +140,12 @@
         sink: &mut StepSink<'_>,
     ) {
         let mut next = *state;
-        let told = state.hosts[peer];
+        let answering = state.hosts[peer];
         let only_newer = !self.makes(AdoptionMistake::OlderPeerAdopted);
-        adopt(&mut next, index, told.version, only_newer);
-        // Guards against hosts that slept together and would confirm each other.
-        if told.phase == HostPhase::Serving {
+        adopt(&mut next, index, answering.version, only_newer);
+        // Guards against hosts that were paused together and would confirm each
+        // other's outdated versions.
+        if answering.phase == HostPhase::Serving {
             next.hosts[index].phase = HostPhase::Serving;
         }
         if next != *state {
--- a/crates/cardamomwinch_model/src/bin/model-check.rs
+++ b/crates/cardamomwinch_model/src/bin/model-check.rs
@@ -1,4 +1,4 @@
-//! Searches all states of the specifications and prints what was found.
+//! Searches all states of the specifications and prints the results.
 
 use std::fmt;
 use std::process;
@@ -7,10 +7,11 @@
 use cardamomwinch_model::search::SearchError;
 use getopts::Options;
 
-/// Searches give up above this many states unless told otherwise.
+/// A search gives up above this many states unless `--states` is given.
 const DEFAULT_LIMIT: usize = 30_000_000;
 
-/// Prints what one search found; whether that is as `expected`.
+/// Searches a specification and prints the result. Returns whether the search
+/// found the `expected` violation, or none if none is expected.
 fn report<S: Specification>(
     name: &dyn fmt::Display,
     specification: &S,
--- a/crates/cardamomwinch_model/src/homes/leases.rs
+++ b/crates/cardamomwinch_model/src/homes/leases.rs
@@ -1,4 +1,4 @@
-//! Time, lives, grants and hand-overs.
+//! The steps of time, processes, leases and hand-overs.
 
 use crate::homes::state::{
     CandidateState, HomeState, Inheritance, RequestPhase, RequestRecord, VoterState,
@@ -7,29 +7,29 @@
     HomeAction, HomeMistake, HomeProperty, HomeSpecification, ProcessIndex, StepSink, VOTER_COUNT,
 };
 
-/// Whose grant runs at a voter that is asked.
+/// Whose grant runs at a voter when a candidate requests a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunningGrant {
-    /// None does.
+    /// No grant runs.
     Nobody,
-    /// The one who asks, in this life.
-    SameLife,
-    /// Another host, or an earlier life of the one who asks.
+    /// A grant to the present incarnation of the candidate.
+    SameIncarnation,
+    /// A grant to another host or to an earlier incarnation of the candidate.
     Another,
 }
 
-/// What a voter knows when it is asked. This is the whole of what the rule
-/// depends on, besides the order of messages.
+/// What a voter knows when a candidate requests a lease. The rule for granting
+/// depends on nothing else, besides the order of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterFacts {
-    /// Whether it may have forgotten what it granted.
+    /// Whether the voter may have forgotten grants, because it started recently.
     pub muted: bool,
     /// Whose grant runs.
     pub running: RunningGrant,
 }
 
 impl VoterFacts {
-    /// Whether the voter grants.
+    /// Whether the voter may grant the lease.
     pub fn may_grant(self) -> bool {
         !self.muted && self.running != RunningGrant::Another
     }
@@ -39,17 +39,17 @@
     pub(crate) fn push_time(&self, state: &HomeState, sink: &mut StepSink<'_>) {
         let mut next = state.clone();
         for voter in &mut next.voters {
-            self.age_voter(voter);
+            self.tick_voter(voter);
         }
         for host in &mut next.hosts {
-            self.age_host(host);
+            self.tick_host(host);
         }
-        for place in &mut next.dispatches {
-            let aged = place.map(|mut dispatch| {
+        for slot in &mut next.dispatches {
+            let ticked = slot.map(|mut dispatch| {
                 dispatch.remaining -= 1;
                 dispatch
             });
-            *place = aged.filter(|dispatch| dispatch.remaining > 0);
+            *slot = ticked.filter(|dispatch| dispatch.remaining > 0);
         }
         next.handed_over = next.handed_over.saturating_sub(1);
         if let RequestPhase::Open(remaining) = next.phase {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn age_voter(&self, voter: &mut VoterState) {
+    fn tick_voter(&self, voter: &mut VoterState) {
         voter.mute = voter.mute.saturating_sub(1);
         if !self.makes(HomeMistake::GrantNeverExpires) {
             voter.remaining = voter.remaining.saturating_sub(1);
@@ -80,7 +80,7 @@
         }
     }
 
-    fn age_host(&self, host: &mut CandidateState) {
+    fn tick_host(&self, host: &mut CandidateState) {
         host.lease = host.lease.saturating_sub(1);
         host.round = host.round.saturating_sub(1);
         if host.lease == 0 {
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(crate) fn push_lives(&self, state: &HomeState, sink: &mut StepSink<'_>) {
+    pub(crate) fn push_process_steps(&self, state: &HomeState, sink: &mut StepSink<'_>) {
         for process in Self::voters() {
             let mut next = state.clone();
             if state.is_up(process) {
@@ -107,11 +107,11 @@
                 }
                 next.crashes -= 1;
                 next.up[usize::from(process)] = false;
-                // Nothing is on disk, so that a new life knows nothing.
+                // Nothing is on disk, so a new incarnation knows nothing.
                 *next.host_mut(process) = CandidateState::default();
                 orphan_dispatches(&mut next, process);
                 if !self.makes(HomeMistake::GrantOutlivesLife) {
-                    end_life(&mut next, process);
+                    end_incarnation(&mut next, process);
                 }
                 let transfer = state.voter(process).transfer;
                 *next.voter_mut(process) = VoterState {
@@ -131,7 +131,7 @@
 
     pub(crate) fn push_leases(&self, state: &HomeState, sink: &mut StepSink<'_>) {
         for host in self.candidates().filter(|host| state.is_up(*host)) {
-            self.push_ask(state, host, sink);
+            self.push_lease_request(state, host, sink);
             for voter in Self::voters() {
                 self.push_grant(state, voter, host, sink);
             }
@@ -139,17 +139,17 @@
         }
     }
 
-    fn push_ask(&self, state: &HomeState, host: ProcessIndex, sink: &mut StepSink<'_>) {
-        let asking = state.host(host);
-        let fresh = asking.round == self.belief() && asking.granted == 0;
+    fn push_lease_request(&self, state: &HomeState, host: ProcessIndex, sink: &mut StepSink<'_>) {
+        let candidate = state.host(host);
+        let fresh = candidate.round == self.holder_lease() && candidate.granted == 0;
         if fresh {
             return;
         }
         let mut next = state.clone();
-        let asking = next.host_mut(host);
-        asking.round = self.belief();
+        let candidate = next.host_mut(host);
+        candidate.round = self.holder_lease();
         if !self.makes(HomeMistake::EarlierRoundCounted) {
-            asking.granted = 0;
+            candidate.granted = 0;
         }
         sink.push(HomeAction::Ask(host), next);
     }
@@ -157,7 +157,9 @@
     fn may_grant(&self, voter: &VoterState, host: ProcessIndex) -> bool {
         let running = match voter.holder {
             None => RunningGrant::Nobody,
-            Some(holder) if holder == host && !voter.of_earlier_life => RunningGrant::SameLife,
+            Some(holder) if holder == host && !voter.of_earlier_life => {
+                RunningGrant::SameIncarnation
+            }
             Some(_) => RunningGrant::Another,
         };
         let muted = voter.mute > 0;
@@ -183,32 +185,32 @@
         vote.holder = Some(host);
         vote.of_earlier_life = false;
         vote.remaining = self.bounds.lease;
-        // Word of a hand-over names the grant that it gives up, so that it has
-        // no effect on a grant made since.
+        // The message of a hand-over names the grant that the holder gives up,
+        // so it has no effect on a later grant.
         if !self.makes(HomeMistake::LateTransferApplied) {
             vote.transfer = None;
         }
-        let asking = state.host(host);
+        let candidate = state.host(host);
         let bit = 1 << voter;
-        if asking.round > 0 && asking.granted & bit == 0 {
+        if candidate.round > 0 && candidate.granted & bit == 0 {
             let mut next = granted.clone();
             next.host_mut(host).granted |= bit;
             sink.push(HomeAction::Grant(voter, host), next);
         }
-        if self.bounds.late_asks && granted != *state {
+        if self.bounds.late_lease_requests && granted != *state {
             sink.push(HomeAction::LateGrant(voter, host), granted);
         }
     }
 
     fn push_acquire(&self, state: &HomeState, host: ProcessIndex, sink: &mut StepSink<'_>) {
-        let asking = state.host(host);
-        let majority = asking.granted.count_ones() as usize * 2 > VOTER_COUNT;
-        if asking.round == 0 || !majority {
+        let candidate = state.host(host);
+        let majority = candidate.granted.count_ones() as usize * 2 > VOTER_COUNT;
+        if candidate.round == 0 || !majority {
             return;
         }
         let mut next = state.clone();
-        if asking.lease == 0 {
-            self.take_over(&mut next, host);
+        if candidate.lease == 0 {
+            self.begin_lease(&mut next, host);
         }
         let late = self.makes(HomeMistake::LeaseFromArrival);
         let holder = next.host_mut(host);
@@ -229,7 +231,7 @@
         sink.push(HomeAction::Acquire(host), next);
     }
 
-    fn take_over(&self, next: &mut HomeState, host: ProcessIndex) {
+    fn begin_lease(&self, next: &mut HomeState, host: ProcessIndex) {
         let phase = next.phase;
         let holder = next.host_mut(host);
         if holder.inheritance.committed {
@@ -244,11 +246,11 @@
         next.successor_failed |= next.handed_over > 0;
     }
 
-    /// Whether the deadline less the longest lifetime lies before the records of
-    /// a host that takes over now, so that an earlier home may have been sent
-    /// the request. Steps within one tick follow each other, so that a request
-    /// that was sent within this tick is earlier. The caller's clock may be
-    /// ahead, which is why the records begin later by the skew than the lease.
+    /// Returns whether an earlier home may have received the request: the deadline
+    /// less the longest lifetime is before the records of a host whose lease
+    /// begins now. The steps within one tick follow each other, so a request that
+    /// was sent in this tick counts as earlier. The caller's clock may be ahead,
+    /// so the records begin later than the lease, by the skew.
     fn is_earlier_than_records(&self, deadline: u8) -> bool {
         let margin = match self.makes(HomeMistake::RecordsSinceWithoutSkew) {
             true => 0,
@@ -281,8 +283,8 @@
         }
     }
 
-    /// The successor puts by what it is sent. What an earlier hand-over left
-    /// to it is worth nothing now: the sender has been home since.
+    /// The successor buffers the records that it receives. It drops those of an
+    /// earlier hand-over, because the sender has been home since.
     fn push_copy(&self, state: &HomeState, host: ProcessIndex, sink: &mut StepSink<'_>) {
         let holder = state.host(host);
         let Some(successor) = holder.frozen_for else {
@@ -321,20 +323,21 @@
                 voter.transfer = Some(successor);
             }
         }
-        let inherits = next.host_mut(successor);
-        if !(self.makes(HomeMistake::EarlierHandOverUsed) && inherits.inheritance.committed) {
-            inherits.inheritance = self.inheritance_from(&holder, copied);
+        let receiver = next.host_mut(successor);
+        if !(self.makes(HomeMistake::EarlierHandOverUsed) && receiver.inheritance.committed) {
+            receiver.inheritance = self.inheritance_from(&holder, copied);
         }
         next.handed_over = self.bounds.lease;
         orphan_dispatches(&mut next, host);
         sink.push(HomeAction::GiveUp(host), next);
     }
 
-    /// The grants of the former holder run for a whole lease at most, so that
-    /// nobody but the successor can have held and lost the shard before that.
+    /// Returns what the successor inherits. It may use this for one lease: the
+    /// grants of the former holder run no longer, and until they end no host but
+    /// the successor can have held and lost the shard.
     fn inheritance_from(&self, holder: &CandidateState, copied: RequestRecord) -> Inheritance {
         Inheritance {
-            remaining: self.belief(),
+            remaining: self.holder_lease(),
             committed: false,
             record: match self.makes(HomeMistake::RecordsLeftBehind) {
                 true => RequestRecord::Absent,
@@ -362,7 +365,8 @@
     }
 }
 
-/// The successor hears that the lease was given up, and takes the records in.
+/// The successor receives the message that the lease was given up, and applies
+/// the records.
 fn push_commit(state: &HomeState, successor: ProcessIndex, sink: &mut StepSink<'_>) {
     let inheritance = state.host(successor).inheritance;
     if inheritance.remaining == 0 || inheritance.committed {
@@ -376,7 +380,8 @@
     sink.push(HomeAction::Commit(successor), next);
 }
 
-/// What `host` has sent is known to nobody else from now on, unless handed over.
+/// Removes `host` as the sender of its dispatches. No other host knows of them
+/// from now on, unless they were handed over.
 fn orphan_dispatches(next: &mut HomeState, host: ProcessIndex) {
     for dispatch in next.dispatches.iter_mut().flatten() {
         dispatch.sender = dispatch.sender.filter(|sender| *sender != host);
@@ -384,10 +389,11 @@
     next.dispatches.sort_unstable();
 }
 
-/// Grants, hand-overs and words of them are meant for one life of a host. A new
-/// life waits until they run out: what the earlier one has sent may still be
-/// under way to the server, and nobody remembers it.
-fn end_life(next: &mut HomeState, host: ProcessIndex) {
+/// Ends the grants and hand-overs of an incarnation of `host`: they are valid for
+/// one incarnation only. The next one has to wait until they expire, because what
+/// the earlier one has sent may still be under way to the server, and no host
+/// remembers it.
+fn end_incarnation(next: &mut HomeState, host: ProcessIndex) {
     for voter in &mut next.voters {
         voter.of_earlier_life |= voter.holder == Some(host);
         voter.transfer = voter.transfer.filter(|successor| *successor != host);
@@ -399,7 +405,8 @@
     }
 }
 
-/// Once the deadline has passed nothing about the request is decided any more.
+/// Drops all records of the request. After its deadline, nothing about it is
+/// decided any more.
 fn forget_request(next: &mut HomeState) {
     for host in &mut next.hosts {
         host.record = RequestRecord::Absent;
--- a/crates/cardamomwinch_model/src/homes/mistake.rs
+++ b/crates/cardamomwinch_model/src/homes/mistake.rs
@@ -6,7 +6,7 @@
 
 macro_rules! mistakes {
     ($($(#[$doc:meta])* $variant:ident => $property:ident,)*) => {
-        /// A rule that is left out, so that the search has something to find.
+        /// A rule that is left out, so that the search must find a violation.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum HomeMistake {
             $($(#[$doc])* $variant,)*
@@ -16,14 +16,14 @@
             /// Every mistake.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The property that fails.
+            /// Returns the property that fails.
             pub const fn property(self) -> HomeProperty {
                 match self {
                     $(Self::$variant => HomeProperty::$property,)*
                 }
             }
 
-            /// The smallest part of the world in which the property is seen to fail.
+            /// Returns the smallest bounds in which the property fails.
             pub const fn bounds(self) -> HomeBounds {
                 match self {
                     Self::EarlierHandOverUsed => return HomeBounds::handed_over_twice().on_time(),
@@ -61,41 +61,43 @@
     EarlierRoundCounted => OneHolder,
     /// A holder counts its lease from the arrival of the grants.
     LeaseFromArrival => OneHolder,
-    /// A voter takes a late word of a hand-over for its present grant.
+    /// A voter applies a late message of a hand-over to its present grant.
     LateTransferApplied => OneHolder,
     /// A home sends the request again for each copy.
     DuplicateRuns => RunsOnce,
     /// A home that took over without a hand-over trusts its empty records.
     RecordsSinceOmitted => RunsOnce,
-    /// A home that took over trusts records from the moment of its lease on,
+    /// A home that took over trusts its records from the start of its lease,
     /// although the clock of a caller may be ahead of its own.
     RecordsSinceWithoutSkew => RunsOnce,
-    /// A successor uses what an earlier hand-over left, after its predecessor
-    /// has been home again.
+    /// A successor uses the records of an earlier hand-over although its
+    /// predecessor has been home again since.
     EarlierHandOverUsed => RunsOnce,
     /// A hand-over leaves the records behind.
     RecordsLeftBehind => RunsOnce,
-    /// A holder that hands over frees its grants for anybody.
+    /// A holder that hands over releases its grants for any host.
     ReleasedToAnybody => RunsOnce,
-    /// A host uses records that a predecessor gave it however old they are.
+    /// A host uses the records of a predecessor however old they are.
     LateInheritance => RunsOnce,
     /// A host keeps waiting requests after it has handed them over.
     QueueKept => RunsOnce,
-    /// A host that slept goes on serving without a look at the clock.
+    /// A host that was paused continues to serve without reading the clock.
     ClockNotRead => RunsOnce,
-    /// A deadline too far away is answered "not run".
+    /// A request whose deadline is too far away is answered "not run".
     FarDeadlineRefused => NotRunIsTrue,
     /// A refusal is not remembered.
     RefusalForgotten => NotRunIsTrue,
     /// A host that is not home refuses.
     RefusedElsewhere => NotRunIsTrue,
-    /// A home refuses before it has asked whether an earlier one ran the request.
+    /// A home refuses without checking whether an earlier home may have run the
+    /// request.
     RefusedBeforeRecordsSince => NotRunIsTrue,
-    /// Word that an earlier attempt was shed is taken for the present one.
+    /// A reply that an earlier attempt was shed is counted for the present one.
     EarlierAttemptCounted => NotRunIsTrue,
-    /// A host acts on word of a shed attempt after it has copied its records.
+    /// A host acts on a reply that an attempt was shed after it has copied its
+    /// records.
     FrozenHostCounts => NotRunIsTrue,
-    /// A host that has restarted may use the grants of its earlier life.
+    /// A host that has restarted may use the grants of its earlier incarnation.
     GrantOutlivesLife => OneDispatcher,
     /// The server may begin the request until its deadline.
     StartBeforeDeadlineOnly => OneDispatcher,
--- a/crates/cardamomwinch_model/src/homes/mod.rs
+++ b/crates/cardamomwinch_model/src/homes/mod.rs
@@ -1,12 +1,11 @@
-//! Who is home of one shard, and what becomes of one request that must not run
-//! twice.
+//! Specifies which host is home of one shard, and how homes handle one request
+//! that must not run twice.
 //!
 //! Time is discrete. All timers count down together, and a timer that has
-//! reached zero has run out. A host takes its steps whenever it likes, so that
-//! a process that is paused and wakes late is one that takes no step for some
-//! ticks. A message that is lost is a step that is never taken; one that is
-//! doubled or late is a step taken again or later, with what the message says
-//! fixed at its sending.
+//! reached zero has expired. A host can take its steps at any time, so a paused
+//! process is one that takes no step for some ticks. A lost message is a step
+//! that is never taken. A duplicated or late message is a step that is taken
+//! again or later, with the content that the message had when it was sent.
 
 mod leases;
 mod mistake;
@@ -26,23 +25,23 @@
 
 use crate::search::Specification;
 
-/// A process that votes; the first ones may also hold the lease.
+/// A process that votes. The first ones may also hold the lease.
 pub type ProcessIndex = u8;
 
 /// The number of processes that vote for the shard.
 pub const VOTER_COUNT: usize = 3;
 
-/// What must hold of homes.
+/// A property that homes must have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum HomeProperty {
-    /// Never two hosts hold the lease.
+    /// At most one host holds the lease.
     OneHolder,
     /// The request never runs twice.
     RunsOnce,
-    /// A request that was answered "not run" neither ran nor runs.
+    /// A request that was answered "not run" has not run and never runs.
     NotRunIsTrue,
     /// The request does not begin to run on behalf of an earlier home while a
-    /// later one, which does not know of the run, decides about the server.
+    /// later home, which does not know of the run, decides about the server.
     OneDispatcher,
     /// Each copy that reaches a home is answered, or its answer is under way.
     CopyAnswered,
@@ -56,43 +55,44 @@
     }
 }
 
-/// How much of the world is searched. Times are in ticks.
+/// Bounds on what is searched. Times are in ticks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HomeBounds {
-    /// Processes that may hold the lease; the rest of the voters are witnesses.
+    /// Number of processes that may hold the lease. The other voters are
+    /// witnesses.
     pub candidates: u8,
     /// How long a voter's grant runs.
     pub lease: u8,
     /// By how much the clocks of two processes may differ.
     pub skew: u8,
-    /// The longest time between the sending of the request and its deadline;
-    /// zero where no request is ever sent.
+    /// The longest time between the sending of the request and its deadline. If
+    /// it is zero, no request is ever sent.
     pub lifetime: u8,
-    /// How far beyond what is allowed a wrong caller puts its deadline.
+    /// How far beyond the allowed time a faulty caller sets its deadline.
     pub excess: u8,
-    /// Crashes that may happen.
+    /// Maximum number of crashes.
     pub crashes: u8,
-    /// Planned hand-overs that may be begun.
+    /// Maximum number of planned hand-overs that begin.
     pub hand_overs: u8,
-    /// Whether a home may refuse the request for want of room.
+    /// Whether a home may refuse the request because it has no room.
     pub refusals: bool,
     /// Whether a request may wait for a slot.
     pub queues: bool,
-    /// Whether a voter may be reached by an ask that is late or doubled.
-    pub late_asks: bool,
-    /// Whether the server may shed the request, which may be tried once more.
+    /// Whether a lease request may reach a voter late or twice.
+    pub late_lease_requests: bool,
+    /// Whether the server may shed the request, which may then be tried once more.
     pub sheds: bool,
 }
 
 impl HomeBounds {
-    /// Worlds that take seconds to search.
+    /// Bounds that take seconds to search.
     pub const ALL: [(&'static str, Self); 3] = [
         ("homes, leases only", Self::leases_only()),
         ("homes, request and crash", Self::request_and_crash()),
         ("homes, request never refused", Self::without_refusals()),
     ];
 
-    /// Worlds that take minutes to search.
+    /// Bounds that take minutes to search.
     pub const LARGE: [(&'static str, Self); 3] = [
         ("homes, request", Self::with_request()),
         (
@@ -102,7 +102,7 @@
                 lifetime: 4,
                 excess: 0,
                 crashes: 0,
-                late_asks: false,
+                late_lease_requests: false,
                 ..Self::without_refusals()
             },
         ),
@@ -121,7 +121,7 @@
             hand_overs: 1,
             refusals: false,
             queues: false,
-            late_asks: true,
+            late_lease_requests: true,
             sheds: false,
         }
     }
@@ -140,33 +140,33 @@
         }
     }
 
-    /// The same world, in which no ask is late or doubled.
+    /// Returns the same bounds, but no lease request is late or duplicated.
     pub const fn on_time(self) -> Self {
         Self {
-            late_asks: false,
+            late_lease_requests: false,
             ..self
         }
     }
 
-    /// Two hosts, a witness and one request; a lease is long enough to be
+    /// Two hosts, a witness and one request. A lease is long enough to be
     /// renewed without a gap, and nothing is handed over.
     pub const fn request_and_crash() -> Self {
         Self {
             lease: 3,
             hand_overs: 0,
             queues: false,
-            late_asks: false,
+            late_lease_requests: false,
             ..Self::with_request()
         }
     }
 
-    /// Three hosts and two hand-overs without a crash; no message is late.
+    /// Three hosts and two hand-overs without a crash. No message is late.
     pub const fn three_hosts() -> Self {
         Self {
             candidates: 3,
             excess: 0,
             queues: false,
-            late_asks: false,
+            late_lease_requests: false,
             ..Self::handed_over_twice()
         }
     }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Like [`Self::with_request`], but that the request is never refused.
+    /// Like [`Self::with_request`], but the request is never refused.
     pub const fn without_refusals() -> Self {
         Self {
             excess: 0,
@@ -200,7 +200,7 @@
 }
 
 impl HomeSpecification {
-    /// The specification without a mistake.
+    /// Creates the specification without a mistake.
     pub const fn new(bounds: HomeBounds) -> Self {
         Self {
             bounds,
@@ -209,16 +209,18 @@
         }
     }
 
-    /// The same specification, in which hosts keep their numbers, so that a
-    /// trace can be read. More states are searched.
+    /// Returns the same specification, but states that differ only in the
+    /// numbering of hosts are not merged. Hosts keep their numbers in a trace, and
+    /// more states are searched.
     #[must_use]
     pub const fn numbered(mut self) -> Self {
         self.symmetric = false;
         self
     }
 
-    /// The same specification with one rule left out. Only the property that
-    /// the rule is for is judged, since others may fail on a shorter way.
+    /// Returns the same specification with one rule left out. Only the property
+    /// that the rule protects is checked, because others may fail on a shorter
+    /// trace.
     #[must_use]
     pub const fn with_mistake(mut self, mistake: HomeMistake) -> Self {
         self.mistake = Some(mistake);
@@ -229,7 +231,9 @@
         self.mistake == Some(mistake)
     }
 
-    pub(crate) const fn belief(&self) -> u8 {
+    /// The time from a lease request for which the candidate may act as holder.
+    /// It is shorter than the grants by the clock skew.
+    pub(crate) const fn holder_lease(&self) -> u8 {
         self.bounds.lease - self.bounds.skew
     }
 
@@ -242,36 +246,37 @@
     }
 }
 
-/// A step of the homes, of the network or of the world around them.
+/// A step of the homes, the network or their environment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HomeAction {
     /// Every timer counts down.
     Tick,
-    /// A process dies and forgets everything.
+    /// A process crashes and forgets everything.
     Crash(ProcessIndex),
-    /// A process starts anew and mutes its vote.
+    /// A process starts again and grants nothing for a while.
     Restart(ProcessIndex),
-    /// A candidate asks all voters for the lease.
+    /// A candidate requests the lease from all voters.
     Ask(ProcessIndex),
-    /// A voter grants what the candidate asks, and the answer arrives.
+    /// A voter grants the lease to the candidate, and the answer arrives.
     Grant(ProcessIndex, ProcessIndex),
-    /// A voter grants an ask of an earlier round that was doubled or late.
+    /// A voter grants a duplicated or late lease request of an earlier round.
     LateGrant(ProcessIndex, ProcessIndex),
-    /// A candidate counts the grants of its round and begins to hold.
+    /// A candidate has the grants of a majority in its round and begins or renews
+    /// its lease.
     Acquire(ProcessIndex),
     /// A holder stops serving, to hand over to another host.
     Freeze(ProcessIndex, ProcessIndex),
-    /// The successor receives what only the holder knows.
+    /// The successor receives the records of the holder.
     CopyRecords(ProcessIndex),
-    /// The holder gives up its lease and tells the voters.
+    /// The holder gives up its lease and notifies the voters.
     GiveUp(ProcessIndex),
-    /// The holder breaks the hand-over off and goes on serving.
+    /// The holder aborts the hand-over and continues to serve.
     Unfreeze(ProcessIndex),
-    /// The successor hears that the holder gave up.
+    /// The successor receives the message that the holder gave up its lease.
     Commit(ProcessIndex),
-    /// A voter hears that a holder has handed over.
+    /// A voter receives the message that a holder has handed over.
     Transfer(ProcessIndex),
-    /// The caller sends the request, with the deadline so many ticks ahead.
+    /// The caller sends the request, with the deadline this many ticks ahead.
     Send(u8),
     /// A copy of the request arrives and is sent to the server.
     Dispatch(ProcessIndex),
@@ -287,9 +292,9 @@
     Begin(u8),
     /// The server sheds what was dispatched.
     Shed(u8),
-    /// A host hears that an attempt was shed, and refuses the request.
+    /// A host learns that an attempt was shed, and refuses the request.
     RefuseShed(ProcessIndex, u8),
-    /// A host hears that an attempt was shed, and sends the request again.
+    /// A host learns that an attempt was shed, and sends the request again.
     Retry(ProcessIndex, u8),
 }
 
@@ -299,7 +304,7 @@
     }
 }
 
-/// Collects the steps that lead on from one state.
+/// Collects the steps that are possible in one state.
 pub(crate) struct StepSink<'s> {
     pub(crate) steps: &'s mut Vec<(HomeAction, HomeState)>,
 }
@@ -323,7 +328,7 @@
         let begun = steps.len();
         let mut sink = StepSink { steps };
         self.push_time(state, &mut sink);
-        self.push_lives(state, &mut sink);
+        self.push_process_steps(state, &mut sink);
         self.push_leases(state, &mut sink);
         self.push_hand_overs(state, &mut sink);
         if self.bounds.lifetime > 0 {
@@ -357,9 +362,9 @@
         has_home || excused
     }
 
-    /// Crashed processes stay away, and nothing that the network or the server
-    /// does wrong may help.
-    fn helps(&self, _property: HomeProperty, action: HomeAction) -> bool {
+    /// Excludes restarts, because a crashed process may stay down, and faults of the
+    /// network or the server.
+    fn may_rely_on(&self, _property: HomeProperty, action: HomeAction) -> bool {
         !matches!(
             action,
             HomeAction::Crash(_)
--- a/crates/cardamomwinch_model/src/homes/requests.rs
+++ b/crates/cardamomwinch_model/src/homes/requests.rs
@@ -1,11 +1,11 @@
-//! What a home, the network and the server do with the request.
+//! The steps of the request at a home, in the network and at the server.
 
 use crate::homes::state::{DispatchState, HomeState, RequestPhase, RequestRecord};
 use crate::homes::{
     HomeAction, HomeMistake, HomeProperty, HomeSpecification, ProcessIndex, StepSink,
 };
 
-/// The attempt that is made where none was shed.
+/// The attempt that is made if none was shed.
 const FIRST_ATTEMPT: u8 = 0;
 /// The last attempt that is made.
 const LAST_ATTEMPT: u8 = 1;
@@ -17,18 +17,19 @@
     Dispatch,
     /// Remember it until a slot is free.
     Queue,
-    /// Remember that it is refused, and say "not run".
+    /// Remember that it is refused, and answer "not run".
     Refuse,
-    /// Say that the outcome is not known, and remember nothing.
+    /// Answer that the outcome is not known, and remember nothing.
     OutcomeUnknown,
-    /// Say what is remembered, or wait for the answer that is under way.
+    /// Answer with what is remembered, or wait for the answer that is under way.
     Repeat,
-    /// Say nothing, since the deadline has passed and nobody waits.
+    /// Send nothing, because the deadline has passed and the caller no longer
+    /// waits.
     Late,
 }
 
 /// What a home knows when a copy of a request that must not run twice arrives.
-/// This is the whole of what the rule depends on.
+/// The rule for copies depends on nothing else.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CopyFacts {
     /// Whether the request is remembered.
@@ -37,12 +38,13 @@
     pub past_deadline: bool,
     /// Whether the deadline is further away than is allowed.
     pub far_deadline: bool,
-    /// Whether an earlier home may have been sent the request.
+    /// Whether an earlier home may have received the request.
     pub may_be_known_elsewhere: bool,
 }
 
 impl CopyFacts {
-    /// What a home may do; which of it depends on the load of the server.
+    /// Returns the outcomes that a home may choose from, depending on the load of
+    /// the server.
     pub const fn outcomes(self) -> &'static [CopyOutcome] {
         if self.remembered {
             return &[CopyOutcome::Repeat];
@@ -50,8 +52,8 @@
         if self.past_deadline {
             return &[CopyOutcome::Late];
         }
-        // "Not run" would not hold: once the deadline is near enough, a home
-        // that has not heard of the refusal may run a late copy.
+        // "Not run" could become false: once the deadline is near enough, a home
+        // that does not know of the refusal may run a late copy.
         if self.far_deadline || self.may_be_known_elsewhere {
             return &[CopyOutcome::OutcomeUnknown];
         }
@@ -72,7 +74,7 @@
             if let RequestPhase::Open(deadline) = state.phase {
                 self.push_copy_arrival(state, host, deadline, sink);
                 self.push_start_queued(state, host, deadline, sink);
-                self.push_shed_news(state, host, deadline, sink);
+                self.push_shed_reply(state, host, deadline, sink);
             }
         }
         self.push_server(state, sink);
@@ -101,8 +103,8 @@
         sink: &mut StepSink<'_>,
     ) {
         let home = state.host(host);
-        let overslept = home.believes && home.frozen_for.is_none();
-        if !home.serves() && !overslept {
+        let missed_expiry = home.believes && home.frozen_for.is_none();
+        if !home.serves() && !missed_expiry {
             if self.makes(HomeMistake::RefusedElsewhere) {
                 sink.push(HomeAction::Refuse(host), refuse_without_record(state));
             }
@@ -148,7 +150,7 @@
                 }
                 sink.push(HomeAction::Refuse(host), next);
             }
-            // Neither changes what anybody knows.
+            // These change no state.
             CopyOutcome::OutcomeUnknown | CopyOutcome::Repeat | CopyOutcome::Late => {}
         }
     }
@@ -180,8 +182,8 @@
         }
     }
 
-    /// The state after `host` has sent the request to the server. `None` where
-    /// more datagrams are under way than are searched.
+    /// Returns the state after `host` has sent the request to the server, or `None`
+    /// if the maximum number of datagrams is under way already.
     fn dispatched(
         &self,
         state: &HomeState,
@@ -197,8 +199,8 @@
             deadline.min(lease)
         };
         let mut next = state.clone();
-        let place = next.dispatches.iter_mut().find(|place| place.is_none())?;
-        *place = Some(DispatchState {
+        let slot = next.dispatches.iter_mut().find(|slot| slot.is_none())?;
+        *slot = Some(DispatchState {
             sender: Some(host),
             attempt,
             remaining: start_before + self.bounds.skew,
@@ -225,24 +227,24 @@
         }
     }
 
-    /// The server begins or sheds what is under way to it. A datagram that is
-    /// lost is one that the server does neither with.
+    /// The server begins or sheds what is under way to it. A lost datagram is one
+    /// that it neither begins nor sheds.
     fn push_server(&self, state: &HomeState, sink: &mut StepSink<'_>) {
-        for (index, place) in state.dispatches.iter().enumerate() {
-            let Some(dispatch) = place else {
+        for (index, slot) in state.dispatches.iter().enumerate() {
+            let Some(dispatch) = slot else {
                 continue;
             };
-            let mut taken = state.clone();
-            taken.dispatches[index] = None;
-            taken.dispatches.sort_unstable();
+            let mut received = state.clone();
+            received.dispatches[index] = None;
+            received.dispatches.sort_unstable();
             if self.bounds.sheds {
-                let mut next = taken.clone();
+                let mut next = received.clone();
                 next.shed |= 1 << dispatch.attempt;
                 sink.push(HomeAction::Shed(index as u8), next);
             }
-            let mut next = taken;
+            let mut next = received;
             next.runs = (next.runs + 1).min(2);
-            next.judge_outcome();
+            next.check_outcome();
             if self.decided_by_another(state, dispatch.sender) {
                 next.fail(HomeProperty::OneDispatcher);
             }
@@ -250,9 +252,9 @@
         }
     }
 
-    /// Whether a home decides about the server without knowing of the run. A
-    /// home that a hand-over was not meant for may, until what the former home
-    /// has sent can begin no more.
+    /// Returns whether another home decides about the server without knowing of the
+    /// run. After a hand-over, a home other than the intended successor may do so
+    /// until nothing that the former home has sent can begin any more.
     fn decided_by_another(&self, state: &HomeState, sender: Option<ProcessIndex>) -> bool {
         let mut others = self.candidates().filter(|host| Some(*host) != sender);
         let open = matches!(state.phase, RequestPhase::Open(_));
@@ -263,7 +265,7 @@
             })
     }
 
-    fn push_shed_news(
+    fn push_shed_reply(
         &self,
         state: &HomeState,
         host: ProcessIndex,
@@ -294,10 +296,10 @@
     }
 }
 
-/// The state after the caller was told "not run".
+/// Returns the state after the caller has received "not run".
 fn refuse_without_record(state: &HomeState) -> HomeState {
     let mut next = state.clone();
     next.told_not_run = true;
-    next.judge_outcome();
+    next.check_outcome();
     next
 }
--- a/crates/cardamomwinch_model/src/homes/state.rs
+++ b/crates/cardamomwinch_model/src/homes/state.rs
@@ -1,5 +1,5 @@
-//! The state of the specification of homes: timers in ticks, no history but
-//! what the properties need.
+//! The state of the specification of homes. Timers are in ticks, and only as much
+//! history is kept as the properties need.
 
 use crate::homes::{HomeBounds, HomeProperty, ProcessIndex, VOTER_COUNT};
 
@@ -9,16 +9,17 @@
 /// What a voter remembers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoterState {
-    /// Whom the last grant is for; kept only while the grant runs.
+    /// The host of the last grant, while the grant runs.
     pub holder: Option<ProcessIndex>,
-    /// Whether that host has died since, so that its present life may not use
-    /// the grant.
+    /// Whether that host has crashed since, so that its present incarnation may
+    /// not use the grant.
     pub of_earlier_life: bool,
     /// How long the grant still runs.
     pub remaining: u8,
-    /// How long the voter still gives no grant after its start.
+    /// How long the voter, after its start, still gives no grant.
     pub mute: u8,
-    /// Under way to the voter: the holder has handed over to this host.
+    /// The successor in a message under way to the voter that says that the
+    /// holder has handed over.
     pub transfer: Option<ProcessIndex>,
 }
 
@@ -30,14 +31,14 @@
     Absent,
     /// It waits for a slot.
     Queued,
-    /// It was dispatched, at this attempt; it may have been answered since.
+    /// It was dispatched in this attempt, and may have been answered since.
     Running(u8),
     /// It was refused.
     Refused,
 }
 
 impl RequestRecord {
-    /// The record that has got further, of two of the same request.
+    /// Returns the more advanced of two records of the same request.
     pub(crate) fn merged_with(self, other: Self) -> Self {
         let progress = |record: Self| match record {
             Self::Absent => 0,
@@ -55,29 +56,29 @@
 /// What a successor has received from the host that has handed over.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Inheritance {
-    /// How long it may still be used; zero where there is nothing.
+    /// How long it may still be used. Zero if nothing was received.
     pub remaining: u8,
-    /// Whether the word that the predecessor gave up has come, or is still
-    /// under way.
+    /// Whether the message that the predecessor gave up its lease has arrived. If
+    /// not, it is still under way.
     pub committed: bool,
-    /// What the predecessor remembers, until the word has come.
+    /// What the predecessor remembers, until that message arrives.
     pub record: RequestRecord,
-    /// Whether the predecessor may not know all that happened.
+    /// Whether a host before the predecessor may have received the request.
     pub may_be_known_elsewhere: bool,
 }
 
-/// What a host knows in its role of holder, or of one that wants to be.
+/// What a host knows as the holder of the lease, or as a candidate for it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CandidateState {
-    /// How long the host still believes to hold the lease.
+    /// How long the host may still act as holder by its own clock.
     pub lease: u8,
-    /// How long a lease from the present round of asking would last.
+    /// How long a lease from the present round of lease requests would last.
     pub round: u8,
     /// The voters that granted the present round, one bit each.
     pub granted: u8,
     /// The successor, while a hand-over is under way.
     pub frozen_for: Option<ProcessIndex>,
-    /// What the successor has put by, once it has.
+    /// The record that the successor has buffered, if it has done so.
     pub copied: Option<RequestRecord>,
     /// What was received from a predecessor.
     pub inheritance: Inheritance,
@@ -85,8 +86,8 @@
     pub record: RequestRecord,
     /// Whether the request may have been sent before the records begin.
     pub may_be_known_elsewhere: bool,
-    /// Only with a mistake: the host takes itself for home without a look at
-    /// the clock.
+    /// Whether the host acts as home without reading the clock, which happens
+    /// only with a mistake.
     pub believes: bool,
 }
 
@@ -100,49 +101,51 @@
 /// A request on its way to the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DispatchState {
-    /// The home that sent it; none where that life has ended, or where it has
-    /// handed over since.
+    /// The home that sent it, unless it has crashed or handed over since.
     pub sender: Option<ProcessIndex>,
-    /// The attempt that it makes.
+    /// The number of the attempt.
     pub attempt: u8,
-    /// How long the server may still begin it, its clock being late.
+    /// How long the server may still begin it if its clock is late.
     pub remaining: u8,
 }
 
-/// Where the request stands in the eyes of its caller.
+/// The state of the request from the view of its caller.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestPhase {
     /// Not sent yet.
     #[default]
     Unsent,
-    /// Sent; copies may arrive anywhere until the deadline, in so many ticks.
+    /// Sent. Copies may arrive at any host until the deadline, which is this many
+    /// ticks ahead.
     Open(u8),
     /// Its deadline has passed.
     Over,
 }
 
-/// Everything.
+/// The whole state.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HomeState {
     /// Whether each process runs.
     pub up: [bool; VOTER_COUNT],
     /// The votes.
     pub voters: [VoterState; VOTER_COUNT],
-    /// The holder and those that want to be.
+    /// The holder and the candidates.
     pub hosts: [CandidateState; VOTER_COUNT],
     /// The request.
     pub phase: RequestPhase,
     /// Datagrams under way to the server.
     pub dispatches: [Option<DispatchState>; DISPATCH_COUNT],
-    /// Attempts that were shed, one bit each; word of it may arrive any time.
+    /// The attempts that were shed, one bit each. A reply that says so may arrive
+    /// at any time.
     pub shed: u8,
-    /// How often the request ran.
+    /// How often the request ran, at most 2.
     pub runs: u8,
     /// How long a former holder's last grants may still run after a hand-over.
     pub handed_over: u8,
-    /// Whether a hand-over was followed by a home that it was not meant for.
+    /// Whether another host than the intended successor became home after a
+    /// hand-over.
     pub successor_failed: bool,
-    /// Whether the caller was told "not run".
+    /// Whether "not run" was sent to the caller.
     pub told_not_run: bool,
     /// Crashes that may still happen.
     pub crashes: u8,
@@ -153,7 +156,7 @@
 }
 
 impl HomeState {
-    /// Everybody runs, nobody holds.
+    /// Returns the state in which all processes run and no host holds the lease.
     pub(crate) fn initial(bounds: &HomeBounds) -> Self {
         Self {
             up: [true; VOTER_COUNT],
@@ -192,13 +195,14 @@
         self.up[usize::from(process)]
     }
 
-    /// Notes that `property` fails, unless another failed before.
+    /// Records that `property` fails, unless another has failed before.
     pub(crate) fn fail(&mut self, property: HomeProperty) {
         self.breach = self.breach.or(Some(property));
     }
 
-    /// Notes a failure of what the caller was told, if there is one.
-    pub(crate) fn judge_outcome(&mut self) {
+    /// Checks that the request ran at most once, and not at all after "not run" was
+    /// sent to the caller.
+    pub(crate) fn check_outcome(&mut self) {
         if self.runs > 1 {
             self.fail(HomeProperty::RunsOnce);
         }
--- a/crates/cardamomwinch_model/src/lib.rs
+++ b/crates/cardamomwinch_model/src/lib.rs
@@ -1,15 +1,15 @@
 //! A small specification of the core protocol, and an exhaustive search of the
 //! states that it can reach.
 //!
-//! - [`homes`] specifies who is home of a shard and what a home does with a
+//! - [`homes`] specifies which host is home of a shard and how a home handles a
 //!   request that must not run twice.
 //! - [`adoption`] specifies which version a host has in force and where it
 //!   sends the packets of a flow.
-//! - [`search`] visits every reachable state of a specification and says which
-//!   property fails, with a shortest trace.
+//! - [`search`] visits every reachable state of a specification and reports a
+//!   property that fails, with a shortest trace.
 //!
-//! Every rule of a specification can be left out by a mistake, a switch that
-//! shows that the search would notice.
+//! Every rule of a specification can be left out by a switch, called a mistake.
+//! The search must then find a violation, which shows that the rule is needed.
 //!
 //! ```
 //! use cardamomwinch_model::prelude::*;
--- a/crates/cardamomwinch_model/src/search.rs
+++ b/crates/cardamomwinch_model/src/search.rs
@@ -1,8 +1,8 @@
 //! Breadth-first search over all states that a specification can reach.
 //!
-//! Safety properties are judged in each state. A liveness property says that
+//! Safety properties are checked in each state. A liveness property says that
 //! from each reachable state a good state can be reached by steps that are not
-//! faults; it is judged by walking back from all good states.
+//! faults. It is checked by a search backward from all good states.
 
 use std::collections;
 use std::fmt;
@@ -12,32 +12,33 @@
 use pathfinding::directed::bfs;
 use snafu::Snafu;
 
-/// What can be searched.
+/// A transition system with the properties that it must have.
 pub trait Specification {
-    /// One state. It should be small, since all states are held at once.
+    /// One state. It should be small, because all states are kept in memory.
     type State: Clone + Eq + hash::Hash + fmt::Debug;
     /// A step from one state to another.
     type Action: Copy + fmt::Display;
-    /// What must hold.
+    /// A property that must hold.
     type Property: Copy + Eq + fmt::Debug + fmt::Display;
 
-    /// The state that everything begins with.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// Pushes every possible step with the state that it leads to.
+    /// Appends every possible step to `steps`, with the state that it leads to.
     fn push_successors(&self, state: &Self::State, steps: &mut Vec<(Self::Action, Self::State)>);
 
-    /// The safety property that fails in `state`, if any.
+    /// Returns the safety property that fails in `state`, if any.
     fn breach(&self, state: &Self::State) -> Option<Self::Property>;
 
-    /// The liveness properties.
+    /// Returns the liveness properties.
     fn liveness(&self) -> Vec<Self::Property>;
 
-    /// Whether the liveness property is met in `state`.
+    /// Returns whether the liveness property is met in `state`.
     fn is_good(&self, property: Self::Property, state: &Self::State) -> bool;
 
-    /// Whether the liveness property may rely on `action`; it may not on faults.
-    fn helps(&self, property: Self::Property, action: Self::Action) -> bool;
+    /// Returns whether the liveness property may rely on `action`. It may not rely
+    /// on faults.
+    fn may_rely_on(&self, property: Self::Property, action: Self::Action) -> bool;
 }
 
 /// The number of states above which a search gives up.
@@ -57,11 +58,11 @@
     }
 }
 
-/// Why a search came to no verdict.
+/// Why a search has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum SearchError {
-    /// More states can be reached than the limit allows.
+    /// More states than the limit can be reached.
     #[snafu(display("more than {limit} states can be reached"))]
     TooManyStates {
         /// The limit.
@@ -78,7 +79,7 @@
     pub state: String,
 }
 
-/// A property that fails, and a shortest way to where it does.
+/// A property that fails, and a shortest trace to a state in which it fails.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation<P> {
     /// The property.
@@ -100,11 +101,11 @@
 /// What a search found.
 #[derive(Debug, Clone)]
 pub struct SearchReport<P> {
-    /// States visited.
+    /// Number of states visited.
     pub states: usize,
-    /// Steps taken between them.
+    /// Number of steps between them.
     pub transitions: u64,
-    /// The length of the longest of all shortest ways to a state.
+    /// The greatest distance of a state from the initial state, in steps.
     pub depth: u32,
     /// How long the search took.
     pub elapsed: time::Duration,
@@ -125,8 +126,9 @@
     }
 }
 
-/// A visited state with the way that led to it first. Two visits are the same
-/// where their states are, so that the search keeps the first and shortest way.
+/// A visited state and its predecessor on a shortest trace. Visits of equal
+/// states are equal, so that the search keeps only the first one, which has a
+/// shortest trace.
 #[derive(Debug, Clone)]
 struct StateVisit<S> {
     state: S,
@@ -148,10 +150,10 @@
     }
 }
 
-/// Visits every state that `specification` can reach and judges its properties.
+/// Visits every state that `specification` can reach and checks its properties.
 ///
 /// # Errors
-/// Fails where more states can be reached than `limit` allows.
+/// Fails if more states than `limit` can be reached.
 pub fn explore<S: Specification>(
     specification: &S,
     limit: StateLimit,
@@ -234,14 +236,15 @@
     trace
 }
 
-/// A step that a liveness property may rely on, found from its end.
+/// A step that a liveness property may rely on, indexed by the state it leads
+/// to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BackwardEdge {
     to: u32,
     from: u32,
 }
 
-/// The first state from which some liveness property can never be met.
+/// Returns the first state from which some liveness property can never be met.
 fn find_stuck<S: Specification>(
     specification: &S,
     visits: &[StateVisit<S::State>],
@@ -250,7 +253,7 @@
     if properties.is_empty() {
         return None;
     }
-    // A hash map, since each transition is looked up once and there are millions.
+    // A hash map, because each of millions of transitions is looked up.
     let numbers: collections::HashMap<&S::State, u32> = visits
         .iter()
         .enumerate()
@@ -272,17 +275,17 @@
     let mut edges = Vec::new();
     let mut steps = Vec::new();
     for (from, visit) in visits.iter().enumerate() {
-        // A good state needs no way on.
+        // The property is already met in a good state.
         if specification.is_good(property, &visit.state) {
             continue;
         }
         steps.clear();
         specification.push_successors(&visit.state, &mut steps);
         let from = from as u32;
-        let helping = steps
+        let usable = steps
             .iter()
-            .filter(|(action, _)| specification.helps(property, *action));
-        edges.extend(helping.map(|(_, state)| BackwardEdge {
+            .filter(|(action, _)| specification.may_rely_on(property, *action));
+        edges.extend(usable.map(|(_, state)| BackwardEdge {
             to: numbers[state],
             from,
         }));
--- a/crates/cardamomwinch_model/tests/adoption.rs
+++ b/crates/cardamomwinch_model/tests/adoption.rs
@@ -1,5 +1,5 @@
-//! The specification of adoption and routing holds, and every rule of it is
-//! needed.
+//! All properties of the specification of adoption and routing hold, and each of
+//! its rules is needed.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use cardamomwinch_model::prelude::*;
@@ -30,10 +30,11 @@
     }
 }
 
-/// What the hosts alone cannot promise: an address is reused, a host restarts,
-/// and the platform has gone back. The host adopts the earlier version, has
-/// nobody to correct it, and sends a new flow to the address. Only the server,
-/// which refuses a service that is not its own, can stop that.
+/// The hosts alone cannot prevent this failure: an address is reused, the
+/// platform goes back to an earlier version, and a host restarts. The host
+/// adopts the earlier version, no other host corrects it, and it sends a new
+/// flow to the address. Only the server can stop that, by refusing a service
+/// that is not its own.
 #[test]
 fn servers_must_refuse_where_the_platform_goes_back() {
     let bounds = AdoptionBounds {
--- a/crates/cardamomwinch_model/tests/conformance_faults.rs
+++ b/crates/cardamomwinch_model/tests/conformance_faults.rs
@@ -1,5 +1,5 @@
-//! Where the traffic engine departed from the specification when they were
-//! first compared. Each test is the shortest trace to the departure.
+//! Tests of cases in which the traffic engine once violated the specification.
+//! Each test is the shortest trace to the violation.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -22,9 +22,9 @@
     slots: 100,
     connections: 100,
 };
-/// Ticks after which every record has been looked at.
+/// Number of ticks that sweep all records.
 const SWEEPS: usize = 8;
-const MOMENT: time::Duration = time::Duration::from_millis(10);
+const SHORT_TIME: time::Duration = time::Duration::from_millis(10);
 
 fn submission(world: &SmallWorld, id: u64, lifetime: time::Duration) -> RequestHeader {
     RequestHeader {
@@ -42,10 +42,11 @@
     CallerDatagram::carry(support::flow(number), None, b"submission").with_request(header)
 }
 
-/// A caller whose deadline is too far away is told that its submission was not
-/// run. The home dies, and the fabric hands a late copy to the next home, which
-/// knows of no refusal and finds the deadline near enough by now: it runs.
-/// Cause: the refusal is remembered by one host, but said for good.
+/// Guards against a "not run" answer that becomes false. A caller whose deadline
+/// is too far away gets the answer that its submission was not run. The home
+/// crashes, and the fabric sends a late copy to the next home, which does not
+/// know of the refusal. The deadline is now near enough, so the copy runs.
+/// Cause: the answer is final, but only one host remembers the refusal.
 /// Mistake `FarDeadlineRefused` of the specification.
 #[test]
 fn far_deadline_is_not_answered_with_not_run() {
@@ -66,18 +67,22 @@
     if under_way > 0 {
         world.begin(0).unwrap();
     }
-    let fate = world.fates[&header.id];
-    assert!(!fate.told_not_run || fate.runs == 0, "{fate:?}");
+    let outcome = world.outcomes[&header.id];
+    assert!(
+        !outcome.received_not_run || outcome.runs == 0,
+        "{outcome:?}"
+    );
     assert!(first.shows(CopyOutcome::OutcomeUnknown), "{first:?}");
 }
 
-/// A submission that opens its flow runs, and its home dies. The next home has
-/// no room for the flow and tells the caller that the submission was not run.
-/// Cause: an opening is refused for want of room before it is asked whether an
-/// earlier home may have run what it carries.
+/// Guards against a false "not run" answer. A submission that opens its flow
+/// runs, and its home crashes. The next home has no room for the flow and answers
+/// that the submission was not run.
+/// Cause: an opening is refused because there is no room before the home checks
+/// whether an earlier home may have run the request in it.
 /// Mistake `RefusedBeforeRecordsSince` of the specification.
 #[test]
-fn full_server_does_not_deny_what_an_earlier_home_ran() {
+fn full_server_does_not_refuse_what_an_earlier_home_ran() {
     let mut world = SmallWorld::new(WorldLayout {
         slots: 100,
         connections: 1,
@@ -91,16 +96,20 @@
     assert!(world.grant(SECOND));
     world.copy(SECOND, CallerDatagram::open(support::flow(2), b"hello"));
     let seen = world.copy(SECOND, opening(1, header));
-    let fate = world.fates[&header.id];
-    assert!(!fate.told_not_run || fate.runs == 0, "{fate:?}");
+    let outcome = world.outcomes[&header.id];
+    assert!(
+        !outcome.received_not_run || outcome.runs == 0,
+        "{outcome:?}"
+    );
     assert!(seen.shows(CopyOutcome::OutcomeUnknown), "{seen:?}");
 }
 
-/// A home with one submission running and one waiting loses touch with its
-/// voters, and its lease runs out. The running one is answered, and the host
-/// sends the waiting one to a server that another host may decide about by now.
-/// Cause: the queue is served without a look at the lease, and without a lease
-/// the server may begin the request until its deadline.
+/// Guards against sending a waiting request without a lease. A home with one
+/// running and one waiting submission cannot reach its voters, and its lease
+/// expires. The running one is answered, and the host sends the waiting one to a
+/// server about which another host may already decide.
+/// Cause: the lease is not checked before a waiting request is sent, and without
+/// a lease the server may begin the request until its deadline.
 /// Mistake `QueueIgnoresLease` of the specification.
 #[test]
 fn waiting_request_is_not_sent_without_a_lease() {
@@ -132,28 +141,33 @@
     );
 }
 
-/// The view of a home that has adopted a version in which the address of the
-/// server `gone` belongs to another service, and another server takes its place.
-fn after_reassignment(world: &SmallWorld, gone: &BackendEntry) -> RoutingSnapshot {
+/// Returns the snapshot of a home that has adopted a version in which the address
+/// of the server `removed` belongs to another service, and another server replaces
+/// it.
+fn after_reassignment(world: &SmallWorld, removed: &BackendEntry) -> RoutingSnapshot {
     let other = ServiceId::from_name("benchmark-desk");
     let spare_address: net::SocketAddr = "127.0.0.1:9101".parse().unwrap();
     let spare = BackendEntry {
         id: BackendId::from_role(support::service(), "two", spare_address),
         address: spare_address,
-        ..gone.clone()
+        ..removed.clone()
     };
     let configuration = support::configuration(vec![spare]);
-    let addresses = [(gone.address, other), (spare_address, support::service())];
+    let addresses = [
+        (removed.address, other),
+        (spare_address, support::service()),
+    ];
     RoutingSnapshot {
         generations: vec![sync::Arc::new(LookupTables::derive(&configuration, None))],
         configuration: sync::Arc::new(configuration),
-        retained: [(gone.id, gone.clone())].into_iter().collect(),
+        retained: [(removed.id, removed.clone())].into_iter().collect(),
         server_addresses: sync::Arc::new(addresses.into_iter().collect()),
         ..world.snapshot(FIRST)
     }
 }
 
-/// Where `engine` sends datagrams when it handles `event`.
+/// Returns the addresses to which `engine` sends datagrams when it handles
+/// `event`.
 fn addresses_reached(
     engine: &mut TrafficEngine,
     now: Timestamp,
@@ -170,10 +184,11 @@
     reached
 }
 
-/// A server's address is given to another service while a flow without a token
-/// is open on it. A host that has not adopted the change yet relays a request
-/// of the flow, with the server that it has pinned, to the home, which has. The
-/// home sends it to the address, where the other service takes it.
+/// Guards against a request that reaches another service. A server's address is
+/// given to another service while a flow without a token is open on it. A host
+/// that has not adopted the change yet relays a request of the flow, with the
+/// server that it has pinned, to the home, which has adopted it. The home sends
+/// the request to the address, where the other service receives it.
 /// Cause: the server that a relaying host names is looked up among the servers
 /// of earlier versions, and its address is not compared with those in force.
 /// Mistake `RelayedServerUnguarded` of the specification.
@@ -181,14 +196,14 @@
 fn relayed_decision_does_not_reach_a_reassigned_address() {
     let mut world = SmallWorld::new(ROOMY);
     assert!(world.grant(FIRST));
-    let gone = support::server(ROOMY);
-    let snapshot = after_reassignment(&world, &gone);
+    let removed = support::server(ROOMY);
+    let snapshot = after_reassignment(&world, &removed);
     let header = submission(&world, 1, world.limits.request_lifetime);
     let frame = RelayFrame::Caller {
         datagram: CallerDatagram::carry(support::flow(1), None, b"submission").with_request(header),
-        decided: Some(TokenClaim::from(&gone)),
+        decided: Some(TokenClaim::from(&removed)),
         search: None,
-        shard: gone.shard(1),
+        shard: removed.shard(1),
         hops: 1,
     };
     let event = TrafficEvent::Relay(RelayEnvelope {
@@ -197,28 +212,29 @@
         frame,
     });
     let mut engine = support::engine(world.host(FIRST), 1);
-    let reached = addresses_reached(&mut engine, world.now.after(MOMENT), &snapshot, event);
+    let reached = addresses_reached(&mut engine, world.now.after(SHORT_TIME), &snapshot, event);
     assert!(
-        !reached.contains(&gone.address),
+        !reached.contains(&removed.address),
         "sent to the other service"
     );
 }
 
-/// A submission waits for a slot while the address of its server is given to
-/// another service. The one before it is answered, and the waiting one is sent
-/// to the address, where the other service takes it.
-/// Cause: a waiting request is sent without a look at the addresses in force.
+/// Guards against a request that reaches another service. A submission waits for
+/// a slot while the address of its server is given to another service. The one
+/// before it is answered, and the waiting one is sent to the address, where the
+/// other service receives it.
+/// Cause: the addresses in force are not checked before a waiting request is sent.
 #[test]
 fn waiting_request_does_not_reach_a_reassigned_address() {
     let layout = WorldLayout {
         slots: 1,
         connections: 100,
     };
-    let (world, mut engine, gone) = with_one_running_and_one_waiting(layout);
-    let snapshot = after_reassignment(&world, &gone);
+    let (world, mut engine, removed) = with_one_running_and_one_waiting(layout);
+    let snapshot = after_reassignment(&world, &removed);
     let reply = BackendReply {
         flow: support::flow(1),
-        backend: gone.id,
+        backend: removed.id,
         via: world.host(FIRST),
         kind: BackendReplyKind::Answer {
             request: RequestId::new(1),
@@ -228,32 +244,33 @@
         },
     };
     let event = TrafficEvent::Fabric(FabricDatagram::Backend(reply));
-    let reached = addresses_reached(&mut engine, world.now.after(MOMENT), &snapshot, event);
+    let reached = addresses_reached(&mut engine, world.now.after(SHORT_TIME), &snapshot, event);
     assert!(
-        !reached.contains(&gone.address),
+        !reached.contains(&removed.address),
         "sent to the other service"
     );
 }
 
-/// A submission runs while the address of its server is given to another
-/// service. Its deadline passes, and the cancellation is sent to the address,
-/// where the other service takes it.
-/// Cause: a cancellation is sent without a look at the addresses in force.
+/// Guards against a cancellation that reaches another service. A submission runs
+/// while the address of its server is given to another service. Its deadline
+/// passes, and the cancellation is sent to the address, where the other service
+/// receives it.
+/// Cause: the addresses in force are not checked before a cancellation is sent.
 #[test]
 fn cancellation_does_not_reach_a_reassigned_address() {
-    let (world, mut engine, gone) = with_one_running_and_one_waiting(ROOMY);
-    let snapshot = after_reassignment(&world, &gone);
+    let (world, mut engine, removed) = with_one_running_and_one_waiting(ROOMY);
+    let snapshot = after_reassignment(&world, &removed);
     let after = world.now.after(world.limits.request_lifetime * 2);
     for _ in 0..SWEEPS {
         let reached = addresses_reached(&mut engine, after, &snapshot, TrafficEvent::Tick);
         assert!(
-            !reached.contains(&gone.address),
+            !reached.contains(&removed.address),
             "sent to the other service"
         );
     }
 }
 
-/// An engine that is home, and has taken two submissions.
+/// Returns an engine that is home and has accepted two submissions.
 fn with_one_running_and_one_waiting(
     layout: WorldLayout,
 ) -> (SmallWorld, TrafficEngine, BackendEntry) {
--- a/crates/cardamomwinch_model/tests/conformance_homes.rs
+++ b/crates/cardamomwinch_model/tests/conformance_homes.rs
@@ -1,4 +1,5 @@
-//! Voters and successors of the product do as the specification of homes says.
+//! The product's voters and successors behave as the specification of homes
+//! requires.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::collections;
@@ -22,7 +23,7 @@
 
 const CASES: u32 = 2_000;
 const BEGIN: Timestamp = Timestamp::new(1_000_000_000_000);
-/// Hosts that ask the voter.
+/// Number of hosts that request leases from the voter.
 const CANDIDATES: usize = 3;
 const HOSTS: [&str; 3] = ["bud-angyal-1", "bud-angyal-2", "bud-angyal-3"];
 
@@ -65,7 +66,7 @@
     [0].into_iter().collect()
 }
 
-fn world<'w>(
+fn context<'w>(
     own: usize,
     limits: &'w ConfigurationLimits,
     hosts: &'w HostTable,
@@ -91,7 +92,7 @@
     Restart(usize),
     Request(usize),
     LateRequest(usize, u32),
-    /// Of a host, to a successor.
+    /// A host releases its grant to a successor.
     Release(usize, usize),
     LateRelease(usize, usize, u32),
 }
@@ -111,27 +112,28 @@
     prop::collection::vec(step, 1..60)
 }
 
-/// What the specification says that a voter remembers.
+/// The grant that a voter remembers according to the specification.
 #[derive(Debug, Clone, Copy)]
 struct MirroredGrant {
     holder: CandidateLife,
     until: Timestamp,
     round: LeaseRound,
-    /// By a release, and not granted the shard yet.
+    /// Whether a release named the holder as successor, and the voter has not
+    /// granted it the shard yet.
     is_named: bool,
 }
 
-/// A voter beside what the specification says of it.
+/// A voter, and its state according to the specification.
 struct VoterReplay {
     voter: VoterTable,
     now: Timestamp,
     muted_until: Timestamp,
     grant: Option<MirroredGrant>,
-    lives: [u64; CANDIDATES],
+    incarnations: [u64; CANDIDATES],
     rounds: collections::BTreeMap<(usize, u64), u32>,
     granted: usize,
     refused: usize,
-    /// Grants to a successor that was named, while the old grant ran.
+    /// Number of grants to a named successor while the old grant ran.
     passed_on: usize,
 }
 
@@ -146,7 +148,7 @@
             now: BEGIN,
             muted_until,
             grant: None,
-            lives: [1; CANDIDATES],
+            incarnations: [1; CANDIDATES],
             rounds: collections::BTreeMap::new(),
             granted: 0,
             refused: 0,
@@ -154,13 +156,17 @@
         }
     }
 
-    fn life(&self, index: usize) -> CandidateLife {
-        CandidateLife::new(host(index), Incarnation::new(self.lives[index]))
+    fn candidate(&self, index: usize) -> CandidateLife {
+        CandidateLife::new(host(index), Incarnation::new(self.incarnations[index]))
     }
 
-    /// The next round of a host, or one that is not above the last it sent.
+    /// Returns the next round of a host, or with `back` the round that is so many
+    /// before its last one.
     fn round(&mut self, index: usize, back: Option<u32>) -> Option<LeaseRound> {
-        let last = self.rounds.entry((index, self.lives[index])).or_insert(0);
+        let last = self
+            .rounds
+            .entry((index, self.incarnations[index]))
+            .or_insert(0);
         match back {
             None => *last += 1,
             Some(back) if *last <= back => return None,
@@ -169,15 +175,15 @@
         Some(LeaseRound(*last - back.unwrap_or(0)))
     }
 
-    fn take(&mut self, world: &HomeWorld<'_>, step: VoterStep) -> Result<(), TestCaseError> {
+    fn apply(&mut self, context: &HomeWorld<'_>, step: VoterStep) -> Result<(), TestCaseError> {
         match step {
             VoterStep::Advance(by) => self.now = self.now.after(time::Duration::from_millis(by)),
-            VoterStep::Restart(index) => self.lives[index] += 1,
-            VoterStep::Request(index) => self.request(world, index, None)?,
-            VoterStep::LateRequest(index, back) => self.request(world, index, Some(back))?,
-            VoterStep::Release(index, to) => self.release(world, index, to, None),
+            VoterStep::Restart(index) => self.incarnations[index] += 1,
+            VoterStep::Request(index) => self.request(context, index, None)?,
+            VoterStep::LateRequest(index, back) => self.request(context, index, Some(back))?,
+            VoterStep::Release(index, to) => self.release(context, index, to, None),
             VoterStep::LateRelease(index, to, back) => {
-                self.release(world, index, to, Some(back));
+                self.release(context, index, to, Some(back));
             }
         }
         Ok(())
@@ -185,11 +191,11 @@
 
     fn request(
         &mut self,
-        world: &HomeWorld<'_>,
+        context: &HomeWorld<'_>,
         index: usize,
         back: Option<u32>,
     ) -> Result<(), TestCaseError> {
-        let candidate = self.life(index);
+        let candidate = self.candidate(index);
         let Some(round) = self.round(index, back) else {
             return Ok(());
         };
@@ -198,29 +204,29 @@
             muted: self.now < self.muted_until,
             running: match running {
                 None => RunningGrant::Nobody,
-                Some(grant) if grant.holder == candidate => RunningGrant::SameLife,
+                Some(grant) if grant.holder == candidate => RunningGrant::SameIncarnation,
                 Some(_) => RunningGrant::Another,
             },
         };
         let request = LeaseRequest {
             round,
-            lease_millis: world.limits.home_lease.as_millis() as u32,
-            host_list: world.hosts.version,
+            lease_millis: context.limits.home_lease.as_millis() as u32,
+            host_list: context.hosts.version,
             shard_count: 1,
             stopping: false,
             wanted: only_shard(),
             held: ShardSet::default(),
             unsettled: ShardSet::default(),
         };
-        let answer = self.voter.decide(self.now, world, candidate, &request);
+        let answer = self.voter.decide(self.now, context, candidate, &request);
         let granted = answer.is_some_and(|answer| answer.granted.contains(0));
         prop_assert!(!granted || facts.may_grant(), "granted against {:?}", facts);
-        // A voter need not grant an ask that is late.
+        // A voter need not grant a late request.
         let must = facts.may_grant() && back.is_none();
         prop_assert!(granted || !must, "refused against {:?}", facts);
         if granted {
             let own = self.grant.filter(|grant| grant.holder == candidate);
-            let until = self.now.after(world.limits.home_lease);
+            let until = self.now.after(context.limits.home_lease);
             self.grant = Some(MirroredGrant {
                 holder: candidate,
                 until: own.map_or(until, |own| own.until.max(until)),
@@ -235,14 +241,14 @@
         Ok(())
     }
 
-    fn release(&mut self, world: &HomeWorld<'_>, index: usize, to: usize, back: Option<u32>) {
-        let candidate = self.life(index);
+    fn release(&mut self, context: &HomeWorld<'_>, index: usize, to: usize, back: Option<u32>) {
+        let candidate = self.candidate(index);
         let Some(round) = self.round(index, back) else {
             return;
         };
         let shards = only_shard();
-        let successor = self.life(to);
-        let known = self.rounds.get(&(to, self.lives[to])).copied();
+        let successor = self.candidate(to);
+        let known = self.rounds.get(&(to, self.incarnations[to])).copied();
         let known = LeaseRound(known.unwrap_or(0));
         let release = LeaseRelease {
             round,
@@ -253,9 +259,9 @@
             },
             shards,
         };
-        self.voter.release(world, candidate, &release);
-        // The word of a hand-over passes on no grant that was given since, and
-        // the shard stays the successor's for as long as the old grant runs.
+        self.voter.release(context, candidate, &release);
+        // The message of a hand-over does not pass on a later grant. The shard is
+        // reserved for the successor until the old grant ends.
         let ended = self
             .grant
             .filter(|grant| grant.holder == candidate && round > grant.round);
@@ -274,7 +280,7 @@
 fn voters_grant_as_specified() {
     let (limits, hosts) = (limits(), hosts());
     let membership = PeerMembership::default();
-    let world = world(2, &limits, &hosts, &membership);
+    let context = context(2, &limits, &hosts, &membership);
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -285,7 +291,7 @@
     let outcome = TestRunner::new_with_rng(config, random).run(&steps(), |steps| {
         let mut replay = VoterReplay::new(&hosts, &limits);
         for step in steps {
-            replay.take(&world, step)?;
+            replay.apply(&context, step)?;
         }
         let (granted, refused, passed_on) = counts.get();
         counts.set((
@@ -303,28 +309,29 @@
     assert!(granted > 1_000 && refused > 1_000 && passed_on > 100);
 }
 
-/// A home hands over, and its successor cannot reach the voters at once. The
-/// home becomes home again, runs a submission, and hands over a second time. Now
-/// the voters answer the successor before the second word of the hand-over
-/// comes: it takes itself to know all that the home knew at the first, and runs
-/// a copy of the submission again.
-/// Cause: what an earlier hand-over left is used although a newer one has begun.
+/// Guards against a submission that runs twice. A home hands over, and its
+/// successor cannot reach the voters at once. The home becomes home again, runs a
+/// submission, and hands over a second time. Now the voters answer the successor
+/// before the commit message of the second hand-over arrives. The successor trusts
+/// the records of the first hand-over and runs a copy of the submission.
+/// Cause: the records of an earlier hand-over are used although a newer one has
+/// begun.
 /// Mistake `EarlierHandOverUsed` of the specification.
 #[test]
 fn newer_hand_over_ends_the_earlier_inheritance() {
-    const MOMENT: time::Duration = time::Duration::from_millis(50);
+    const SHORT_TIME: time::Duration = time::Duration::from_millis(50);
     let (limits, hosts) = (limits(), hosts());
     let membership = PeerMembership::default();
-    let world = world(1, &limits, &hosts, &membership);
+    let context = context(1, &limits, &hosts, &membership);
     let holder = CandidateLife::new(host(0), Incarnation::new(1));
     let mut table = HomeTable::default();
     let mut out = Vec::new();
     let mut now = BEGIN;
     for _ in 0..4 {
-        table.note_event(now, &world);
+        table.note_event(now, &context);
         now = now.after(limits.home_lease);
     }
-    table.note_event(now, &world);
+    table.note_event(now, &context);
     let shard = ShardId {
         domain: domain(),
         index: 0,
@@ -338,19 +345,19 @@
     };
     let first = chunk_of(now);
     let message = HomeMessage::HandOver(first.clone());
-    table.take(now, &world, holder, &message, &mut out);
+    table.take(now, &context, holder, &message, &mut out);
     let message = HomeMessage::Commit(HandOverCommit {
         hand_over: first.hand_over,
         released: now,
         records_since: BEGIN,
     });
-    table.take(now, &world, holder, &message, &mut out);
+    table.take(now, &context, holder, &message, &mut out);
     let report = TakeOverReport {
         hand_over: first.hand_over,
         position: 0,
         records_since: None,
     };
-    table.take_imported(now, &world, report, &mut out);
+    table.take_imported(now, &context, report, &mut out);
     let mut rounds = out.iter().filter_map(|action| match action {
         HomeAction::Send {
             message: HomeMessage::Request(request),
@@ -358,13 +365,15 @@
         } => Some(request.round),
         _ => None,
     });
-    let round = rounds.next_back().expect("the successor asks at once");
+    let round = rounds
+        .next_back()
+        .expect("the successor requests the lease at once");
 
-    now = now.after(MOMENT * 5);
-    table.note_event(now, &world);
+    now = now.after(SHORT_TIME * 5);
+    table.note_event(now, &context);
     let message = HomeMessage::HandOver(chunk_of(now));
-    table.take(now, &world, holder, &message, &mut out);
-    now = now.after(MOMENT);
+    table.take(now, &context, holder, &message, &mut out);
+    now = now.after(SHORT_TIME);
     for voter in [0, 2] {
         let voter = CandidateLife::new(host(voter), Incarnation::new(1));
         let message = HomeMessage::Grant(LeaseGrant {
@@ -373,7 +382,7 @@
             granted: only_shard(),
             earlier: Vec::new(),
         });
-        table.take(now, &world, voter, &message, &mut out);
+        table.take(now, &context, voter, &message, &mut out);
     }
     let lease = table.leases().lease(now, shard);
     let since = lease
--- a/crates/cardamomwinch_model/tests/conformance_requests.rs
+++ b/crates/cardamomwinch_model/tests/conformance_requests.rs
@@ -1,9 +1,9 @@
-//! The traffic engine treats copies of requests as the specification says.
+//! The traffic engine handles copies of requests as the specification requires.
 //!
 //! Random steps are replayed into two engines. Each copy that reaches the home
-//! must show one of the outcomes that the specification allows for what that
-//! home remembers, and the properties of the specification must hold of what
-//! the server ran and what the caller was told.
+//! must have one of the outcomes that the specification allows for what that
+//! home remembers. The properties of the specification must hold for what the
+//! server ran and for what the caller received.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -22,18 +22,18 @@
 
 const CASES: u32 = 2_000;
 const REQUESTS: u16 = 4;
-/// Plenty, so that nothing waits and nothing is refused for want of room.
+/// Enough room, so that no request waits and none is refused.
 const ROOMY: WorldLayout = WorldLayout {
     slots: 100,
     connections: 100,
 };
 
-/// Requests wait.
+/// With one slot, requests wait.
 const ONE_SLOT: WorldLayout = WorldLayout {
     slots: 1,
     connections: 100,
 };
-/// Openings are refused.
+/// With one connection, openings are refused.
 const ONE_CONNECTION: WorldLayout = WorldLayout {
     slots: 100,
     connections: 1,
@@ -57,7 +57,7 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<WorldStep>> {
-    let place = any::<prop::sample::Index>();
+    let index = any::<prop::sample::Index>();
     let host = 0..2_usize;
     let copy = (host.clone(), 0..REQUESTS, any::<bool>());
     let step = prop_oneof![
@@ -65,22 +65,23 @@
         4 => host.clone().prop_map(WorldStep::Grant),
         1 => host.clone().prop_map(WorldStep::Crash),
         8 => copy.prop_map(|(host, request, opens)| WorldStep::Copy { host, request, opens }),
-        3 => place.clone().prop_map(WorldStep::Begin),
-        1 => (place.clone(), host.clone()).prop_map(|(at, host)| WorldStep::Shed(at, host)),
-        1 => place.clone().prop_map(WorldStep::Lose),
-        2 => (place.clone(), host.clone()).prop_map(|(at, host)| WorldStep::Answer(at, host)),
-        1 => (place, host).prop_map(|(at, host)| WorldStep::RepeatShed(at, host)),
+        3 => index.clone().prop_map(WorldStep::Begin),
+        1 => (index.clone(), host.clone()).prop_map(|(at, host)| WorldStep::Shed(at, host)),
+        1 => index.clone().prop_map(WorldStep::Lose),
+        2 => (index.clone(), host.clone()).prop_map(|(at, host)| WorldStep::Answer(at, host)),
+        1 => (index, host).prop_map(|(at, host)| WorldStep::RepeatShed(at, host)),
     ];
     prop::collection::vec(step, 1..60)
 }
 
-/// What the specification says that a host remembers of a request.
-type Memory = collections::BTreeMap<(usize, u16), CopyOutcome>;
+/// What a host remembers of a request according to the specification, by host and
+/// request.
+type RememberedOutcomes = collections::BTreeMap<(usize, u16), CopyOutcome>;
 
 struct Replay {
     world: SmallWorld,
     far_deadlines: bool,
-    memory: Memory,
+    remembered: RememberedOutcomes,
     headers: collections::BTreeMap<u16, RequestHeader>,
     begun: Vec<UnderWay>,
     shed: Vec<UnderWay>,
@@ -92,7 +93,7 @@
         Self {
             world: SmallWorld::new(layout),
             far_deadlines,
-            memory: Memory::new(),
+            remembered: RememberedOutcomes::new(),
             headers: collections::BTreeMap::new(),
             begun: Vec::new(),
             shed: Vec::new(),
@@ -100,9 +101,9 @@
         }
     }
 
-    /// The header of a request, with a deadline from when it is first sent. The
-    /// second request may run twice, the third is sent by a caller whose clock
-    /// is early by the skew, and the last may have a deadline too far away.
+    /// Returns the header of a request, whose deadline is set when it is first
+    /// sent. Request 1 may run twice, request 2 is sent by a caller whose clock is
+    /// ahead by the skew, and the deadline of request 3 may be too far away.
     fn header(&mut self, request: u16) -> RequestHeader {
         let limits = &self.world.limits;
         let beyond = match request {
@@ -118,14 +119,14 @@
         })
     }
 
-    fn take(&mut self, step: WorldStep) -> Result<(), TestCaseError> {
+    fn apply(&mut self, step: WorldStep) -> Result<(), TestCaseError> {
         match step {
             WorldStep::Advance(milliseconds) => {
                 let seen = self
                     .world
                     .advance(time::Duration::from_millis(milliseconds));
-                // A waiting request may be sent, by a home.
-                self.judge_dispatch(&seen)?;
+                // Only a home may send a waiting request.
+                self.check_dispatch(&seen)?;
                 let dispatched = seen.dispatched;
                 let only_dispatched = VisibleOutcome {
                     dispatched,
@@ -138,51 +139,51 @@
             }
             WorldStep::Crash(host) => {
                 self.world.crash(host);
-                self.memory.retain(|(holder, _), _| *holder != host);
+                self.remembered.retain(|(holder, _), _| *holder != host);
             }
             WorldStep::Copy {
                 host,
                 request,
                 opens,
-            } => self.take_copy(host, request, opens)?,
+            } => self.apply_copy(host, request, opens)?,
             WorldStep::Begin(at) => {
-                if let Some(position) = place(&at, self.world.under_way.len()) {
+                if let Some(position) = position_in(&at, self.world.under_way.len()) {
                     self.begun.extend(self.world.begin(position));
                 }
             }
             WorldStep::Lose(at) => {
-                if let Some(position) = place(&at, self.world.under_way.len()) {
+                if let Some(position) = position_in(&at, self.world.under_way.len()) {
                     self.world.under_way.remove(position);
                 }
             }
             WorldStep::Shed(at, host) => {
-                if let Some(position) = place(&at, self.world.under_way.len()) {
-                    let taken = self.world.under_way.remove(position);
-                    self.shed.push(taken);
-                    let seen = self.world.reply(host, &taken, true);
-                    self.judge_dispatch(&seen)?;
+                if let Some(position) = position_in(&at, self.world.under_way.len()) {
+                    let dispatch = self.world.under_way.remove(position);
+                    self.shed.push(dispatch);
+                    let seen = self.world.reply(host, &dispatch, true);
+                    self.check_dispatch(&seen)?;
                 }
             }
             WorldStep::RepeatShed(at, host) => {
-                if let Some(position) = place(&at, self.shed.len()) {
-                    let taken = self.shed[position];
-                    let seen = self.world.reply(host, &taken, true);
-                    self.judge_dispatch(&seen)?;
+                if let Some(position) = position_in(&at, self.shed.len()) {
+                    let dispatch = self.shed[position];
+                    let seen = self.world.reply(host, &dispatch, true);
+                    self.check_dispatch(&seen)?;
                 }
             }
             WorldStep::Answer(at, host) => {
-                if let Some(position) = place(&at, self.begun.len()) {
-                    let taken = self.begun[position];
-                    let seen = self.world.reply(host, &taken, false);
+                if let Some(position) = position_in(&at, self.begun.len()) {
+                    let dispatch = self.begun[position];
+                    let seen = self.world.reply(host, &dispatch, false);
                     prop_assert_eq!(seen.answered, 1);
-                    self.judge_dispatch(&seen)?;
+                    self.check_dispatch(&seen)?;
                 }
             }
         }
-        self.judge()
+        self.check_outcomes()
     }
 
-    fn take_copy(&mut self, host: usize, request: u16, opens: bool) -> Result<(), TestCaseError> {
+    fn apply_copy(&mut self, host: usize, request: u16, opens: bool) -> Result<(), TestCaseError> {
         let header = self.header(request);
         let flow = support::flow(request);
         let datagram = match opens {
@@ -192,7 +193,7 @@
         let home = self.world.home();
         let mut seen = self.world.copy(host, datagram.with_request(header));
         if opens {
-            // An opening reaches the server also where its request does not.
+            // An opening reaches the server even if its request does not.
             seen.forwarded = 0;
         }
         let Some(home) = home else {
@@ -204,12 +205,12 @@
             prop_assert_eq!(seen.dispatched, 0, "only a home dispatches");
             return Ok(());
         };
-        let remembered = self.memory.get(&(home, request)).copied();
+        let remembered = self.remembered.get(&(home, request)).copied();
         let facts = self.world.facts(home, &header, remembered.is_some());
         let mut allowed = facts.outcomes().to_vec();
         if header.idempotent && self.world.predates(home, &header) {
-            // It may run again, but "not run" must not be said of what may have
-            // run at an earlier home.
+            // The request may run again, but "not run" must not be sent if an
+            // earlier home may have run it.
             for outcome in &mut allowed {
                 if *outcome == CopyOutcome::Refuse {
                     *outcome = CopyOutcome::OutcomeUnknown;
@@ -217,7 +218,7 @@
             }
         }
         if remembered.is_some() && facts.past_deadline {
-            // The record may be swept once no copy can be accepted any more.
+            // The record may be dropped once no copy can be accepted any more.
             allowed.push(CopyOutcome::Late);
         }
         let shown = allowed.iter().find(|outcome| seen.shows(**outcome));
@@ -233,38 +234,45 @@
             prop_assert_eq!(seen.not_run, 1, "a refusal is repeated");
         }
         match shown {
-            // What a refused attempt leaves behind shows in the next copy.
+            // These add no record. What a refused attempt leaves behind shows in
+            // the next copy.
             Some(CopyOutcome::Repeat | CopyOutcome::Late | CopyOutcome::OutcomeUnknown) | None => {}
             Some(outcome) => {
-                self.memory.insert((home, request), *outcome);
+                self.remembered.insert((home, request), *outcome);
             }
         }
         Ok(())
     }
 
-    fn judge_dispatch(&self, seen: &VisibleOutcome) -> Result<(), TestCaseError> {
+    fn check_dispatch(&self, seen: &VisibleOutcome) -> Result<(), TestCaseError> {
         let has_home = self.world.home().is_some();
         prop_assert!(seen.dispatched == 0 || has_home, "sent without a lease");
         Ok(())
     }
 
-    fn judge(&self) -> Result<(), TestCaseError> {
+    fn check_outcomes(&self) -> Result<(), TestCaseError> {
         for (request, header) in &self.headers {
-            let fate = self
+            let outcome = self
                 .world
-                .fates
+                .outcomes
                 .get(&header.id)
                 .copied()
                 .unwrap_or_default();
-            prop_assert!(header.idempotent || fate.runs <= 1, "{} ran twice", request);
-            let true_refusal = header.idempotent || !fate.told_not_run || fate.runs == 0;
+            prop_assert!(
+                header.idempotent || outcome.runs <= 1,
+                "{} ran twice",
+                request
+            );
+            let true_refusal = header.idempotent || !outcome.received_not_run || outcome.runs == 0;
             prop_assert!(true_refusal, "{} ran although refused", request);
         }
         Ok(())
     }
 }
 
-fn place(index: &prop::sample::Index, length: usize) -> Option<usize> {
+/// Returns the position of `index` in a list of `length`, or `None` if the list
+/// is empty.
+fn position_in(index: &prop::sample::Index, length: usize) -> Option<usize> {
     (length > 0).then(|| index.index(length))
 }
 
@@ -285,13 +293,13 @@
     one_connection = { ONE_CONNECTION, false },
     far_deadlines = { ROOMY, true },
 )]
-fn copies_are_treated_as_specified(layout: WorldLayout, far_deadlines: bool) {
+fn copies_are_handled_as_specified(layout: WorldLayout, far_deadlines: bool) {
     let shown = cell::RefCell::new(Vec::new());
     let runs = cell::Cell::new(0);
     let outcome = runner().run(&steps(), |steps| {
         let mut replay = Replay::new(layout, far_deadlines);
         for step in steps {
-            replay.take(step)?;
+            replay.apply(step)?;
         }
         shown.borrow_mut().append(&mut replay.shown);
         runs.set(runs.get() + replay.begun.len());
@@ -300,7 +308,8 @@
     if let Err(error) = outcome {
         panic!("{error}");
     }
-    // The steps are the same on every run; these must not have become vacuous.
+    // The steps are the same on every run. Each outcome must occur often enough
+    // for the test to mean something.
     let shown = shown.into_inner();
     let count = |wanted| shown.iter().filter(|outcome| **outcome == wanted).count();
     println!("{} copies at a home, {} runs", shown.len(), runs.get());
@@ -318,6 +327,6 @@
     }
     for outcome in wanted {
         println!("{outcome:?}: {}", count(outcome));
-        assert!(count(outcome) > 50, "{outcome:?} is hardly ever seen");
+        assert!(count(outcome) > 50, "{outcome:?} hardly ever occurs");
     }
 }
--- a/crates/cardamomwinch_model/tests/homes.rs
+++ b/crates/cardamomwinch_model/tests/homes.rs
@@ -1,4 +1,5 @@
-//! The specification of homes holds, and every rule of it is needed.
+//! All properties of the specification of homes hold, and each of its rules is
+//! needed.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use cardamomwinch_model::prelude::*;
@@ -19,7 +20,7 @@
     }
 }
 
-/// The large ones are left to `model-check --mistakes --large`.
+/// Large mistakes are only searched by `model-check --mistakes --large`.
 #[yare::parameterized(
     one_holder = { HomeProperty::OneHolder },
     runs_once = { HomeProperty::RunsOnce },
--- a/crates/cardamomwinch_model/tests/support/mod.rs
+++ b/crates/cardamomwinch_model/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Two traffic engines, one backend server and a caller, driven by hand.
+//! Two traffic engines, one backend server and a caller. The tests drive them step
+//! by step.
 #![allow(dead_code)]
 
 use std::collections;
@@ -18,10 +19,12 @@
 pub(crate) const SERVICE_ADDRESS: &str = "127.0.0.1:9000";
 /// The address of the server.
 pub(crate) const SERVER_ADDRESS: &str = "127.0.0.1:9100";
-/// The first point in time; far from zero, so that all differences exist.
+/// The time at which tests start. It is far from zero, so that earlier times can
+/// be computed.
 pub(crate) const BEGIN: Timestamp = Timestamp::new(1_000_000_000_000);
-/// No pause is noticed, since the worlds here advance in long steps.
-const SLEEP_GAP: time::Duration = time::Duration::from_secs(1_000_000);
+/// Long enough that no process pause is detected, because tests advance the time
+/// in long steps.
+const PAUSE_GAP: time::Duration = time::Duration::from_secs(1_000_000);
 
 /// How the small world is laid out.
 #[derive(Debug, Clone, Copy)]
@@ -32,13 +35,13 @@
     pub(crate) connections: u32,
 }
 
-/// What the caller's side of one request comes to.
+/// What has happened to one request.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct RequestFate {
+pub(crate) struct RequestOutcome {
     /// How often the server began it.
     pub(crate) runs: u32,
-    /// Whether the caller was told "not run".
-    pub(crate) told_not_run: bool,
+    /// Whether the caller has received "not run".
+    pub(crate) received_not_run: bool,
 }
 
 /// A request under way to the server.
@@ -49,7 +52,7 @@
     pub(crate) via: HostId,
 }
 
-/// What one event made visible.
+/// The visible effects of one event.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(crate) struct VisibleOutcome {
     pub(crate) dispatched: u32,
@@ -62,7 +65,7 @@
 }
 
 impl VisibleOutcome {
-    /// Whether this is what `outcome` looks like from outside.
+    /// Returns whether these are the visible effects of `outcome`.
     pub(crate) fn shows(&self, outcome: CopyOutcome) -> bool {
         let nothing = Self::default();
         match outcome {
@@ -105,9 +108,9 @@
     pub(crate) now: Timestamp,
     pub(crate) limits: ConfigurationLimits,
     pub(crate) under_way: Vec<UnderWay>,
-    pub(crate) fates: collections::BTreeMap<RequestId, RequestFate>,
+    pub(crate) outcomes: collections::BTreeMap<RequestId, RequestOutcome>,
     hosts: Vec<WorldHost>,
-    /// Nobody else can be granted the lease before this point.
+    /// No other host can be granted the lease before this time.
     granted_until: Timestamp,
     holder: Option<usize>,
     snapshot_parts: SnapshotParts,
@@ -180,15 +183,15 @@
     }
 }
 
-pub(crate) fn engine(host: HostId, life: u64) -> TrafficEngine {
+pub(crate) fn engine(host: HostId, incarnation: u64) -> TrafficEngine {
     let identity = HostIdentity {
         host,
         domain: domain(),
-        incarnation: Incarnation::new(life),
+        incarnation: Incarnation::new(incarnation),
     };
     let keys = AuthenticationKeys::new(SecretKey::new([7; 32]), None);
     let bounds = TrafficBounds {
-        sleep_gap: SLEEP_GAP,
+        sleep_gap: PAUSE_GAP,
         ..TrafficBounds::default()
     };
     TrafficEngine::new(identity, ThreadPlace::ONLY, keys, bounds)
@@ -201,7 +204,7 @@
     }
 }
 
-/// A datagram without payload that an engine wants relayed.
+/// A datagram that an engine relays, without its payload.
 struct Relayed {
     to: HostId,
     datagram: CallerDatagram<'static>,
@@ -211,7 +214,7 @@
     hops: u8,
 }
 
-/// A reply without payload that an engine wants relayed.
+/// A reply that an engine relays, without its payload.
 struct RelayedReply {
     to: HostId,
     reply: BackendReply<'static>,
@@ -219,7 +222,7 @@
     hops: u8,
 }
 
-/// What an engine wants another to learn.
+/// The server of a flow, as an engine reports it to another host.
 struct LearnedServer {
     to: HostId,
     flow: FlowKey,
@@ -273,9 +276,9 @@
 }
 
 impl Collected {
-    fn take(&mut self, effect: TrafficEffect<'_>) {
+    fn add_effect(&mut self, effect: TrafficEffect<'_>) {
         match effect {
-            TrafficEffect::ToCaller(reply) => self.take_reply(reply.kind),
+            TrafficEffect::ToCaller(reply) => self.add_reply(reply.kind),
             TrafficEffect::ToBackend { datagram, .. } => match datagram.request {
                 Some(request) if datagram.kind != BackendKind::Cancel => {
                     self.visible.dispatched += 1;
@@ -288,12 +291,12 @@
                 Some(_) => {}
                 None => self.visible.forwarded += 1,
             },
-            TrafficEffect::Relay { host, envelope, .. } => self.take_relay(host, &envelope.frame),
+            TrafficEffect::Relay { host, envelope, .. } => self.add_relay(host, &envelope.frame),
             _ => {}
         }
     }
 
-    fn take_reply(&mut self, kind: CallerReplyKind<'_>) {
+    fn add_reply(&mut self, kind: CallerReplyKind<'_>) {
         match kind {
             CallerReplyKind::NotRun { request, .. } => {
                 self.visible.not_run += 1;
@@ -306,7 +309,7 @@
         }
     }
 
-    fn take_relay(&mut self, to: HostId, frame: &RelayFrame<'_>) {
+    fn add_relay(&mut self, to: HostId, frame: &RelayFrame<'_>) {
         match frame {
             RelayFrame::Caller {
                 datagram,
@@ -332,7 +335,7 @@
                 claim: *claim,
                 thread: *thread,
             }),
-            // Where an announced flow lives changes no outcome that is compared.
+            // The server of an announced flow affects no outcome that is compared.
             RelayFrame::Announced { .. } => {}
             RelayFrame::Backend { reply, shard, hops } => self.replies.push(RelayedReply {
                 to,
@@ -372,7 +375,7 @@
             now: BEGIN,
             limits: parts.configuration.limits.clone(),
             under_way: Vec::new(),
-            fates: collections::BTreeMap::new(),
+            outcomes: collections::BTreeMap::new(),
             hosts,
             granted_until: BEGIN,
             holder: None,
@@ -384,7 +387,7 @@
         self.hosts[index].id
     }
 
-    /// The host that may act as home at present.
+    /// Returns the host that may currently act as home.
     pub(crate) fn home(&self) -> Option<usize> {
         let valid = |index: &usize| {
             let lease = self.hosts[*index].lease;
@@ -397,7 +400,8 @@
         self.hosts[index].lease.map(|lease| lease.records_since)
     }
 
-    /// Gives the lease to a host, or renews it; `false` where voters would not.
+    /// Grants or renews the lease of a host. Returns `false` if voters would
+    /// refuse.
     pub(crate) fn grant(&mut self, index: usize) -> bool {
         let renews = self.home() == Some(index);
         if !renews && self.now < self.granted_until {
@@ -437,28 +441,30 @@
         visible
     }
 
-    /// A datagram arrives at a host, and is relayed at once wherever it is sent.
+    /// Delivers a datagram to a host, and at once everything that is relayed
+    /// because of it.
     pub(crate) fn copy(&mut self, index: usize, datagram: CallerDatagram<'_>) -> VisibleOutcome {
         if let Some(header) = datagram.request {
-            self.fates.entry(header.id).or_default();
+            self.outcomes.entry(header.id).or_default();
         }
         let event = TrafficEvent::Fabric(FabricDatagram::Caller(datagram));
         self.drive(index, event)
     }
 
-    /// The server begins a request that is under way; its clock may be late.
+    /// Lets the server begin a request that is under way, by a clock that is late
+    /// by the skew. Returns `None` if it is too late to begin.
     pub(crate) fn begin(&mut self, position: usize) -> Option<UnderWay> {
-        let taken = self.under_way.remove(position);
+        let dispatch = self.under_way.remove(position);
         let server_clock = self.now.before(self.limits.clock_skew);
-        if server_clock >= taken.request.start_before {
+        if server_clock >= dispatch.request.start_before {
             return None;
         }
-        let fate = self.fates.entry(taken.request.id).or_default();
-        fate.runs += 1;
-        Some(taken)
+        let outcome = self.outcomes.entry(dispatch.request.id).or_default();
+        outcome.runs += 1;
+        Some(dispatch)
     }
 
-    /// A reply of the server arrives at a host.
+    /// Delivers a reply of the server to a host.
     pub(crate) fn reply(&mut self, index: usize, to: &UnderWay, shed: bool) -> VisibleOutcome {
         let (request, attempt) = (to.request.id, to.request.attempt);
         let kind = match shed {
@@ -515,10 +521,10 @@
         engine.handle(self.now, &snapshot, event, &mut |effect: TrafficEffect<
             '_,
         >| {
-            collected.take(effect);
+            collected.add_effect(effect);
         });
         for id in collected.refused {
-            self.fates.entry(id).or_default().told_not_run = true;
+            self.outcomes.entry(id).or_default().received_not_run = true;
         }
         self.under_way.extend(collected.dispatched);
         let mut visible = collected.visible;
@@ -530,7 +536,7 @@
                 shard: relayed.shard,
                 hops: relayed.hops,
             };
-            visible.add(&self.pass(index, relayed.to, frame));
+            visible.add(&self.relay(index, relayed.to, frame));
         }
         for learned in collected.learned {
             let frame = RelayFrame::Learned {
@@ -538,7 +544,7 @@
                 claim: learned.claim,
                 thread: learned.thread,
             };
-            visible.add(&self.pass(index, learned.to, frame));
+            visible.add(&self.relay(index, learned.to, frame));
         }
         for relayed in collected.replies {
             let frame = RelayFrame::Backend {
@@ -546,12 +552,12 @@
                 shard: relayed.shard,
                 hops: relayed.hops,
             };
-            visible.add(&self.pass(index, relayed.to, frame));
+            visible.add(&self.relay(index, relayed.to, frame));
         }
         visible
     }
 
-    fn pass(&mut self, from: usize, to: HostId, frame: RelayFrame<'_>) -> VisibleOutcome {
+    fn relay(&mut self, from: usize, to: HostId, frame: RelayFrame<'_>) -> VisibleOutcome {
         let target = self.hosts.iter().position(|host| host.id == to).unwrap();
         let envelope = RelayEnvelope {
             sender: self.hosts[from].id,
@@ -561,7 +567,7 @@
         self.drive(target, TrafficEvent::Relay(envelope))
     }
 
-    /// What the rule of the specification depends on, where `index` is home.
+    /// Returns what the rule of the specification depends on, if `index` is home.
     pub(crate) fn facts(
         &self,
         index: usize,
@@ -578,8 +584,8 @@
         }
     }
 
-    /// Whether the request may have been sent before the records of the home
-    /// `index` begin.
+    /// Returns whether the request may have been sent before the records of the
+    /// home `index` begin.
     pub(crate) fn predates(&self, index: usize, header: &RequestHeader) -> bool {
         let earliest = header.deadline.before(self.limits.request_lifetime);
         earliest < self.records_since(index).unwrap()
