--- a/crates/cardamomwinch_model/src/adoption/mistake.rs
+++ b/crates/cardamomwinch_model/src/adoption/mistake.rs
@@ -64,7 +64,7 @@
     PinsLeftBehind => FlowKeepsServer in REMOVED_WITHOUT_TOKEN,
     /// The flows of a server that was removed from the configuration are ended.
     RemovedServerForgotten => FlowKeepsServer in REMOVED_WITH_TOKEN,
-    /// The lookup table goes before the token.
+    /// A host uses its lookup table although the packet has a token.
     TableBeforeToken => FlowKeepsServer in REMOVED_WITH_TOKEN,
     /// The lookup table lists draining servers.
     DrainingListed => DrainingSpared in REMOVED_WITH_TOKEN,
--- a/crates/cardamomwinch_model/src/homes/mistake.rs
+++ b/crates/cardamomwinch_model/src/homes/mistake.rs
@@ -44,7 +44,7 @@
                 }
             }
 
-            /// Whether the search takes a minute and gigabytes.
+            /// Returns whether the search takes a minute and gigabytes of memory.
             pub const fn is_large(self) -> bool {
                 matches!(self, Self::ReleasedToAnybody)
             }
@@ -101,7 +101,7 @@
     GrantOutlivesLife => OneDispatcher,
     /// The server may begin the request until its deadline.
     StartBeforeDeadlineOnly => OneDispatcher,
-    /// A waiting request is sent although the lease has run out.
+    /// A waiting request is sent although the lease has expired.
     QueueIgnoresLease => OneDispatcher,
     /// A copy of a refused request is dropped.
     RefusedCopyIgnored => CopyAnswered,
--- a/crates/cardamomwinch_model/src/homes/mod.rs
+++ b/crates/cardamomwinch_model/src/homes/mod.rs
@@ -41,7 +41,7 @@
     /// A request that was answered "not run" has not run and never runs.
     NotRunIsTrue,
     /// The request does not begin to run on behalf of an earlier home while a
-    /// later home, which does not know of the run, decides about the server.
+    /// later home, which does not know of the run, decides what the server runs.
     OneDispatcher,
     /// Each copy that reaches a home is answered, or its answer is under way.
     CopyAnswered,
@@ -72,7 +72,7 @@
     pub excess: u8,
     /// Maximum number of crashes.
     pub crashes: u8,
-    /// Maximum number of planned hand-overs that begin.
+    /// Maximum number of planned hand-overs, including aborted ones.
     pub hand_overs: u8,
     /// Whether a home may refuse the request because it has no room.
     pub refusals: bool,
--- a/crates/cardamomwinch_model/src/homes/requests.rs
+++ b/crates/cardamomwinch_model/src/homes/requests.rs
@@ -252,9 +252,9 @@
         }
     }
 
-    /// Returns whether another home decides about the server without knowing of the
-    /// run. After a hand-over, a home other than the intended successor may do so
-    /// until nothing that the former home has sent can begin any more.
+    /// Returns whether another home decides what the server runs without knowing of
+    /// the run. After a hand-over, a home other than the intended successor may do
+    /// so until nothing that the former home has sent can begin any more.
     fn decided_by_another(&self, state: &HomeState, sender: Option<ProcessIndex>) -> bool {
         let mut others = self.candidates().filter(|host| Some(*host) != sender);
         let open = matches!(state.phase, RequestPhase::Open(_));
--- a/crates/cardamomwinch_model/src/homes/state.rs
+++ b/crates/cardamomwinch_model/src/homes/state.rs
@@ -149,7 +149,7 @@
     pub told_not_run: bool,
     /// Crashes that may still happen.
     pub crashes: u8,
-    /// Hand-overs that may still be begun.
+    /// Hand-overs that may still begin.
     pub hand_overs: u8,
     /// The property that failed, if any.
     pub breach: Option<HomeProperty>,
--- a/crates/cardamomwinch_model/src/search.rs
+++ b/crates/cardamomwinch_model/src/search.rs
@@ -301,7 +301,7 @@
     visits: &[StateVisit<S::State>],
     edges: &[BackwardEdge],
 ) -> Option<usize> {
-    /// Stands for all good states.
+    /// A node that represents all good states.
     const GOAL: u32 = u32::MAX;
     let good: Vec<u32> = (0..visits.len() as u32)
         .filter(|number| specification.is_good(property, &visits[*number as usize].state))
--- a/crates/cardamomwinch_model/tests/conformance_faults.rs
+++ b/crates/cardamomwinch_model/tests/conformance_faults.rs
@@ -107,7 +107,7 @@
 /// Guards against sending a waiting request without a lease. A home with one
 /// running and one waiting submission cannot reach its voters, and its lease
 /// expires. The running one is answered, and the host sends the waiting one to a
-/// server about which another host may already decide.
+/// server for which another host may already decide.
 /// Cause: the lease is not checked before a waiting request is sent, and without
 /// a lease the server may begin the request until its deadline.
 /// Mistake `QueueIgnoresLease` of the specification.
