--- a/crates/cardamomwinch_standin/src/backend.rs
+++ b/crates/cardamomwinch_standin/src/backend.rs
@@ -1,5 +1,5 @@
-//! A backend server: runs each request that reaches it, without looking for
-//! repetition, so that a test sees every run.
+//! A backend server that runs every request it receives, duplicates included,
+//! so that a test sees each run.
 //!
 //! UDP carries the traffic; HTTP on the same port number serves `GET /load`,
 //! `GET /runs`, `POST /drain`, `POST /freeze` and `POST /health`.
@@ -28,11 +28,12 @@
 use crate::http::{self, HttpAction, HttpReply, HttpRequest};
 use crate::runtime::{self, TaskExecutor};
 
-const BIND_ATTEMPTS: usize = 50;
+const MAX_BIND_ATTEMPTS: usize = 50;
 /// The exponent of the Pareto distribution: a mean exists, a variance hardly.
 const TAIL_EXPONENT: f64 = 2.1;
-/// No service time is longer than this many times the mean.
-const LONGEST_SERVICE: f64 = 50.0;
+/// The longest service time, as a multiple of the mean.
+const MAX_SERVICE_FACTOR: f64 = 50.0;
+/// Service times of a cold server are this many times longer.
 const COLD_FACTOR: f64 = 5.0;
 
 /// How a backend server behaves.
@@ -44,32 +45,34 @@
     pub fabric: net::SocketAddr,
     /// The public address of its service.
     pub service: net::SocketAddr,
-    /// Its name, which ends each answer.
+    /// Its name, appended to each answer.
     pub name: String,
-    /// Requests that run at the same time.
+    /// The number of requests that run at the same time.
     pub slots: SlotCount,
-    /// Flows that are open at the same time.
+    /// The number of flows that may be open at the same time.
     pub connections: ConnectionCount,
-    /// Requests that wait for a slot.
+    /// The number of requests that may wait for a slot.
     pub queue_limit: usize,
     /// The mean service time.
     pub service_time: time::Duration,
-    /// Whether service times vary widely; else they are all the mean.
+    /// Whether service times vary widely (Pareto distribution); otherwise each is
+    /// the mean.
     pub heavy_tail: bool,
-    /// How long after its start it is slower, by a factor of five.
+    /// How long after its start it is cold: slower by a factor of five.
     pub cold_start: time::Duration,
-    /// The time between the notices of each open flow; zero for none.
+    /// The time between two notices on an open flow; zero for no notices.
     pub notice_interval: time::Duration,
     /// The number of parts of each answer.
     pub parts: u32,
-    /// Where the load endpoint takes its answer from.
+    /// What the load endpoint reports.
     pub health: HealthMode,
     /// Makes the service times repeatable.
     pub seed: u64,
 }
 
 impl BackendSettings {
-    /// A server for `service` that replies to `fabric` and is otherwise plain.
+    /// A server for `service` that sends its replies to `fabric`, with default
+    /// values for everything else.
     pub fn new(service: net::SocketAddr, fabric: net::SocketAddr) -> Self {
         Self {
             listen: net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0)),
@@ -94,7 +97,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FreezeOrder {
-    /// How long nothing is answered, in milliseconds.
+    /// How long the server answers nothing, in milliseconds.
     pub ms: u64,
 }
 
@@ -122,7 +125,7 @@
     /// Binds both sockets and serves them.
     ///
     /// # Errors
-    /// Fails where the address is not free for UDP and TCP.
+    /// Fails if the port is not free for both UDP and TCP.
     pub async fn start(
         executor: &TaskExecutor,
         settings: BackendSettings,
@@ -148,7 +151,7 @@
         let serve = http::serve(executor, listener, move |request| {
             let shared = served.clone();
             async move {
-                shared.thaw().await;
+                shared.wait_while_frozen().await;
                 HttpAction::Reply(shared.answer_http(&request))
             }
         });
@@ -163,14 +166,14 @@
         })
     }
 
-    /// All runs so far.
+    /// The report of all runs so far.
     pub fn report(&self) -> RunReport {
         runtime::locked(&self.shared.state).report()
     }
 }
 
-/// Binds the same port for UDP and TCP. A port that the system chose for UDP
-/// may be taken for TCP, so a free choice is tried again.
+/// Binds the same port for UDP and TCP. A port that the system chooses for UDP
+/// may be taken for TCP; then another one is tried.
 pub(crate) async fn bind_both(
     address: net::SocketAddr,
 ) -> Result<(UdpSocket, async_net::TcpListener, net::SocketAddr), StandinError> {
@@ -180,7 +183,7 @@
         let (socket, bound) = fabric::bind_datagrams(address).await?;
         match http::bind(bound).await {
             Ok(listener) => return Ok((socket, listener, bound)),
-            Err(error) if address.port() != 0 || attempt == BIND_ATTEMPTS => return Err(error),
+            Err(error) if address.port() != 0 || attempt == MAX_BIND_ATTEMPTS => return Err(error),
             Err(_) => {}
         }
     }
@@ -190,11 +193,11 @@
     async fn receive(self: sync::Arc<Self>) {
         let mut buffer = [0; codec::DATAGRAM_LIMIT];
         loop {
-            // Failures are those of earlier sends, reported late; the next receive goes on.
+            // An error here belongs to an earlier send; receiving can continue.
             let Ok((length, _)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            self.thaw().await;
+            self.wait_while_frozen().await;
             match codec::decode::<BackendDatagram<'_>>(&buffer[..length]) {
                 Ok(datagram) => self.handle(&datagram).await,
                 Err(_) => runtime::locked(&self.state).counters.malformed += 1,
@@ -222,7 +225,7 @@
         let open = runtime::locked(&self.state).open(route);
         if open {
             self.reply(route, BackendReplyKind::Opened).await;
-            self.take(route, datagram).await;
+            self.handle_request(route, datagram).await;
         } else {
             let attempt = datagram.request.map(|request| request.attempt);
             let kind = BackendReplyKind::Shed {
@@ -234,9 +237,9 @@
     }
 
     async fn carry(self: &sync::Arc<Self>, route: ReplyRoute, datagram: &BackendDatagram<'_>) {
-        let open = runtime::locked(&self.state).touch(route);
+        let open = runtime::locked(&self.state).update_route(route);
         if open {
-            self.take(route, datagram).await;
+            self.handle_request(route, datagram).await;
         } else {
             runtime::locked(&self.state).counters.unknown_flow += 1;
             let attempt = datagram.request.map(|request| request.attempt);
@@ -262,7 +265,11 @@
         }
     }
 
-    async fn take(self: &sync::Arc<Self>, route: ReplyRoute, datagram: &BackendDatagram<'_>) {
+    async fn handle_request(
+        self: &sync::Arc<Self>,
+        route: ReplyRoute,
+        datagram: &BackendDatagram<'_>,
+    ) {
         let Some(request) = datagram.request else {
             return;
         };
@@ -276,7 +283,7 @@
             Admission::Queued => {}
             Admission::Shed(job) => self.shed(&job).await,
             Admission::Run(job) => {
-                let worker = self.clone().work(job);
+                let worker = self.clone().run_jobs(job);
                 self.executor.spawn(worker).detach();
             }
         }
@@ -290,8 +297,8 @@
         self.reply(job.route, kind).await;
     }
 
-    /// Runs `job` and then whatever waits, until nothing does.
-    async fn work(self: sync::Arc<Self>, job: RequestJob) {
+    /// Runs `job` and then the queued requests until the queue is empty.
+    async fn run_jobs(self: sync::Arc<Self>, job: RequestJob) {
         let mut next = Some(Admission::Run(job));
         while let Some(admission) = next {
             match admission {
@@ -312,7 +319,7 @@
             let uniform: f64 = runtime::locked(&self.random).random_range(0.0..1.0);
             let pareto = (1.0 - uniform).powf(-1.0 / TAIL_EXPONENT);
             let mean = TAIL_EXPONENT / (TAIL_EXPONENT - 1.0);
-            factor = (pareto / mean).min(LONGEST_SERVICE);
+            factor = (pareto / mean).min(MAX_SERVICE_FACTOR);
         }
         if self.started.elapsed() < self.settings.cold_start {
             factor *= COLD_FACTOR;
@@ -356,7 +363,7 @@
     }
 
     async fn reply(&self, route: ReplyRoute, kind: BackendReplyKind<'_>) {
-        self.thaw().await;
+        self.wait_while_frozen().await;
         let reply = BackendReply {
             flow: route.flow,
             backend: route.backend,
@@ -365,14 +372,14 @@
         };
         let mut buffer = [0; codec::DATAGRAM_LIMIT];
         match codec::encode(&reply, &mut buffer) {
-            // A fabric that is gone loses the reply, as a network would.
+            // If the fabric no longer runs, the reply is lost, as on a network.
             Ok(bytes) => drop(self.socket.send_to(bytes, self.settings.fabric).await),
             Err(error) => eprintln!("{error}"),
         }
     }
 
     /// Waits while the server is frozen.
-    async fn thaw(&self) {
+    async fn wait_while_frozen(&self) {
         loop {
             let frozen = *runtime::locked(&self.frozen_until);
             match frozen.filter(|limit| time::Instant::now() < *limit) {
--- a/crates/cardamomwinch_standin/src/backend_state.rs
+++ b/crates/cardamomwinch_standin/src/backend_state.rs
@@ -1,4 +1,4 @@
-//! What one backend server remembers: flows, slots, its queue and every run.
+//! The state of one backend server: flows, slots, queue and recorded runs.
 
 use std::collections::VecDeque;
 use std::net;
@@ -13,18 +13,18 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// The number of different requests whose runs are listed; later ones are
-/// only counted.
-pub const RUN_LIMIT: usize = 100_000;
+/// The number of requests whose runs are listed; the runs of further requests
+/// are only counted.
+pub const MAX_LISTED_RUNS: usize = 100_000;
 
-/// Where the replies about a flow say they come from and go to.
+/// The sender and the destination that replies about a flow carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyRoute {
     /// The flow.
     pub flow: FlowKey,
-    /// The server as the host named it.
+    /// The server's id in the host's datagram.
     pub backend: BackendId,
-    /// The host that forwarded the latest datagram.
+    /// The host that forwarded the last datagram.
     pub via: HostId,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A request that waits or runs.
+/// A request that is queued or runs.
 #[derive(Debug, Clone)]
 pub struct RequestJob {
     /// Where its answer goes.
@@ -50,13 +50,13 @@
 }
 
 impl RequestJob {
-    /// Whether it is too late to begin at `now`.
+    /// Whether `now` is too late to start it.
     pub fn is_late(&self, now: Timestamp) -> bool {
         now > self.request.start_before || now > self.request.deadline
     }
 }
 
-/// How often one request ran on this server.
+/// The runs of one request on this server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestRuns {
@@ -64,11 +64,11 @@
     pub flow: FlowKey,
     /// The request.
     pub request: RequestId,
-    /// How often it ran.
+    /// The number of its runs.
     pub count: u64,
-    /// When its last run began.
+    /// When its last run started.
     pub begun: Timestamp,
-    /// When its answer was sent last; zero where none was.
+    /// When its last answer was sent; zero if there was none.
     pub answered: Timestamp,
     /// The payload of its first run; bytes that are not UTF-8 are replaced.
     pub payload: String,
@@ -78,45 +78,46 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RunReport {
-    /// All runs.
+    /// The number of runs.
     pub total: u64,
-    /// Runs that came after the list was full; they are not searched for repetition.
+    /// Runs of requests that are not listed because the list was full; repeated
+    /// runs are not detected among them.
     pub unlisted: u64,
-    /// Requests that were shed.
+    /// Requests and openings that were shed.
     pub shed: u64,
-    /// Requests that were cancelled while they waited.
+    /// Requests that were cancelled while they were queued.
     pub cancelled: u64,
     /// Datagrams for a service that is not this server's own; a violation.
     pub wrong_service: u64,
     /// Datagrams for a flow that is not open.
     pub unknown_flow: u64,
-    /// Datagrams that could not be understood.
+    /// Datagrams that could not be decoded.
     pub malformed: u64,
-    /// Flows open now.
+    /// Flows that are open now.
     pub open_flows: usize,
     /// Requests that ran more than once; a violation.
     pub repeated: Vec<RequestRuns>,
-    /// Each request that ran, up to [`RUN_LIMIT`].
+    /// Each request that ran, up to [`MAX_LISTED_RUNS`].
     pub runs: Vec<RequestRuns>,
 }
 
-/// Where the load endpoint takes its answer from.
+/// What the load endpoint reports.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "mode")]
 pub enum HealthMode {
-    /// From what is so now.
+    /// The current load.
     #[default]
     Truth,
-    /// From what was so when it was asked earlier; renewed at the first
-    /// question after each period.
+    /// The load as of an earlier query. The first query after each period still
+    /// gets the old report and takes a new one.
     Lag {
         /// The period in milliseconds.
         period_ms: u64,
     },
-    /// From what it was told to say.
+    /// A fixed report.
     Lie {
-        /// What to say.
+        /// The report.
         report: LoadReport,
     },
 }
@@ -130,7 +131,7 @@
 impl str::FromStr for HealthMode {
     type Err = HealthParseError;
 
-    /// `lag` has a period of five seconds; `lie` calls the server idle and well.
+    /// `lag` has a period of five seconds; `lie` reports an idle, healthy server.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
             "truth" => Ok(Self::Truth),
@@ -154,14 +155,14 @@
 pub struct OpenFlow {
     /// Where its notices go.
     pub route: ReplyRoute,
-    /// The sequence number of the latest notice.
+    /// The sequence number of the last notice.
     pub notices: u64,
 }
 
-/// What happened to a request that arrived.
+/// What the server does with a request.
 #[derive(Debug)]
 pub enum Admission {
-    /// It has a slot and runs now.
+    /// It got a slot and runs now.
     Run(RequestJob),
     /// It waits for a slot.
     Queued,
@@ -183,8 +184,8 @@
     runs: SortedVector<(FlowKey, RequestId), RequestRuns>,
     draining: bool,
     health: HealthMode,
-    lagging: Option<(time::Instant, LoadReport)>,
-    /// Counters; the lists in it stay empty until a report is made.
+    lagged: Option<(time::Instant, LoadReport)>,
+    /// The counters. The lists are filled only by [`Self::report`].
     pub counters: RunReport,
 }
 
@@ -209,22 +210,23 @@
             runs: SortedVector::new(),
             draining: false,
             health,
-            lagging: None,
+            lagged: None,
             counters: RunReport::default(),
         }
     }
 
-    /// Whether `flow` belongs to this server's service; counts where not.
+    /// Whether `flow` belongs to this server's service; counts it if not.
     pub fn accepts_service(&mut self, flow: &FlowKey) -> bool {
         let own = flow.service == self.service;
         self.counters.wrong_service += u64::from(!own);
         own
     }
 
-    /// Opens the flow of `route`, or says that it is open already. Refused
-    /// while draining and when all connections are taken.
+    /// Opens the flow of `route`. Returns `true` if it is open now, also if it
+    /// was open before. Refuses new flows while draining and when the limit of
+    /// connections is reached.
     pub fn open(&mut self, route: ReplyRoute) -> bool {
-        if self.touch(route) {
+        if self.update_route(route) {
             return true;
         }
         if self.draining || self.flows.len() >= self.connections.get() as usize {
@@ -236,8 +238,8 @@
         true
     }
 
-    /// Remembers the latest host of an open flow; false where it is not open.
-    pub fn touch(&mut self, route: ReplyRoute) -> bool {
+    /// Updates the route of an open flow; returns `false` if it is not open.
+    pub fn update_route(&mut self, route: ReplyRoute) -> bool {
         let Some(flow) = self.flows.get_mut(&route.flow) else {
             return false;
         };
@@ -250,7 +252,7 @@
         self.flows.remove(flow);
     }
 
-    /// Gives `job` a slot, a place in the queue, or neither.
+    /// Gives `job` a slot, queues it, or sheds it.
     pub fn admit(&mut self, job: RequestJob, now: Timestamp) -> Admission {
         if job.is_late(now) {
             self.counters.shed += 1;
@@ -258,7 +260,7 @@
         }
         if self.busy < self.slots.get() {
             self.busy += 1;
-            self.record(&job, now);
+            self.record_run(&job, now);
             return Admission::Run(job);
         }
         if self.queue.len() < self.queue_limit {
@@ -269,23 +271,23 @@
         Admission::Shed(job)
     }
 
-    /// Frees a slot and takes the next waiting request, which is shed where
-    /// it is too late; the caller asks again until there is none to shed.
+    /// Frees a slot and returns the next queued request, which is shed if it is
+    /// too late. Call it again until it returns no request to shed.
     pub fn next_job(&mut self, now: Timestamp) -> Option<Admission> {
         self.busy = self.busy.saturating_sub(1);
         let job = self.queue.pop_front()?;
         if job.is_late(now) {
-            // The slot is still free for whoever is next in the queue.
+            // The next call frees the slot again, for the request behind this one.
             self.busy += 1;
             self.counters.shed += 1;
             return Some(Admission::Shed(job));
         }
         self.busy += 1;
-        self.record(&job, now);
+        self.record_run(&job, now);
         Some(Admission::Run(job))
     }
 
-    /// Takes a waiting request out of the queue.
+    /// Removes a request from the queue.
     pub fn cancel(&mut self, flow: &FlowKey, request: RequestId) -> Option<RequestJob> {
         let mut waiting = self.queue.iter();
         let position =
@@ -294,13 +296,13 @@
         self.queue.remove(position)
     }
 
-    fn record(&mut self, job: &RequestJob, now: Timestamp) {
+    fn record_run(&mut self, job: &RequestJob, now: Timestamp) {
         self.counters.total += 1;
         let key = (job.route.flow, job.request.id);
         if let Some(runs) = self.runs.get_mut(&key) {
             runs.count += 1;
             runs.begun = now;
-        } else if self.runs.len() >= RUN_LIMIT {
+        } else if self.runs.len() >= MAX_LISTED_RUNS {
             self.counters.unlisted += 1;
         } else {
             let runs = RequestRuns {
@@ -315,7 +317,7 @@
         }
     }
 
-    /// Notes that the answer to `job` is sent.
+    /// Records that the answer to `job` is sent.
     pub fn note_answer(&mut self, job: &RequestJob, now: Timestamp) {
         self.answers += 1;
         let key = (job.route.flow, job.request.id);
@@ -324,7 +326,7 @@
         }
     }
 
-    /// Counts a notice for each open flow and returns them.
+    /// Advances the notice number of each open flow and returns the flows.
     pub fn next_notices(&mut self) -> Vec<OpenFlow> {
         let flows = self.flows.iter_mut().map(|(_, flow)| {
             flow.notices += 1;
@@ -333,18 +335,18 @@
         flows.collect()
     }
 
-    /// Takes no new flows from now on.
+    /// Refuses new flows from now on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Sets where the load endpoint takes its answer from.
+    /// Sets what the load endpoint reports.
     pub fn set_health(&mut self, health: HealthMode) {
         self.health = health;
-        self.lagging = None;
+        self.lagged = None;
     }
 
-    /// What the load endpoint says at `now`.
+    /// The report of the load endpoint at `now`.
     pub fn load(&mut self, now: time::Instant) -> LoadReport {
         let truth = LoadReport {
             busy_slots: self.busy,
@@ -358,16 +360,16 @@
             HealthMode::Lie { report } => report,
             HealthMode::Lag { period_ms } => {
                 let period = time::Duration::from_millis(period_ms);
-                let (taken, report) = *self.lagging.get_or_insert((now, truth));
+                let (taken, report) = *self.lagged.get_or_insert((now, truth));
                 if now.duration_since(taken) >= period {
-                    self.lagging = Some((now, truth));
+                    self.lagged = Some((now, truth));
                 }
                 report
             }
         }
     }
 
-    /// All runs so far.
+    /// The report of all runs so far.
     pub fn report(&self) -> RunReport {
         let runs: Vec<_> = self.runs.values().cloned().collect();
         RunReport {
--- a/crates/cardamomwinch_standin/src/bin/standin_backend.rs
+++ b/crates/cardamomwinch_standin/src/bin/standin_backend.rs
@@ -1,4 +1,4 @@
-//! Runs one backend server stand-in, or many, until it is ended.
+//! Runs one or more backend server stand-ins until it is stopped.
 
 use std::future;
 use std::net;
@@ -16,11 +16,11 @@
     },
     OptionHelp {
         name: "fabric",
-        help: "UDP address for replies; needed",
+        help: "UDP address for replies; required",
     },
     OptionHelp {
         name: "listen",
-        help: "UDP and TCP address of the only server (127.0.0.1:0)",
+        help: "UDP and TCP address of a single server (127.0.0.1:0)",
     },
     OptionHelp {
         name: "count",
@@ -28,7 +28,7 @@
     },
     OptionHelp {
         name: "name",
-        help: "name, numbered where there are many (backend)",
+        help: "name, with a number if there are several (backend)",
     },
     OptionHelp {
         name: "slots",
@@ -40,7 +40,7 @@
     },
     OptionHelp {
         name: "queue",
-        help: "requests that wait for a slot (2)",
+        help: "requests that may wait for a slot (2)",
     },
     OptionHelp {
         name: "service-ms-mean",
@@ -52,7 +52,7 @@
     },
     OptionHelp {
         name: "cold-start-ms",
-        help: "slower for so long after the start (0)",
+        help: "how long a server is slower after its start (0)",
     },
     OptionHelp {
         name: "notice-ms",
--- a/crates/cardamomwinch_standin/src/bin/standin_caller.rs
+++ b/crates/cardamomwinch_standin/src/bin/standin_caller.rs
@@ -12,7 +12,7 @@
 const OPTIONS: &[OptionHelp] = &[
     OptionHelp {
         name: "fabric",
-        help: "UDP address of the fabric for callers; needed",
+        help: "UDP address of the fabric for callers; required",
     },
     OptionHelp {
         name: "service",
@@ -20,7 +20,7 @@
     },
     OptionHelp {
         name: "sessions",
-        help: "sessions at the same time (10)",
+        help: "concurrent sessions (10)",
     },
     OptionHelp {
         name: "requests",
@@ -40,7 +40,7 @@
     },
     OptionHelp {
         name: "attempts",
-        help: "attempts with a new identifier after not run (1)",
+        help: "attempts at a request while it is answered \"not run\" (1)",
     },
     OptionHelp {
         name: "idempotent",
@@ -56,7 +56,7 @@
     },
     OptionHelp {
         name: "seed",
-        help: "seed of all choices (1)",
+        help: "seed of all random choices (1)",
     },
 ];
 
--- a/crates/cardamomwinch_standin/src/bin/standin_fabric.rs
+++ b/crates/cardamomwinch_standin/src/bin/standin_fabric.rs
@@ -1,4 +1,4 @@
-//! Runs the fabric stand-in until it is ended.
+//! Runs the fabric stand-in until it is stopped.
 
 use std::future;
 use std::process;
@@ -22,7 +22,7 @@
     },
     OptionHelp {
         name: "hosts",
-        help: "traffic addresses of the entry hosts, with commas",
+        help: "traffic addresses of the entry hosts, separated by commas",
     },
     OptionHelp {
         name: "spray",
@@ -30,7 +30,7 @@
     },
     OptionHelp {
         name: "seed",
-        help: "seed of all choices (1)",
+        help: "seed of all random choices (1)",
     },
 ];
 
--- a/crates/cardamomwinch_standin/src/bin/standin_platform.rs
+++ b/crates/cardamomwinch_standin/src/bin/standin_platform.rs
@@ -1,4 +1,4 @@
-//! Runs the platform stand-in until it is ended.
+//! Runs the platform stand-in until it is stopped.
 
 use std::future;
 use std::net;
--- a/crates/cardamomwinch_standin/src/bin/standin_proxy.rs
+++ b/crates/cardamomwinch_standin/src/bin/standin_proxy.rs
@@ -1,4 +1,4 @@
-//! Runs fault-injecting proxies until it is ended.
+//! Runs fault-injecting proxies until it is stopped.
 
 use std::future;
 use std::net;
@@ -15,11 +15,11 @@
     },
     OptionHelp {
         name: "to",
-        help: "what the single proxy leads to",
+        help: "where the single proxy forwards to",
     },
     OptionHelp {
         name: "pairs",
-        help: "proxies as LISTEN=TO, with commas",
+        help: "proxies as LISTEN=TO, separated by commas",
     },
     OptionHelp {
         name: "control",
@@ -27,7 +27,7 @@
     },
     OptionHelp {
         name: "seed",
-        help: "seed of all choices (1)",
+        help: "seed of all random choices (1)",
     },
 ];
 
--- a/crates/cardamomwinch_standin/src/caller.rs
+++ b/crates/cardamomwinch_standin/src/caller.rs
@@ -1,5 +1,5 @@
-//! A caller: one flow on a socket of its own. It sends each request again,
-//! under the same identifier, until it knows what became of it.
+//! A caller: one flow on a socket of its own. It resends each request, with the
+//! same identifier, until it receives the outcome or the deadline passes.
 
 use std::net;
 use std::process;
@@ -17,7 +17,7 @@
 
 use crate::caller_state::CallerState;
 pub use crate::caller_state::{
-    CallerCounters, NoticeSummary, OpenOutcome, RequestOutcome, StrayReply,
+    CallerCounters, NoticeSummary, OpenOutcome, RequestOutcome, UnexpectedReply,
 };
 use crate::error::{EncodeSnafu, StandinError};
 use crate::fabric;
@@ -30,16 +30,16 @@
     pub fabric: net::SocketAddr,
     /// The public address of the service.
     pub service: net::SocketAddr,
-    /// The port that it takes; zero for any that is free.
+    /// The port to bind; zero for any free one.
     pub port: u16,
-    /// Whether it echoes the first token it is given.
+    /// Whether it echoes the first token it receives.
     pub echoes_token: bool,
-    /// How long it waits before it sends the same datagram again.
+    /// The time between two sends of the same datagram.
     pub resend_interval: time::Duration,
 }
 
 impl CallerSettings {
-    /// A caller that echoes its token and sends again five times a second.
+    /// A caller that echoes its token and resends five times a second.
     pub const fn new(fabric: net::SocketAddr, service: net::SocketAddr) -> Self {
         Self {
             fabric,
@@ -69,16 +69,16 @@
 }
 
 impl CallerClient {
-    /// Binds a socket on the address family of the fabric. On the loopback network callers
-    /// of a process have an address of their own. Nothing is sent yet.
+    /// Binds a socket of the fabric's address family and sends nothing yet. With a fabric at
+    /// 127.0.0.1, the callers of a process share a loopback address of their own.
     ///
     /// # Errors
-    /// Fails where no port is free.
+    /// Fails if the port is taken, or no port is free.
     pub async fn bind(
         executor: &TaskExecutor,
         settings: CallerSettings,
     ) -> Result<Self, StandinError> {
-        let own = net::SocketAddr::new(own_address(settings.fabric.ip()), settings.port);
+        let own = net::SocketAddr::new(caller_address(settings.fabric.ip()), settings.port);
         let (socket, caller) = fabric::bind_datagrams(own).await?;
         let shared = sync::Arc::new(SharedCaller {
             settings,
@@ -98,33 +98,33 @@
         })
     }
 
-    /// The flow that this client is.
+    /// The flow of this client.
     pub fn flow(&self) -> FlowKey {
         self.shared.flow
     }
 
-    /// Opens the flow without a request; asks again until `wait` has passed.
+    /// Opens the flow without a request; resends until `wait` has passed.
     ///
     /// # Errors
-    /// Fails where `payload` does not fit into a datagram.
+    /// Fails if `payload` does not fit into a datagram.
     pub async fn open(
         &self,
         payload: &[u8],
         wait: time::Duration,
     ) -> Result<OpenOutcome, StandinError> {
         let shared = &self.shared;
-        // An earlier refusal says nothing about this attempt.
+        // The outcome of an earlier attempt does not count for this one.
         runtime::locked(&shared.state).opening = None;
         let outcome = || runtime::locked(&shared.state).opening;
         let limit = time::Instant::now() + wait;
-        let found = shared.insist(CallerKind::Open, None, payload, limit, outcome);
+        let found = shared.send_until(CallerKind::Open, None, payload, limit, outcome);
         Ok(found.await?.unwrap_or(OpenOutcome::TimedOut))
     }
 
     /// Opens the flow with a request in the same datagram.
     ///
     /// # Errors
-    /// Fails where `payload` does not fit into a datagram.
+    /// Fails if `payload` does not fit into a datagram.
     pub async fn open_with_request(
         &self,
         payload: &[u8],
@@ -135,11 +135,11 @@
         self.shared.request(kind, payload, idempotent, wait).await
     }
 
-    /// Sends a request on the open flow and waits until it is known what
-    /// became of it, or `wait`, which is also its deadline, has passed.
+    /// Sends a request on the open flow and waits for its outcome, at most for
+    /// `wait`, which also sets its deadline.
     ///
     /// # Errors
-    /// Fails where `payload` does not fit into a datagram.
+    /// Fails if `payload` does not fit into a datagram.
     pub async fn request(
         &self,
         payload: &[u8],
@@ -162,35 +162,35 @@
         found.unwrap_or_else(|| self.notices())
     }
 
-    /// Which notices came so far.
+    /// The notices received so far.
     pub fn notices(&self) -> NoticeSummary {
         runtime::locked(&self.shared.state).notices()
     }
 
-    /// The first token that came, if any.
+    /// The first token received, if any.
     pub fn token(&self) -> Option<RoutingToken> {
         runtime::locked(&self.shared.state).token
     }
 
-    /// What else came so far.
+    /// The counters of this caller so far.
     pub fn counters(&self) -> CallerCounters {
         runtime::locked(&self.shared.state).counters
     }
 
-    /// The first stray replies.
-    pub fn strays(&self) -> Vec<StrayReply> {
-        runtime::locked(&self.shared.state).strays.clone()
+    /// The first unexpected replies.
+    pub fn strays(&self) -> Vec<UnexpectedReply> {
+        runtime::locked(&self.shared.state).unexpected.clone()
     }
 
-    /// The requests to which both an answer and "not run" came.
+    /// The requests for which both an answer and "not run" were received.
     pub fn contradicted(&self) -> Vec<RequestId> {
         runtime::locked(&self.shared.state).contradicted()
     }
 
-    /// Closes the flow. Nothing answers a close, so nothing is waited for.
+    /// Closes the flow. It does not wait, because a close has no reply.
     ///
     /// # Errors
-    /// Fails only where the codec does.
+    /// Fails only if the datagram cannot be encoded.
     pub async fn close(&self) -> Result<(), StandinError> {
         self.shared.send(CallerKind::Close, None, &[]).await
     }
@@ -200,7 +200,7 @@
     async fn receive(self: sync::Arc<Self>) {
         let mut buffer = [0; codec::DATAGRAM_LIMIT];
         loop {
-            // Failures are those of earlier sends, reported late; the next receive goes on.
+            // An error here belongs to an earlier send; receiving can continue.
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -208,8 +208,8 @@
             let mut state = runtime::locked(&self.state);
             match decoded {
                 Ok(reply) if reply.flow == self.flow => state.handle(&reply),
-                Ok(reply) => state.note_stray(StrayReply::OtherFlow(reply.flow)),
-                Err(_) => state.note_stray(StrayReply::Unreadable { sender, length }),
+                Ok(reply) => state.note_unexpected(UnexpectedReply::OtherFlow(reply.flow)),
+                Err(_) => state.note_unexpected(UnexpectedReply::Unreadable { sender, length }),
             }
             drop(state);
             self.change.notify();
@@ -232,13 +232,13 @@
         runtime::locked(&self.state).track(header.id);
         let outcome = || runtime::locked(&self.state).outcome(header.id);
         let limit = time::Instant::now() + wait;
-        let found = self.insist(kind, Some(header), payload, limit, outcome);
+        let found = self.send_until(kind, Some(header), payload, limit, outcome);
         Ok(found.await?.unwrap_or(RequestOutcome::TimedOut))
     }
 
-    /// Sends the same datagram again and again until `outcome` yields
-    /// something or `limit` has come.
-    async fn insist<T>(
+    /// Sends the same datagram repeatedly until `outcome` returns a value or
+    /// `limit` is reached.
+    async fn send_until<T>(
         &self,
         kind: CallerKind,
         request: Option<RequestHeader>,
@@ -274,17 +274,18 @@
         };
         let mut buffer = [0; codec::DATAGRAM_LIMIT];
         let bytes = codec::encode(&datagram, &mut buffer).context(EncodeSnafu)?;
-        // A fabric that is gone loses the datagram, as a network would.
+        // If the fabric no longer runs, the datagram is lost, as on a network.
         drop(self.socket.send_to(bytes, self.settings.fabric).await);
         Ok(())
     }
 }
 
-/// Where callers of this process are, with a fabric at `fabric`.
+/// The address of this process's callers, given the address of the fabric.
 ///
-/// Guards against ports that are used again: a caller that got the port of a host which was
-/// just killed took what others still sent to that host for replies.
-fn own_address(fabric: net::IpAddr) -> net::IpAddr {
+/// An address of their own keeps callers from reusing ports of other processes: a caller that
+/// got the port of a host that was just killed took datagrams still sent to that host for
+/// replies.
+fn caller_address(fabric: net::IpAddr) -> net::IpAddr {
     if fabric != net::IpAddr::V4(net::Ipv4Addr::LOCALHOST) {
         return fabric;
     }
--- a/crates/cardamomwinch_standin/src/caller_state.rs
+++ b/crates/cardamomwinch_standin/src/caller_state.rs
@@ -1,5 +1,5 @@
-//! What a caller remembers of its flow: the token, what became of each
-//! request, and which notices came.
+//! The state of a caller's flow: the token, the outcome of each request, and
+//! the notices received.
 
 use std::net;
 use std::time;
@@ -11,17 +11,17 @@
 use cardamomwinch_state::prelude::{FlowKey, RequestId, SortedVector};
 use serde::{Deserialize, Serialize};
 
-/// The largest number of parts that an answer may claim.
-const PART_LIMIT: u32 = 4096;
-/// Stray replies that are remembered.
-const STRAY_LIMIT: usize = 4;
+/// The largest number of parts that an answer may have.
+const MAX_PARTS: u32 = 4096;
+/// The number of unexpected replies that are kept.
+const MAX_UNEXPECTED_REPLIES: usize = 4;
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer came.
+    /// The whole answer was received.
     Answered {
-        /// All parts, put together.
+        /// All parts, joined.
         payload: Vec<u8>,
     },
     /// It was not run and never will be.
@@ -31,12 +31,12 @@
         /// How long to wait before another attempt.
         retry_after: time::Duration,
     },
-    /// Whether it ran is not known.
+    /// It is not known whether it ran.
     OutcomeUnknown {
-        /// How long to wait before asking.
+        /// How long to wait before another attempt.
         retry_after: time::Duration,
     },
-    /// Nothing was heard before the deadline.
+    /// No outcome was received before the deadline.
     TimedOut,
     /// The flow ended first.
     Reset {
@@ -45,7 +45,7 @@
     },
 }
 
-/// What became of an opening.
+/// The outcome of opening a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenOutcome {
     /// The flow is open.
@@ -57,35 +57,35 @@
         /// How long to wait before another attempt.
         retry_after: time::Duration,
     },
-    /// Nothing was heard in time.
+    /// No outcome was received in time.
     TimedOut,
-    /// The flow ended at once.
+    /// The flow was reset instead of opened.
     Reset {
         /// Why.
         reason: ResetReason,
     },
 }
 
-/// Which notices came.
+/// The notices that a caller received.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NoticeSummary {
-    /// Different notices that came.
+    /// Distinct notices received.
     pub received: u64,
-    /// Notices that came again.
+    /// Notices received again.
     pub duplicates: u64,
-    /// The highest sequence number that came.
+    /// The highest sequence number received.
     pub highest: u64,
-    /// Notices below the highest that did not come.
+    /// Notices below the highest that were not received.
     pub missing: u64,
 }
 
-/// A reply that a caller should not get.
+/// A reply that a caller should never receive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StrayReply {
-    /// It could not be understood.
+pub enum UnexpectedReply {
+    /// It could not be decoded.
     Unreadable {
-        /// Who sent it.
+        /// The address it came from.
         sender: net::SocketAddr,
         /// Its length in bytes.
         length: usize,
@@ -96,19 +96,20 @@
     OtherRequest(RequestId),
 }
 
-/// What a caller should never see, and what it may see.
+/// Counters of unusual replies; some are violations, others may occur.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallerCounters {
-    /// Datagrams that could not be understood or belong to another flow.
+    /// Unexpected replies; see [`UnexpectedReply`].
     pub malformed: u64,
-    /// Parts of an answer that came again with the same content.
+    /// Parts of an answer received again with the same content.
     pub duplicate_parts: u64,
-    /// Answers whose first part came again.
+    /// Answers whose first part was received again.
     pub duplicate_answers: u64,
-    /// Parts that came again with other content; a violation.
+    /// Parts received again with other content, or with an impossible part number;
+    /// a violation.
     pub conflicting_parts: u64,
-    /// Both an answer and "not run" came for one request; a violation.
+    /// Requests for which both an answer and "not run" were received; a violation.
     pub contradictions: u64,
     /// Answers that were complete after "outcome unknown" or a reset.
     pub late_answers: u64,
@@ -127,46 +128,46 @@
     /// Parts of different runs of one request are never mixed.
     answers: SortedVector<AttemptNumber, TrackedAnswer>,
     refused: bool,
-    /// Whether both an answer and "not run" came.
+    /// Whether both an answer and "not run" were received.
     contradicted: bool,
     outcome: Option<RequestOutcome>,
 }
 
-/// The state of one flow as its caller sees it.
+/// The state of one flow at its caller.
 #[derive(Debug, Default)]
 pub struct CallerState {
-    /// The first token that came.
+    /// The first token received.
     pub token: Option<RoutingToken>,
-    /// What became of the opening.
+    /// The outcome of the opening.
     pub opening: Option<OpenOutcome>,
     /// Counters.
     pub counters: CallerCounters,
-    /// The first stray replies.
-    pub strays: Vec<StrayReply>,
+    /// The first unexpected replies.
+    pub unexpected: Vec<UnexpectedReply>,
     requests: SortedVector<RequestId, TrackedRequest>,
     notices: SortedVector<u64, ()>,
     duplicate_notices: u64,
 }
 
 impl CallerState {
-    /// Begins to track `request`.
+    /// Starts to track `request`.
     pub fn track(&mut self, request: RequestId) {
         self.requests.insert(request, TrackedRequest::default());
     }
 
-    /// What became of `request`, once that is known.
+    /// The outcome of `request`, if known.
     pub fn outcome(&self, request: RequestId) -> Option<RequestOutcome> {
         self.requests.get(&request)?.outcome.clone()
     }
 
-    /// The requests to which both an answer and "not run" came.
+    /// The requests for which both an answer and "not run" were received.
     pub fn contradicted(&self) -> Vec<RequestId> {
         let requests = self.requests.iter();
         let contradicted = requests.filter(|(_, tracked)| tracked.contradicted);
         contradicted.map(|(id, _)| *id).collect()
     }
 
-    /// Which notices came.
+    /// The notices received so far.
     pub fn notices(&self) -> NoticeSummary {
         let received = self.notices.len() as u64;
         let highest = self.notices.keys().next_back().copied().unwrap_or_default();
@@ -178,15 +179,15 @@
         }
     }
 
-    /// Counts a stray reply.
-    pub fn note_stray(&mut self, stray: StrayReply) {
+    /// Counts an unexpected reply.
+    pub fn note_unexpected(&mut self, reply: UnexpectedReply) {
         self.counters.malformed += 1;
-        if self.strays.len() < STRAY_LIMIT {
-            self.strays.push(stray);
+        if self.unexpected.len() < MAX_UNEXPECTED_REPLIES {
+            self.unexpected.push(reply);
         }
     }
 
-    /// Takes in a reply about this flow.
+    /// Handles a reply about this flow.
     pub fn handle(&mut self, reply: &CallerReply<'_>) {
         match reply.kind {
             CallerReplyKind::Opened { token } => {
@@ -225,14 +226,14 @@
         payload: &[u8],
     ) {
         let Some(tracked) = self.requests.get_mut(&request) else {
-            return self.note_stray(StrayReply::OtherRequest(request));
+            return self.note_unexpected(UnexpectedReply::OtherRequest(request));
         };
         let answer = tracked
             .answers
             .get_or_insert_with(attempt, TrackedAnswer::default);
         let known = answer.total != 0;
         if part.index >= part.total
-            || part.total > PART_LIMIT
+            || part.total > MAX_PARTS
             || (known && answer.total != part.total)
         {
             self.counters.conflicting_parts += 1;
@@ -303,7 +304,7 @@
     fn settle(&mut self, request: RequestId, outcome: RequestOutcome) {
         match self.requests.get_mut(&request) {
             Some(tracked) => drop(tracked.outcome.get_or_insert(outcome)),
-            None => self.note_stray(StrayReply::OtherRequest(request)),
+            None => self.note_unexpected(UnexpectedReply::OtherRequest(request)),
         }
     }
 }
--- a/crates/cardamomwinch_standin/src/command.rs
+++ b/crates/cardamomwinch_standin/src/command.rs
@@ -1,4 +1,4 @@
-//! What the thin programs share: options, the ready line, and running.
+//! Shared by the stand-in programs: options, JSON lines and the main loop.
 
 use std::env;
 use std::future;
@@ -15,21 +15,21 @@
 /// One option of a program.
 #[derive(Debug, Clone, Copy)]
 pub struct OptionHelp {
-    /// The long name.
+    /// The long name, without the dashes.
     pub name: &'static str,
     /// What it means, with the default.
     pub help: &'static str,
 }
 
-/// The options that were given.
+/// The parsed options of the command line.
 #[derive(Debug)]
 pub struct GivenOptions(Matches);
 
 impl GivenOptions {
-    /// The value of `name`, or `default` where it is not given.
+    /// The value of `name`, or `default` if it is not given.
     ///
     /// # Errors
-    /// Fails where the value cannot be understood.
+    /// Fails if the value cannot be parsed.
     pub fn get<T: str::FromStr>(&self, name: &'static str, default: T) -> Result<T, StandinError> {
         match self.0.opt_str(name) {
             None => Ok(default),
@@ -43,7 +43,7 @@
     /// All values of `name`, separated by commas.
     ///
     /// # Errors
-    /// Fails where one of them cannot be understood.
+    /// Fails if one of them cannot be parsed.
     pub fn list<T: str::FromStr>(&self, name: &'static str) -> Result<Vec<T>, StandinError> {
         let text = self.0.opt_str(name).unwrap_or_default();
         let parts = text.split(',').filter(|part| !part.is_empty());
@@ -57,7 +57,8 @@
     }
 }
 
-/// Parses the command line; each option takes a value. `--help` prints and ends.
+/// Parses the command line; each option takes a value. `--help` prints the usage
+/// and exits.
 ///
 /// # Errors
 /// Fails on unknown options.
@@ -86,8 +87,8 @@
     }
 }
 
-/// Runs `program` on an executor of this thread and turns its end into an
-/// exit code: 0 for success, 2 for failure.
+/// Runs `program` on an executor of this thread. The exit code is 0 for success
+/// and 2 for failure.
 pub fn run<P, F>(program: P) -> process::ExitCode
 where
     P: FnOnce(TaskExecutor) -> F,
--- a/crates/cardamomwinch_standin/src/deployment.rs
+++ b/crates/cardamomwinch_standin/src/deployment.rs
@@ -1,5 +1,5 @@
 //! A whole deployment as real processes: platform, fabric, backend servers and
-//! entry hosts, all on loopback addresses that the system chooses.
+//! entry hosts, all on loopback addresses with ports that the system chooses.
 
 mod plan;
 mod publishing;
@@ -22,7 +22,7 @@
 
 pub use plan::{DeploymentPlan, DomainPlan, ProgramDirectory, ServicePlan};
 
-/// The signing key of all hosts of a deployment; it guards nothing but tests.
+/// The signing key of all hosts of a deployment; used only in tests.
 const SIGNING_KEY: &str = "0101010101010101010101010101010101010101010101010101010101010101";
 
 static DEPLOYMENTS: atomic::AtomicU32 = atomic::AtomicU32::new(0);
@@ -36,12 +36,12 @@
     pub service: &'static str,
     /// The name of its failure domain.
     pub domain: &'static str,
-    /// Where it takes datagrams and answers about its load.
+    /// Where it receives datagrams and serves its load endpoint.
     pub address: net::SocketAddr,
-    /// The address that its team publishes instead of its own, if any, so that
-    /// a proxy can stand between.
+    /// The address published for it instead of its own, if any: that of a proxy
+    /// in front of it.
     pub published: Option<net::SocketAddr>,
-    /// What its team says of it besides: weight, phase, slots.
+    /// Further keys of its definition: weight, phase, slots.
     pub definition: Value,
     /// The process.
     pub process: ChildProcess,
@@ -54,20 +54,20 @@
     pub name: String,
     /// The name of its failure domain.
     pub domain: &'static str,
-    /// What the published list says of it.
+    /// Its phase in the published list of hosts.
     pub phase: HostPhase,
-    /// Addresses that the published list gives instead of the host's own, by
-    /// field, so that a proxy can stand between.
+    /// Addresses published instead of the host's own, by field: those of proxies
+    /// in front of it.
     pub published: SortedVector<String, net::SocketAddr>,
     /// The process.
     pub process: ChildProcess,
 }
 
 impl HostProcess {
-    /// An address from the ready line of the host.
+    /// The address under `field` of the host's ready line.
     ///
     /// # Errors
-    /// Fails where the host did not say it.
+    /// Fails if the ready line does not have it.
     pub fn address(&self, field: &str) -> Result<net::SocketAddr, StandinError> {
         let binary = &self.name;
         self.process
@@ -94,13 +94,13 @@
     pub backends: Vec<BackendProcess>,
     /// The entry hosts.
     pub hosts: Vec<HostProcess>,
-    /// The preset in force.
+    /// The preset that the next root document puts in force.
     pub preset: String,
-    /// What the presets of each service change, by the name of the service.
+    /// The presets in the fragment of each service, by the name of the service.
     pub presets: SortedVector<String, Value>,
-    /// The keys in the settings of hosts that are started from now on.
+    /// The keys in the settings of hosts started from now on.
     pub keys: Value,
-    /// Where hosts find the platform.
+    /// The platform's address in the settings of hosts.
     pub platform_address: net::SocketAddr,
     revisions: SortedVector<String, u64>,
     programs: ProgramDirectory,
@@ -109,7 +109,7 @@
 
 impl Drop for Deployment {
     fn drop(&mut self) {
-        // What is left in the temporary directory harms nobody.
+        // Files left behind in the temporary directory do no harm.
         drop(fs::remove_dir_all(&self.directory));
     }
 }
@@ -119,7 +119,7 @@
     /// until each host is ready.
     ///
     /// # Errors
-    /// Fails where a program cannot be started or does not get ready.
+    /// Fails if a program cannot be started or does not become ready.
     pub async fn start(
         plan: DeploymentPlan,
         programs: ProgramDirectory,
@@ -141,11 +141,11 @@
         Ok(deployment)
     }
 
-    /// Starts the platform and the fabric of `plan` and nothing else, for
-    /// tests that start the rest step by step.
+    /// Starts only the platform and the fabric of `plan`, for tests that start
+    /// the rest step by step.
     ///
     /// # Errors
-    /// Fails where a program cannot be started or does not get ready.
+    /// Fails if a program cannot be started or does not become ready.
     pub fn start_surroundings(
         plan: DeploymentPlan,
         programs: ProgramDirectory,
@@ -178,11 +178,11 @@
         })
     }
 
-    /// Starts the backend server `index` of a service; it is published with
-    /// the next [`Self::publish_team`].
+    /// Starts backend server `index` of a service; the next
+    /// [`Self::publish_team`] publishes it.
     ///
     /// # Errors
-    /// Fails where it does not get ready.
+    /// Fails if it does not become ready.
     pub fn start_backend(&mut self, service: usize, index: usize) -> Result<(), StandinError> {
         let binary = "standin-backend";
         let returns = self.fabric_address("returns")?.to_string();
@@ -209,11 +209,11 @@
         Ok(())
     }
 
-    /// Starts host `index` of a failure domain, and returns its position; it
-    /// is published with the next [`Self::publish_hosts`].
+    /// Starts host `index` of a failure domain and returns its position in
+    /// [`Self::hosts`]; the next [`Self::publish_hosts`] publishes it.
     ///
     /// # Errors
-    /// Fails where it does not get ready.
+    /// Fails if it does not become ready.
     pub fn start_host(&mut self, domain: usize, index: usize) -> Result<usize, StandinError> {
         let domain = self.plan.domains[domain].name;
         let name = format!("{domain}-{index}");
@@ -247,7 +247,7 @@
     /// An address of the fabric: `callers`, `returns` or `control`.
     ///
     /// # Errors
-    /// Fails where the fabric did not say it.
+    /// Fails if the fabric's ready line does not have it.
     pub fn fabric_address(&self, field: &str) -> Result<net::SocketAddr, StandinError> {
         let binary = "standin-fabric";
         self.fabric.address(field).context(NotReadySnafu { binary })
@@ -256,7 +256,7 @@
     /// Calls `method` of the administration API of the host at `position`.
     ///
     /// # Errors
-    /// Fails where the host does not answer.
+    /// Fails if the host does not answer, or answers with an HTTP error.
     pub async fn call(
         &self,
         position: usize,
@@ -271,10 +271,10 @@
         Ok(answer["result"].take())
     }
 
-    /// What every backend server says of the requests it ran.
+    /// The answer of every backend server to `GET /runs`.
     ///
     /// # Errors
-    /// Fails where one does not answer.
+    /// Fails if one does not answer.
     pub async fn run_reports(&self) -> Result<Vec<Value>, StandinError> {
         let mut reports = Vec::new();
         for backend in &self.backends {
--- a/crates/cardamomwinch_standin/src/deployment/plan.rs
+++ b/crates/cardamomwinch_standin/src/deployment/plan.rs
@@ -1,4 +1,4 @@
-//! What a deployment consists of, and where its programs are.
+//! The parts of a deployment, and the directory of its programs.
 
 use std::net;
 use std::path;
@@ -8,18 +8,18 @@
 
 use crate::error::{FileSnafu, StandinError};
 
-/// Where the programs are that a deployment starts.
+/// The directory of the programs that a deployment starts.
 #[derive(Debug, Clone)]
 pub struct ProgramDirectory {
     path: path::PathBuf,
 }
 
 impl ProgramDirectory {
-    /// The directory that Cargo builds programs into, found from the running
-    /// program, which is a test, an example or a program of the same build.
+    /// The directory into which Cargo builds programs. It is derived from the path
+    /// of the running test, example or program, which is of the same build.
     ///
     /// # Errors
-    /// Fails where the running program has no path.
+    /// Fails if the path of the running program cannot be found.
     pub fn of_this_build() -> Result<Self, StandinError> {
         let running = std::env::current_exe().context(FileSnafu {
             action: "find the running program",
@@ -35,7 +35,7 @@
         })
     }
 
-    /// The program `name`.
+    /// The path of the program `name`.
     pub fn program(&self, name: &str) -> path::PathBuf {
         self.path.join(name)
     }
@@ -53,9 +53,10 @@
 /// A service and its backend servers.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// Its name, which is its team's name too.
+    /// Its name, which is also the name of its team.
     pub name: &'static str,
-    /// The public address that callers name; nothing listens there.
+    /// The public address that callers put into their datagrams; nothing listens
+    /// there.
     pub address: net::SocketAddr,
     /// The number of its backend servers, spread over the failure domains.
     pub backends: usize,
@@ -63,7 +64,7 @@
     pub options: Vec<String>,
 }
 
-/// What a deployment consists of.
+/// The parts of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentPlan {
     /// Its failure domains.
@@ -76,12 +77,12 @@
     pub fabric: Vec<String>,
     /// Traffic threads of each host.
     pub traffic_threads: usize,
-    /// What the settings of each host say of the log.
+    /// The key `log` in the settings of each host.
     pub log: Value,
 }
 
 impl DeploymentPlan {
-    /// The association's deployment: three failure domains and two services.
+    /// The deployment in Budapest: three failure domains and two services.
     pub fn budapest(hosts_per_domain: usize) -> Self {
         let domain = |name| DomainPlan {
             name,
--- a/crates/cardamomwinch_standin/src/deployment/publishing.rs
+++ b/crates/cardamomwinch_standin/src/deployment/publishing.rs
@@ -1,4 +1,5 @@
-//! What the operators of a deployment put on the platform and tell the fabric.
+//! Publishes the documents of a deployment on the platform, and its hosts to
+//! the fabric.
 
 use serde_json::{Value, json};
 use snafu::{OptionExt, ResultExt};
@@ -8,11 +9,11 @@
 use crate::http;
 
 impl Deployment {
-    /// Publishes every team, the root document and the hosts, and tells the
-    /// fabric of the hosts.
+    /// Publishes every team, the root document and the hosts, and sends the hosts
+    /// to the fabric.
     ///
     /// # Errors
-    /// Fails where the platform or the fabric does not take them.
+    /// Fails if the platform or the fabric does not accept them.
     pub async fn publish_everything(&mut self) -> Result<(), StandinError> {
         for service in 0..self.plan.services.len() {
             let name = self.plan.services[service].name;
@@ -27,7 +28,7 @@
     /// force with the next [`Self::publish_root`].
     ///
     /// # Errors
-    /// Fails where the platform does not take it.
+    /// Fails if the platform does not accept it.
     pub async fn publish_team(&mut self, service: &'static str) -> Result<(), StandinError> {
         let backends = self.backends.iter().filter(|held| held.service == service);
         let mut definitions = serde_json::Map::new();
@@ -55,7 +56,7 @@
     /// Publishes the root document and returns its version.
     ///
     /// # Errors
-    /// Fails where the platform does not take it.
+    /// Fails if the platform does not accept it.
     pub async fn publish_root(&mut self) -> Result<u64, StandinError> {
         let root = self.root_document(&self.preset);
         self.put("root", &root.to_string()).await
@@ -71,8 +72,8 @@
         json!({"preset": preset, "teams": teams, "limits": self.plan.limits})
     }
 
-    /// Lets the next root document name `revision` of a team's fragment that
-    /// was put by other means.
+    /// Sets the revision of a team's fragment for the next root document; for
+    /// fragments published without [`Self::publish_team`].
     pub fn set_revision(&mut self, team: &str, revision: u64) {
         self.revisions.insert(team.to_owned(), revision);
     }
@@ -80,7 +81,7 @@
     /// Publishes the list of hosts.
     ///
     /// # Errors
-    /// Fails where the platform does not take it.
+    /// Fails if the platform does not accept it.
     pub async fn publish_hosts(&self) -> Result<u64, StandinError> {
         let mut hosts = serde_json::Map::new();
         for host in &self.hosts {
@@ -97,10 +98,11 @@
             .await
     }
 
-    /// Tells the fabric which hosts to hand datagrams to: all that run.
+    /// Sends the addresses of all hosts to the fabric, which distributes datagrams
+    /// among them.
     ///
     /// # Errors
-    /// Fails where the fabric does not take them.
+    /// Fails if the fabric does not accept them.
     pub async fn tell_fabric(&self) -> Result<(), StandinError> {
         let mut addresses = Vec::new();
         for host in &self.hosts {
@@ -115,7 +117,7 @@
     /// Puts `value` under `key` on the platform and returns its revision.
     ///
     /// # Errors
-    /// Fails where the platform does not take it.
+    /// Fails if the platform does not accept it.
     pub async fn put(&self, key: &str, value: &str) -> Result<u64, StandinError> {
         let binary = "standin-platform";
         let operator = self.platform.address("operator");
--- a/crates/cardamomwinch_standin/src/deployment/waiting.rs
+++ b/crates/cardamomwinch_standin/src/deployment/waiting.rs
@@ -1,4 +1,4 @@
-//! Waits for what the hosts of a deployment come to.
+//! Waits until the hosts of a deployment reach a state.
 
 use std::time;
 
@@ -8,14 +8,14 @@
 use crate::error::{NotReadySnafu, StandinError, TimeoutSnafu};
 use crate::http;
 
-/// How often a condition is looked at while it is waited for.
+/// The time between two checks of a condition.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 impl Deployment {
-    /// Waits until every host says that it is ready.
+    /// Waits until `/readyz` of every host reports that it is ready.
     ///
     /// # Errors
-    /// Fails where one does not within `wait`.
+    /// Fails if a host is not ready within `wait`.
     pub async fn wait_until_ready(&self, wait: time::Duration) -> Result<(), StandinError> {
         for host in &self.hosts {
             let admin = host.address("admin_address")?;
@@ -33,10 +33,11 @@
         Ok(())
     }
 
-    /// Waits until all hosts name the same home for every backend server.
+    /// Waits until all hosts name the same home for every backend server, and
+    /// exactly one host holds each home.
     ///
     /// # Errors
-    /// Fails where they do not within `wait`.
+    /// Fails if they do not agree within `wait`, or a host does not answer.
     pub async fn wait_until_homes_agree(&self, wait: time::Duration) -> Result<(), StandinError> {
         let limit = time::Instant::now() + wait;
         while !self.homes_agree().await? {
@@ -66,10 +67,10 @@
         Ok(holders.iter().all(|count| *count == 1))
     }
 
-    /// Waits until `holds` is true of the status of every host.
+    /// Waits until `holds` returns `true` for the status of every host.
     ///
     /// # Errors
-    /// Fails where it is not within `wait`.
+    /// Fails if it does not for a host within `wait`.
     pub async fn wait_for_status(
         &self,
         wait: time::Duration,
--- a/crates/cardamomwinch_standin/src/error.rs
+++ b/crates/cardamomwinch_standin/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a stand-in could not do what it was asked.
+//! Errors of the stand-ins.
 
 use std::io;
 
@@ -13,42 +13,42 @@
     /// A socket could not be opened, bound, connected or used.
     #[snafu(display("{action}: {source}"))]
     Socket {
-        /// What was tried.
+        /// The action that failed.
         action: &'static str,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
     /// An HTTP exchange failed.
     #[snafu(display("HTTP exchange: {source}"))]
     Exchange {
-        /// What the library said.
+        /// The error of the library.
         source: hyper::Error,
     },
     /// An HTTP request could not be built.
     #[snafu(display("HTTP request: {source}"))]
     Build {
-        /// What the library said.
+        /// The error of the library.
         source: hyper::http::Error,
     },
     /// A body is not the JSON that was expected.
     #[snafu(display("JSON: {source}"))]
     Json {
-        /// What the parser said.
+        /// The error of the parser.
         source: serde_json::Error,
     },
     /// A datagram could not be encoded.
     #[snafu(display("datagram: {source}"))]
     Encode {
-        /// What the codec said.
+        /// The error of the codec.
         source: codec::CodecError,
     },
-    /// The command line is not understood.
+    /// The command line cannot be parsed.
     #[snafu(display("{source}"))]
     Options {
-        /// What the parser said.
+        /// The error of the parser.
         source: getopts::Fail,
     },
-    /// The value of an option is not understood.
+    /// The value of an option cannot be parsed.
     #[snafu(display("--{name}: cannot understand {found:?}"))]
     OptionValue {
         /// The option.
@@ -59,13 +59,13 @@
     /// A child process could not be started or signalled.
     #[snafu(display("{action}: {source}"))]
     Child {
-        /// What was tried.
+        /// The action that failed.
         action: &'static str,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A child process ended, or stayed silent, before it said it was ready.
-    #[snafu(display("{binary} did not say that it was ready"))]
+    /// A child process ended or timed out before it printed its ready line.
+    #[snafu(display("{binary} did not become ready"))]
     NotReady {
         /// The program that was started.
         binary: String,
@@ -73,21 +73,21 @@
     /// A file could not be used.
     #[snafu(display("cannot {action}: {source}"))]
     File {
-        /// What was tried.
+        /// The action that failed.
         action: &'static str,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
-    /// An HTTP exchange was answered with a refusal.
+    /// An HTTP request was answered with an error status.
     #[snafu(display("answered with HTTP status {status}"))]
     Status {
         /// The status.
         status: u16,
     },
-    /// Something that was waited for did not happen.
+    /// A condition was not met in time.
     #[snafu(display("waited in vain for {condition}"))]
     Timeout {
-        /// What was waited for.
+        /// The condition.
         condition: &'static str,
     },
     /// The process has ended and cannot be signalled.
--- a/crates/cardamomwinch_standin/src/fabric.rs
+++ b/crates/cardamomwinch_standin/src/fabric.rs
@@ -1,8 +1,8 @@
-//! The fabric: hands each datagram to any entry host, and loses, doubles,
-//! delays and reorders as told.
+//! The fabric: delivers each datagram to any entry host, and loses, duplicates,
+//! delays and reorders datagrams as configured.
 //!
 //! Callers send a `CallerDatagram` and backend servers a `BackendReply`; the
-//! fabric looks into neither and hands both on as a `FabricDatagram`.
+//! fabric does not decode them and delivers both as a `FabricDatagram`.
 
 use std::net;
 use std::str;
@@ -36,7 +36,7 @@
     /// At random.
     #[default]
     Random,
-    /// In turn, so that consecutive datagrams reach different hosts.
+    /// In rotation, so that consecutive datagrams reach different hosts.
     Rotate,
 }
 
@@ -58,7 +58,7 @@
 #[snafu(display("expected random or rotate"))]
 pub struct SprayParseError;
 
-/// How a fabric starts.
+/// The settings of a fabric.
 #[derive(Debug, Clone)]
 pub struct FabricSettings {
     /// Where callers send to.
@@ -97,11 +97,11 @@
     pub from_callers: u64,
     /// Datagrams from backend servers.
     pub from_backends: u64,
-    /// Datagrams handed to a host, each copy counted.
+    /// Datagrams sent to a host, each copy counted.
     pub delivered: u64,
     /// Datagrams that were lost on purpose.
     pub lost: u64,
-    /// Datagrams that were doubled on purpose.
+    /// Datagrams that were duplicated on purpose.
     pub doubled: u64,
     /// Datagrams dropped because no host was known.
     pub without_host: u64,
@@ -141,7 +141,7 @@
     /// Binds the sockets and serves them.
     ///
     /// # Errors
-    /// Fails where an address is not free.
+    /// Fails if an address is not free.
     pub async fn start(
         executor: &TaskExecutor,
         settings: FabricSettings,
@@ -166,8 +166,16 @@
         });
         let controlled = shared.clone();
         let tasks = [
-            executor.spawn(carry(shared.clone(), callers, FabricSide::Caller)),
-            executor.spawn(carry(shared.clone(), returns, FabricSide::Backend)),
+            executor.spawn(receive_datagrams(
+                shared.clone(),
+                callers,
+                FabricSide::Caller,
+            )),
+            executor.spawn(receive_datagrams(
+                shared.clone(),
+                returns,
+                FabricSide::Backend,
+            )),
             http::serve(executor, control, move |request| {
                 let reply = controlled.control(&request);
                 async { HttpAction::Reply(reply) }
@@ -192,16 +200,16 @@
         runtime::locked(&self.shared.state).faults = faults;
     }
 
-    /// What happened so far.
+    /// The statistics so far.
     pub fn statistics(&self) -> FabricStatistics {
         runtime::locked(&self.shared.state).statistics
     }
 }
 
-/// Binds a UDP socket and says where.
+/// Binds a UDP socket and returns it with its address.
 ///
 /// # Errors
-/// Fails where the address is not free.
+/// Fails if the address is not free.
 pub async fn bind_datagrams(
     address: net::SocketAddr,
 ) -> Result<(UdpSocket, net::SocketAddr), StandinError> {
@@ -212,11 +220,11 @@
     Ok((socket, address))
 }
 
-async fn carry(shared: sync::Arc<SharedFabric>, socket: UdpSocket, side: FabricSide) {
+async fn receive_datagrams(shared: sync::Arc<SharedFabric>, socket: UdpSocket, side: FabricSide) {
     let mut buffer = vec![0; faults::LARGEST_DATAGRAM];
     buffer[0] = side as u8;
     loop {
-        // Failures are those of earlier sends, reported late; the next receive goes on.
+        // An error here belongs to an earlier send; receiving can continue.
         if let Ok((length, _)) = socket.recv_from(&mut buffer[1..]).await {
             shared.deliver(side, &buffer[..=length]).await;
         }
@@ -225,9 +233,9 @@
 
 impl SharedFabric {
     async fn deliver(self: &sync::Arc<Self>, side: FabricSide, datagram: &[u8]) {
-        for (host, delay) in self.plan(side) {
+        for (host, delay) in self.plan_deliveries(side) {
             if delay.is_zero() {
-                // A host that is gone loses the datagram, as on a network.
+                // If the host no longer runs, the datagram is lost, as on a network.
                 self.sender.send_to(datagram, host).await.ok();
                 continue;
             }
@@ -241,7 +249,7 @@
         }
     }
 
-    fn plan(&self, side: FabricSide) -> Vec<(net::SocketAddr, std::time::Duration)> {
+    fn plan_deliveries(&self, side: FabricSide) -> Vec<(net::SocketAddr, std::time::Duration)> {
         let mut state = runtime::locked(&self.state);
         let state = &mut *state;
         let statistics = &mut state.statistics;
@@ -261,7 +269,7 @@
             SprayMode::Random => state.random.random_range(0..state.hosts.len()),
             SprayMode::Rotate => self.counter.fetch_add(1, atomic::Ordering::Relaxed),
         };
-        // The second copy goes to the next host, which is another one where there is one.
+        // The second copy goes to the next host, which is a different one if there is one.
         let hosts = state.hosts.iter().cycle().skip(first % state.hosts.len());
         hosts.copied().zip(copies).collect()
     }
--- a/crates/cardamomwinch_standin/src/faults.rs
+++ b/crates/cardamomwinch_standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are injected into a stream of datagrams.
+//! Faults injected into a stream of datagrams.
 
 use std::time;
 
@@ -6,14 +6,14 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-/// The largest datagram that UDP carries, in bytes. What only passes datagrams
-/// on must not cut short one that its receiver is to refuse as too large.
+/// The largest UDP datagram, in bytes. The fabric and the proxies must not
+/// truncate a datagram that its receiver has to refuse as too large.
 pub const LARGEST_DATAGRAM: usize = 64 * 1024;
 
-/// How long a datagram is held back so that later ones overtake it.
+/// How long a datagram is delayed so that later ones overtake it.
 const REORDER_DELAY: time::Duration = time::Duration::from_millis(20);
 
-/// Whether anything passes.
+/// How a link is cut.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -23,12 +23,12 @@
     None,
     /// Datagrams are dropped; connections are closed and refused.
     Close,
-    /// Datagrams are dropped; connections stay open and carry nothing until
+    /// Datagrams are dropped; connections stay open and transfer nothing until
     /// the cut ends.
     Hold,
 }
 
-/// What happens to datagrams. Shares are between zero and one.
+/// The faults of a stream of datagrams. Shares are between zero and one.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -37,18 +37,18 @@
     pub loss: f64,
     /// The share that is delivered twice.
     pub double: f64,
-    /// Each is late by at least this many milliseconds.
+    /// The least delay of each, in milliseconds.
     pub delay_ms: u64,
-    /// Each is late by up to this many milliseconds more, chosen at random.
+    /// The largest further delay of each, in milliseconds; chosen at random.
     pub delay_ms_max: u64,
-    /// The share that is held back until later ones have overtaken it.
+    /// The share that is delayed so that later ones overtake it.
     pub reorder: f64,
-    /// Whether anything passes at all.
+    /// Whether the link is cut.
     pub cut: CutMode,
 }
 
 impl DatagramFaults {
-    /// When each copy of one datagram is delivered; empty where it is lost.
+    /// The delay of each copy of one datagram; empty if it is lost.
     pub fn copies(&self, random: &mut SmallRng) -> Vec<time::Duration> {
         if self.cut != CutMode::None || happens(self.loss, random) {
             return Vec::new();
--- a/crates/cardamomwinch_standin/src/http.rs
+++ b/crates/cardamomwinch_standin/src/http.rs
@@ -27,14 +27,14 @@
     pub method: String,
     /// The path without the query.
     pub path: String,
-    /// The query without the question mark; empty where there is none.
+    /// The query without the question mark; empty if there is none.
     pub query: String,
     /// The whole body.
     pub body: Bytes,
 }
 
 impl HttpRequest {
-    /// The value of the query parameter `name` as a number.
+    /// The query parameter `name` as a number, if it is one.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         let mut pairs = self
             .query
@@ -46,7 +46,7 @@
     /// The body as JSON.
     ///
     /// # Errors
-    /// Fails where the body is something else.
+    /// Fails if the body is not such JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, StandinError> {
         serde_json::from_slice(&self.body).context(JsonSnafu)
     }
@@ -89,7 +89,7 @@
     /// The body as JSON.
     ///
     /// # Errors
-    /// Fails where the body is something else.
+    /// Fails if the body is not such JSON.
     pub fn json(&self) -> Result<serde_json::Value, StandinError> {
         serde_json::from_slice(&self.body).context(JsonSnafu)
     }
@@ -115,7 +115,7 @@
 /// Binds `address`.
 ///
 /// # Errors
-/// Fails where the address is not free.
+/// Fails if the address is not free.
 pub async fn bind(address: net::SocketAddr) -> Result<async_net::TcpListener, StandinError> {
     let bound = async_net::TcpListener::bind(address).await;
     bound.context(SocketSnafu {
@@ -124,7 +124,7 @@
 }
 
 /// Serves `listener` with `handler` until the returned task is dropped.
-/// Connections live until their clients close them.
+/// Connections stay open until their clients close them.
 pub fn serve<H, F>(
     executor: &TaskExecutor,
     listener: async_net::TcpListener,
@@ -142,7 +142,7 @@
             let answer = move |request| answer(request, handler.clone());
             let connection = server::conn::http1::Builder::new()
                 .serve_connection(FuturesIo::new(stream), service::service_fn(answer));
-            // A client that goes away is nobody's failure here.
+            // A client that closes its connection early is not an error here.
             spawner
                 .spawn(async { connection.await.unwrap_or(()) })
                 .detach();
@@ -186,7 +186,7 @@
 /// Sends one request on a connection of its own and reads the whole answer.
 ///
 /// # Errors
-/// Fails where the connection does, or the path is malformed.
+/// Fails if the connection fails or the path is malformed.
 pub async fn request(
     address: net::SocketAddr,
     method: &str,
@@ -227,7 +227,7 @@
 /// The address that `listener` is bound to.
 ///
 /// # Errors
-/// Fails where the system does not say.
+/// Fails if the system does not return it.
 pub fn address(listener: &async_net::TcpListener) -> Result<net::SocketAddr, StandinError> {
     listener.local_addr().context(SocketSnafu {
         action: "look up the address of a listener",
--- a/crates/cardamomwinch_standin/src/lib.rs
+++ b/crates/cardamomwinch_standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Small stand-ins for what surrounds the load balancer: the platform, the
 //! fabric, backend servers and callers, and a proxy that injects faults. They
-//! are scaffolding for tests and demonstrations; nothing of the product
-//! depends on them.
+//! serve tests and demonstrations; no other crate of the product depends on
+//! them outside its tests.
 //!
 //! ```
 //! use cardamomwinch_standin::prelude::*;
@@ -33,7 +33,7 @@
 pub mod proxy;
 pub mod runtime;
 
-/// What users of the stand-ins need most often.
+/// The items that most users of the stand-ins need.
 pub mod prelude {
     pub use crate::backend::{BackendSettings, BackendStandin};
     pub use crate::caller::{CallerClient, CallerSettings, OpenOutcome, RequestOutcome};
--- a/crates/cardamomwinch_standin/src/load.rs
+++ b/crates/cardamomwinch_standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Many callers at once, and a summary of what became of their requests.
+//! Many callers at once, and a summary of the outcomes of their requests.
 
 use std::time;
 
@@ -12,12 +12,12 @@
 use crate::error::StandinError;
 use crate::runtime::TaskExecutor;
 
-/// What to run.
+/// The load to generate.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadSettings {
     /// How each caller behaves.
     pub caller: CallerSettings,
-    /// Sessions at the same time.
+    /// The number of concurrent sessions.
     pub sessions: u64,
     /// Requests of each session, one after another.
     pub requests: u64,
@@ -25,7 +25,7 @@
     pub deadline: time::Duration,
     /// The mean pause between requests.
     pub pause: time::Duration,
-    /// Attempts at each opening or request, where it is answered "not run".
+    /// Attempts at each opening or request while it is answered "not run".
     pub attempts: u32,
     /// The share of idempotent requests.
     pub idempotent: f64,
@@ -35,17 +35,17 @@
     pub seed: u64,
 }
 
-/// How often something was refused for one reason.
+/// The number of refusals for one reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct RefusalCount {
     /// The reason.
     pub reason: RefusalReason,
-    /// How often.
+    /// The number of refusals.
     pub count: u64,
 }
 
-/// What became of all sessions and requests.
+/// The outcomes of all sessions and requests.
 #[derive(Debug, Default, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct LoadSummary {
@@ -63,21 +63,21 @@
     pub not_run: u64,
     /// All refusals of openings and requests, each attempt counted.
     pub refusals: Vec<RefusalCount>,
-    /// Requests of which it is not known whether they ran.
+    /// Requests answered "outcome unknown".
     pub outcome_unknown: u64,
-    /// Requests without any word before the deadline.
+    /// Requests without an outcome before the deadline.
     pub timeouts: u64,
     /// Requests whose flow ended first.
     pub resets: u64,
-    /// Answers that came again.
+    /// Answers received again.
     pub duplicate_answers: u64,
-    /// Parts that came again with other content; a violation.
+    /// Parts received again with other content; a violation.
     pub conflicting_parts: u64,
     /// Requests both answered and "not run"; a violation.
     pub contradictions: u64,
     /// Notices received.
     pub notices_received: u64,
-    /// Notices missed below the highest received.
+    /// Notices below the highest received one that were not received.
     pub notices_missed: u64,
     /// The median time from request to answer, in microseconds.
     pub latency_p50_us: u64,
@@ -92,10 +92,10 @@
     latencies: Vec<u64>,
 }
 
-/// Runs all sessions to their end.
+/// Runs all sessions to their end and returns the summary.
 ///
 /// # Errors
-/// Fails where sockets do.
+/// Fails if a socket cannot be bound or a datagram cannot be encoded.
 pub async fn run(
     executor: &TaskExecutor,
     settings: LoadSettings,
@@ -134,11 +134,12 @@
         async_io::Timer::after(settings.listen).await;
     }
     client.close().await?;
-    record.observe(&client);
+    record.add_client_counters(&client);
     Ok(record)
 }
 
-/// A refused opening is tried again on a new flow, as a real caller would.
+/// Opens a flow. A refused opening is retried on a new flow, as a real caller
+/// would do.
 async fn open(
     executor: &TaskExecutor,
     settings: &LoadSettings,
@@ -152,7 +153,7 @@
                 reason,
                 retry_after,
             } => {
-                record.refuse(reason);
+                record.record_refusal(reason);
                 async_io::Timer::after(retry_after.min(settings.deadline)).await;
             }
             OpenOutcome::TimedOut | OpenOutcome::Reset { .. } => {}
@@ -178,7 +179,7 @@
                 reason,
                 retry_after,
             } => {
-                record.refuse(reason);
+                record.record_refusal(reason);
                 if attempt < attempts {
                     async_io::Timer::after(retry_after.min(settings.deadline)).await;
                     continue;
@@ -187,7 +188,7 @@
             }
             RequestOutcome::Answered { payload: answer } => {
                 let expected = format!("echo:{payload}");
-                record.answer(started.elapsed(), answer.starts_with(expected.as_bytes()));
+                record.record_answer(started.elapsed(), answer.starts_with(expected.as_bytes()));
             }
             RequestOutcome::OutcomeUnknown { .. } => record.summary.outcome_unknown += 1,
             RequestOutcome::TimedOut => record.summary.timeouts += 1,
@@ -199,18 +200,18 @@
 }
 
 impl SessionRecord {
-    fn refuse(&mut self, reason: RefusalReason) {
+    fn record_refusal(&mut self, reason: RefusalReason) {
         *self.refusals.get_or_insert_with(reason, || 0) += 1;
     }
 
-    fn answer(&mut self, latency: time::Duration, right: bool) {
+    fn record_answer(&mut self, latency: time::Duration, right: bool) {
         self.summary.answered += 1;
         self.summary.wrong_answers += u64::from(!right);
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.latencies.push(micros);
     }
 
-    fn observe(&mut self, client: &CallerClient) {
+    fn add_client_counters(&mut self, client: &CallerClient) {
         let CallerCounters {
             duplicate_answers,
             conflicting_parts,
--- a/crates/cardamomwinch_standin/src/platform.rs
+++ b/crates/cardamomwinch_standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: versioned keys over HTTP, read only for the product, with
-//! an operator listener for tests and counted calls.
+//! The platform: versioned keys over HTTP. The public listener, which hosts use,
+//! is read-only and counts calls; the operator listener is for tests.
 
 use std::net;
 use std::sync;
@@ -17,7 +17,7 @@
 pub const VALUE_LIMIT: usize = 1024 * 1024;
 
 const KEY_PREFIX: &str = "/v1/keys/";
-const LONGEST_WAIT: time::Duration = time::Duration::from_secs(300);
+const MAX_WATCH_WAIT: time::Duration = time::Duration::from_secs(300);
 const GARBAGE: &[u8] = b"\xff\xfe{\"key\":";
 
 /// Where the listeners are bound.
@@ -47,14 +47,14 @@
     /// Not at all.
     #[default]
     None,
-    /// Accepts and never answers.
+    /// Accepts requests and never answers.
     Silent,
     /// Answers late.
     Slow,
     /// Answers with the values as they were when the fault was set.
     Stale,
     /// Answers with the first revision of each key; a watch is answered at
-    /// once where that differs from the revision it names.
+    /// once if that differs from the revision it names.
     Back,
     /// Answers 200 with bytes that are not JSON.
     Broken,
@@ -66,9 +66,9 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PlatformFault {
-    /// How to misbehave.
+    /// How to apply_fault.
     pub mode: FaultMode,
-    /// How late slow answers are, in milliseconds.
+    /// The delay of [`FaultMode::Slow`], in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
 }
@@ -79,20 +79,20 @@
 pub struct KeyRevision {
     /// The key.
     pub key: String,
-    /// The number of the write that set the value, over all keys.
+    /// The number of the write that set the value, counted over all keys.
     pub revision: u64,
     /// The value.
     pub value: String,
 }
 
-/// What a public call asked for.
+/// What a public call requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
     /// The current value.
     Read,
-    /// A later revision; counts once however long it waits.
+    /// A later revision; counted once, whatever its wait.
     Watch,
     /// Anything but `GET`; refused.
     Refused,
@@ -102,11 +102,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallCount {
-    /// The key, or the path where it names none.
+    /// The key, or the path if it names no key.
     pub key: String,
-    /// What was asked.
+    /// The kind of the calls.
     pub kind: CallKind,
-    /// How often.
+    /// The number of calls.
     pub count: u64,
 }
 
@@ -185,7 +185,7 @@
         }
     }
 
-    fn later(&self, key: &str, after: u64) -> Option<&KeyRevision> {
+    fn later_revision(&self, key: &str, after: u64) -> Option<&KeyRevision> {
         let back = self.fault.mode == FaultMode::Back;
         let differs =
             |found: &&KeyRevision| found.revision > after || (back && found.revision != after);
@@ -193,11 +193,11 @@
     }
 
     /// What ends a watch: a later revision, or a fault that closes connections.
-    fn watched(&self, key: &str, after: u64) -> Option<Option<KeyRevision>> {
+    fn watch_result(&self, key: &str, after: u64) -> Option<Option<KeyRevision>> {
         if self.fault.mode == FaultMode::Refuse {
             return Some(None);
         }
-        self.later(key, after).cloned().map(Some)
+        self.later_revision(key, after).cloned().map(Some)
     }
 
     fn count(&mut self, key: &str, kind: CallKind) {
@@ -245,7 +245,7 @@
     /// Binds both listeners and serves them.
     ///
     /// # Errors
-    /// Fails where an address is not free.
+    /// Fails if an address is not free.
     pub async fn start(
         executor: &TaskExecutor,
         settings: PlatformSettings,
@@ -272,12 +272,12 @@
         })
     }
 
-    /// Sets `key` and returns the number of the write.
+    /// Sets `key` and returns the revision.
     pub fn put(&self, key: &str, value: String) -> u64 {
         self.shared.put(key, value)
     }
 
-    /// Makes the public listener misbehave.
+    /// Makes the public listener apply_fault.
     pub fn set_fault(&self, fault: PlatformFault) {
         self.shared.set_fault(fault);
     }
@@ -332,8 +332,8 @@
             None => runtime::locked(&self.state).visible(key).cloned(),
             Some(after) => {
                 let millis = request.query_number("wait_ms").unwrap_or_default();
-                let wait = time::Duration::from_millis(millis).min(LONGEST_WAIT);
-                let look = || runtime::locked(&self.state).watched(key, after);
+                let wait = time::Duration::from_millis(millis).min(MAX_WATCH_WAIT);
+                let look = || runtime::locked(&self.state).watch_result(key, after);
                 let limit = time::Instant::now() + wait;
                 match self.change.wait(limit, look).await {
                     None => return HttpReply::empty(204),
@@ -354,27 +354,27 @@
     };
     let counted = if key.is_empty() { &request.path } else { key };
     runtime::locked(&shared.state).count(counted, kind);
-    if let Some(action) = misbehave(&shared).await {
+    if let Some(action) = apply_fault(&shared).await {
         return action;
     }
     if kind == CallKind::Refused {
         return HttpAction::Reply(HttpReply::empty(405));
     }
     let reply = shared.read(key, &request).await;
-    // A fault that was set while a watch waited also strikes that watch.
+    // A fault set while a watch waits also applies to that watch.
     let fault = runtime::locked(&shared.state).fault;
-    immediate(fault).unwrap_or(HttpAction::Reply(reply))
+    immediate_action(fault).unwrap_or(HttpAction::Reply(reply))
 }
 
-async fn misbehave(shared: &SharedPlatform) -> Option<HttpAction> {
+async fn apply_fault(shared: &SharedPlatform) -> Option<HttpAction> {
     let fault = runtime::locked(&shared.state).fault;
     if fault.mode == FaultMode::Slow {
         async_io::Timer::after(time::Duration::from_millis(fault.delay_ms)).await;
     }
-    immediate(fault)
+    immediate_action(fault)
 }
 
-fn immediate(fault: PlatformFault) -> Option<HttpAction> {
+fn immediate_action(fault: PlatformFault) -> Option<HttpAction> {
     match fault.mode {
         FaultMode::None | FaultMode::Slow | FaultMode::Stale | FaultMode::Back => None,
         FaultMode::Silent => Some(HttpAction::Silence),
--- a/crates/cardamomwinch_standin/src/process.rs
+++ b/crates/cardamomwinch_standin/src/process.rs
@@ -1,5 +1,5 @@
-//! Child processes of tests: started, signalled by their own id, and ended
-//! when the guard is dropped, or when this process ends without dropping it.
+//! Child processes of tests. They are signalled by their own id, and killed when
+//! their guard is dropped or this process ends without dropping it.
 
 mod starter;
 
@@ -17,10 +17,10 @@
 
 use crate::error::{ChildSnafu, EndedSnafu, NotReadySnafu, StandinError};
 
-const READY_LIMIT: time::Duration = time::Duration::from_secs(30);
+const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// A child process that has said it is ready. Dropping it kills just this child. The
-/// system kills it where this process is killed itself.
+/// A child process that has printed its ready line. Dropping it kills this child and no other
+/// process. The system kills it if this process is killed.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: process::Child,
@@ -33,7 +33,7 @@
     /// `"ready": true`.
     ///
     /// # Errors
-    /// Fails where it cannot be started, or ends or stays silent instead.
+    /// Fails if it cannot be started, or does not print the line within 30 seconds.
     pub fn start<A: AsRef<ffi::OsStr>>(
         binary: impl AsRef<path::Path>,
         arguments: impl IntoIterator<Item = A>,
@@ -59,15 +59,15 @@
             ready: serde_json::Value::Null,
             lines,
         };
-        let limit = time::Instant::now() + READY_LIMIT;
+        let limit = time::Instant::now() + READY_TIMEOUT;
         let binary = binary.display().to_string();
         started.ready = started
-            .await_ready(limit)
+            .wait_for_ready_line(limit)
             .context(NotReadySnafu { binary })?;
         Ok(started)
     }
 
-    fn await_ready(&self, limit: time::Instant) -> Option<serde_json::Value> {
+    fn wait_for_ready_line(&self, limit: time::Instant) -> Option<serde_json::Value> {
         loop {
             let line = self.next_line(limit.saturating_duration_since(time::Instant::now()))?;
             match serde_json::from_str::<serde_json::Value>(&line) {
@@ -92,23 +92,23 @@
         self.child.id()
     }
 
-    /// The next line of standard output behind the ready line, within `wait`.
+    /// The next line of standard output after the ready line, within `wait`.
     pub fn next_line(&self, wait: time::Duration) -> Option<String> {
         self.lines.recv_timeout(wait).ok()
     }
 
-    /// Stops the process where it stands (SIGSTOP).
+    /// Pauses the process (SIGSTOP).
     ///
     /// # Errors
-    /// Fails where it has ended.
+    /// Fails if the process has ended.
     pub fn pause(&mut self) -> Result<(), StandinError> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets a paused process go on (SIGCONT).
+    /// Resumes a paused process (SIGCONT).
     ///
     /// # Errors
-    /// Fails where it has ended.
+    /// Fails if the process has ended.
     pub fn resume(&mut self) -> Result<(), StandinError> {
         self.signal(Signal::CONT)
     }
@@ -116,42 +116,43 @@
     /// Asks the process to stop (SIGTERM).
     ///
     /// # Errors
-    /// Fails where it has ended.
+    /// Fails if the process has ended.
     pub fn terminate(&mut self) -> Result<(), StandinError> {
         self.signal(Signal::TERM)
     }
 
-    /// Tells the process to read its settings again (SIGHUP).
+    /// Makes the process read its settings again (SIGHUP).
     ///
     /// # Errors
-    /// Fails where it has ended.
+    /// Fails if the process has ended.
     pub fn reload(&mut self) -> Result<(), StandinError> {
         self.signal(Signal::HUP)
     }
 
-    /// Kills the process (SIGKILL) and waits until it is gone.
+    /// Kills the process (SIGKILL) and waits until it has ended.
     ///
     /// # Errors
-    /// Fails where the system does.
+    /// Fails if the system call fails.
     pub fn kill(&mut self) -> Result<process::ExitStatus, StandinError> {
         let action = "kill";
         self.child.kill().context(ChildSnafu { action })?;
         self.child.wait().context(ChildSnafu { action })
     }
 
-    /// How the process ended, where it has.
+    /// The exit status of the process if it has ended.
     ///
     /// # Errors
-    /// Fails where the system does.
+    /// Fails if the system call fails.
     pub fn ended(&mut self) -> Result<Option<process::ExitStatus>, StandinError> {
-        let action = "look at a child process";
+        let action = "query the status of a child process";
         self.child.try_wait().context(ChildSnafu { action })
     }
 
-    /// Waits until the process has ended by itself, within `wait`.
+    /// Waits at most for `wait` until the process has ended by itself; returns its
+    /// exit status if it has.
     ///
     /// # Errors
-    /// Fails where the system does.
+    /// Fails if the system call fails.
     pub fn wait(
         &mut self,
         wait: time::Duration,
@@ -166,9 +167,9 @@
         }
     }
 
-    /// The id of an ended child may belong to another process by now, so it
-    /// is asked first whether the child still lives; until it is waited for,
-    /// its id is its own.
+    /// Checks first whether the child still runs, because the id of an ended child
+    /// may belong to another process. The id cannot be reused until this process
+    /// has waited for the child.
     fn signal(&mut self, signal: Signal) -> Result<(), StandinError> {
         snafu::ensure!(self.ended()?.is_none(), EndedSnafu);
         let number = i32::try_from(self.child.id()).ok();
@@ -180,7 +181,7 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // A child that has ended already needs no killing.
+        // Killing fails if the child has already ended.
         self.kill().ok();
     }
 }
--- a/crates/cardamomwinch_standin/src/process/starter.rs
+++ b/crates/cardamomwinch_standin/src/process/starter.rs
@@ -1,7 +1,7 @@
-//! Starts children that end with this process, however it ends.
+//! Starts child processes that end with this process, however it ends.
 //!
-//! A test program that is killed drops nothing, and its children would run on beside
-//! whatever is tested next.
+//! A test program that is killed runs no destructors, so its children would keep running
+//! during the next test.
 
 use std::io;
 use std::os::unix::process::CommandExt;
@@ -12,21 +12,22 @@
 
 use rustix::process::{Pid, Signal};
 
-/// A child that is to be started.
-struct StartOrder {
+/// A request to the thread that starts children.
+struct StartRequest {
     command: process::Command,
     reply: mpsc::Sender<io::Result<process::Child>>,
 }
 
-/// The system tells children of the end of the thread that started them. Those of tests
-/// end while children run; this one lasts as long as the process.
-static ORDERS: LazyLock<mpsc::Sender<StartOrder>> = LazyLock::new(|| {
-    let (sender, orders) = mpsc::channel::<StartOrder>();
+/// The system signals a child when the thread that started it ends, not the process. Threads of
+/// tests end while their children run, so one thread that runs until the end of the process
+/// starts all children.
+static START_REQUESTS: LazyLock<mpsc::Sender<StartRequest>> = LazyLock::new(|| {
+    let (sender, requests) = mpsc::channel::<StartRequest>();
     thread::spawn(move || {
-        for mut order in orders {
-            let child = order.command.spawn();
-            // Whoever waited for the child may have given up.
-            drop(order.reply.send(child));
+        for mut request in requests {
+            let child = request.command.spawn();
+            // The receiver may no longer wait for the child.
+            drop(request.reply.send(child));
         }
     });
     sender
@@ -35,22 +36,23 @@
 /// Starts `command` as a child that the system kills when this process ends.
 ///
 /// # Errors
-/// Fails where the system does.
+/// Fails if the system cannot start it.
 pub(super) fn spawn(mut command: process::Command) -> io::Result<process::Child> {
     let parent = rustix::process::getpid();
     // SAFETY: the closure makes two system calls, and neither allocates nor locks.
     #[allow(unsafe_code)]
     unsafe {
-        command.pre_exec(move || end_with(parent));
+        command.pre_exec(move || kill_with_parent(parent));
     }
     let (reply, started) = mpsc::channel();
-    let order = StartOrder { command, reply };
-    ORDERS.send(order).map_err(io::Error::other)?;
+    let request = StartRequest { command, reply };
+    START_REQUESTS.send(request).map_err(io::Error::other)?;
     started.recv().map_err(io::Error::other)?
 }
 
-/// Has the calling process killed when `parent` ends, and fails where it has ended already.
-fn end_with(parent: Pid) -> io::Result<()> {
+/// Makes the system kill the calling process when `parent` ends; fails if `parent` has already
+/// ended.
+fn kill_with_parent(parent: Pid) -> io::Result<()> {
     rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
     if rustix::process::getppid() == Some(parent) {
         Ok(())
--- a/crates/cardamomwinch_standin/src/proxy.rs
+++ b/crates/cardamomwinch_standin/src/proxy.rs
@@ -1,5 +1,5 @@
 //! A proxy between two addresses, UDP and TCP on the same port number, that
-//! loses, doubles, delays, reorders and cuts in each direction.
+//! loses, duplicates, delays, reorders and cuts traffic in each direction.
 
 use std::io;
 use std::net;
@@ -22,18 +22,19 @@
 use crate::http::{self, HttpAction, HttpReply, HttpRequest};
 use crate::runtime::{self, ChangeNotice, TaskExecutor};
 
-/// Clients of one proxy that have an upstream socket; more are dropped.
-const CLIENT_LIMIT: usize = 4096;
-const COPY_SIZE: usize = 16 * 1024;
+/// The number of clients with an upstream socket of one proxy; datagrams of further
+/// clients are dropped.
+const MAX_CLIENTS: usize = 4096;
+const COPY_BUFFER_BYTES: usize = 16 * 1024;
 const FOREVER: time::Duration = time::Duration::from_secs(24 * 3600);
 
-/// Where a proxy listens and what it leads to.
+/// The addresses of a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ProxyPair {
     /// Where it listens.
     pub listen: net::SocketAddr,
-    /// What it leads to.
+    /// Where it forwards to.
     pub to: net::SocketAddr,
 }
 
@@ -55,7 +56,7 @@
     }
 }
 
-/// The faults of both directions. Connections know only `cut` and `delay_ms`.
+/// The faults of both directions. Only `cut` and `delay_ms` apply to connections.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
@@ -70,27 +71,27 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RulesOrder {
-    /// The proxy that listens there; all where absent.
+    /// The address of one proxy; all proxies if absent.
     #[serde(default)]
     pub listen: Option<net::SocketAddr>,
-    /// The faults; those left out end.
+    /// The faults; those that are left out are cleared.
     #[serde(flatten)]
     pub rules: ProxyRules,
 }
 
-/// Body of `PUT /v1/blocked`: clients that do not get through one proxy, as
-/// where a network partition separates some of its clients from its target.
+/// Body of `PUT /v1/blocked`: clients that a proxy blocks, as if a network
+/// partition separated them from its target.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BlockOrder {
-    /// The proxy that listens there; all where absent.
+    /// The address of one proxy; all proxies if absent.
     #[serde(default)]
     pub listen: Option<net::SocketAddr>,
-    /// Datagrams from there are dropped; from elsewhere they pass.
+    /// Clients whose datagrams are dropped; those of other clients pass.
     pub clients: Vec<net::SocketAddr>,
-    /// Whether connections are closed and refused, whoever made them: the
-    /// address that a connection comes from does not tell one host from another.
+    /// Whether the connections of all clients are closed and refused. The source
+    /// address of a connection does not identify the host that opened it.
     #[serde(default)]
     pub close_connections: bool,
 }
@@ -135,7 +136,7 @@
 /// Any number of running proxies; they stop when dropped.
 #[derive(Debug)]
 pub struct ProxyStandin {
-    /// Where rules are set and proxies added.
+    /// The HTTP address at which rules are set and proxies added.
     pub control_address: net::SocketAddr,
     set: sync::Arc<ProxySet>,
     _control: Task<()>,
@@ -145,7 +146,7 @@
     /// Serves the control listener; there are no proxies yet.
     ///
     /// # Errors
-    /// Fails where the address is not free.
+    /// Fails if the address is not free.
     pub async fn start(
         executor: &TaskExecutor,
         control: net::SocketAddr,
@@ -173,17 +174,17 @@
     /// Adds a proxy and returns its addresses as bound.
     ///
     /// # Errors
-    /// Fails where the address is not free.
+    /// Fails if the address is not free.
     pub async fn add(&self, pair: ProxyPair) -> Result<ProxyPair, StandinError> {
         self.set.add(pair).await
     }
 
-    /// Replaces the faults of one proxy or all.
+    /// Replaces the faults of one proxy or of all.
     pub fn set_rules(&self, order: RulesOrder) {
         self.set.set_rules(order);
     }
 
-    /// Replaces the clients that do not get through one proxy or all.
+    /// Replaces the clients that one proxy or all of them block.
     pub fn block(&self, order: &BlockOrder) {
         self.set.block(order);
     }
@@ -223,7 +224,7 @@
             upstreams: sync::Mutex::default(),
         });
         let tasks = [
-            self.executor.spawn(shared.clone().carry_datagrams()),
+            self.executor.spawn(shared.clone().forward_datagrams()),
             self.executor.spawn(shared.clone().accept(listener)),
         ];
         let proxy = RunningProxy {
@@ -266,10 +267,10 @@
         }
     }
 
-    async fn carry_datagrams(self: sync::Arc<Self>) {
+    async fn forward_datagrams(self: sync::Arc<Self>) {
         let mut buffer = vec![0; faults::LARGEST_DATAGRAM];
         loop {
-            // Failures are those of earlier sends, reported late; the next receive goes on.
+            // An error here belongs to an earlier send; receiving can continue.
             let Ok((length, client)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
             };
@@ -290,9 +291,9 @@
         }
         let any = net::SocketAddr::new(self.pair.listen.ip(), 0);
         let (socket, _) = fabric::bind_datagrams(any).await.ok()?;
-        let backward = self.clone().carry_back(socket.clone(), client);
+        let backward = self.clone().return_datagrams(socket.clone(), client);
         let mut upstreams = runtime::locked(&self.upstreams);
-        if upstreams.len() >= CLIENT_LIMIT {
+        if upstreams.len() >= MAX_CLIENTS {
             return None;
         }
         let upstream = Upstream {
@@ -303,7 +304,7 @@
         Some(socket)
     }
 
-    async fn carry_back(self: sync::Arc<Self>, upstream: UdpSocket, client: net::SocketAddr) {
+    async fn return_datagrams(self: sync::Arc<Self>, upstream: UdpSocket, client: net::SocketAddr) {
         let mut buffer = vec![0; faults::LARGEST_DATAGRAM];
         loop {
             if let Ok((length, _)) = upstream.recv_from(&mut buffer).await {
@@ -332,7 +333,7 @@
                 if !delay.is_zero() {
                     async_io::Timer::after(delay).await;
                 }
-                // A target that is gone loses the datagram, as on a network.
+                // If the target no longer runs, the datagram is lost, as on a network.
                 sender.send_to(&datagram, target).await.ok();
             };
             if delay.is_zero() {
@@ -386,7 +387,7 @@
         mut from: TcpStream,
         mut to: TcpStream,
     ) -> io::Result<()> {
-        let mut buffer = vec![0; COPY_SIZE];
+        let mut buffer = vec![0; COPY_BUFFER_BYTES];
         loop {
             let length = from.read(&mut buffer).await?;
             let open = || (self.faults(direction).cut != CutMode::Hold).then_some(());
--- a/crates/cardamomwinch_standin/src/runtime.rs
+++ b/crates/cardamomwinch_standin/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The executor, the clock and the change notice that the stand-ins share.
+//! The executor, the clock and the change notification of the stand-ins.
 
 use std::future;
 use std::sync;
@@ -11,19 +11,19 @@
 
 /// The wall clock.
 pub fn now() -> Timestamp {
-    // A clock before 1970 only makes every deadline look far away.
+    // A clock before 1970 counts as 1970, so every deadline is far in the future.
     let since_epoch = time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
         .unwrap_or_default();
     Timestamp::ZERO.after(since_epoch)
 }
 
-/// Locks `mutex`, also after a holder panicked: a stand-in then still answers.
+/// Locks `mutex`, also if a holder panicked, so that a stand-in continues to answer.
 pub fn locked<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
 
-/// Runs `work` but gives up at `limit`.
+/// Runs `work`; returns nothing if it does not finish by `limit`.
 pub async fn until<T>(limit: time::Instant, work: impl future::Future<Output = T>) -> Option<T> {
     futures_lite::future::or(async { Some(work.await) }, async {
         async_io::Timer::at(limit).await;
@@ -39,8 +39,8 @@
 }
 
 impl ChangeNotice {
-    /// Closes the returned channel at the next change. Subscribe before
-    /// looking at the state, or a change in between goes unseen.
+    /// Returns a channel that is closed at the next change. Subscribe before
+    /// reading the state, or a change in between is missed.
     pub fn subscribe(&self) -> async_channel::Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
         let mut listeners = locked(&self.listeners);
@@ -49,13 +49,13 @@
         receiver
     }
 
-    /// Wakes all who have subscribed.
+    /// Wakes all subscribers.
     pub fn notify(&self) {
         locked(&self.listeners).clear();
     }
 
-    /// Checks now and after each change until `check` yields something, or
-    /// nothing where `limit` comes first.
+    /// Calls `check` now and after each change until it returns a value; returns
+    /// nothing if `limit` is reached first.
     pub async fn wait<T>(
         &self,
         limit: time::Instant,
@@ -66,7 +66,7 @@
             if let Some(found) = check() {
                 return Some(found);
             }
-            // The channel carries nothing; its closing is the message.
+            // Nothing is sent on the channel; it only closes.
             until(limit, change.recv()).await?.ok();
         }
     }
--- a/crates/cardamomwinch_standin/tests/caller_path.rs
+++ b/crates/cardamomwinch_standin/tests/caller_path.rs
@@ -1,4 +1,4 @@
-//! A caller, through the fabric and forwarding hosts, to a backend server and back.
+//! The path from a caller through the fabric and forwarding hosts to a backend server and back.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -13,7 +13,7 @@
 use cardamomwinch_standin::prelude::*;
 use cardamomwinch_standin::runtime;
 use cardamomwinch_state::prelude::*;
-use support::{Forwarder, LIMIT, any, eventually, service};
+use support::{Forwarder, TIMEOUT, any, eventually, service};
 
 struct Path {
     fabric: FabricStandin,
@@ -46,17 +46,20 @@
     async fn open(&self, executor: &TaskExecutor) -> CallerClient {
         let settings = CallerSettings::new(self.fabric.caller_address, service());
         let client = CallerClient::bind(executor, settings).await.unwrap();
-        assert_eq!(client.open(b"", LIMIT).await.unwrap(), OpenOutcome::Opened);
+        assert_eq!(
+            client.open(b"", TIMEOUT).await.unwrap(),
+            OpenOutcome::Opened
+        );
         client
     }
 }
 
 #[test]
-fn an_answer_in_parts_arrives_whole_and_once_over_both_hosts() {
+fn an_answer_in_parts_arrives_complete_and_once_over_both_hosts() {
     support::run(async |executor| {
         let path = Path::start(&executor, |settings| settings.parts = 3).await;
         let client = path.open(&executor).await;
-        let outcome = client.request(b"hello/", true, LIMIT).await.unwrap();
+        let outcome = client.request(b"hello/", true, TIMEOUT).await.unwrap();
         let payload = b"echo:hello/backend".to_vec();
         assert_eq!(outcome, RequestOutcome::Answered { payload });
         assert_eq!(client.counters(), Default::default());
@@ -72,7 +75,7 @@
 }
 
 #[test]
-fn a_doubled_request_shows_as_two_runs_and_two_answers() {
+fn a_duplicated_request_is_recorded_as_two_runs_and_two_answers() {
     support::run(async |executor| {
         let path = Path::start(&executor, |_| ()).await;
         let client = path.open(&executor).await;
@@ -80,7 +83,7 @@
             double: 1.0,
             ..DatagramFaults::default()
         });
-        let outcome = client.request(b"twice", false, LIMIT).await.unwrap();
+        let outcome = client.request(b"twice", false, TIMEOUT).await.unwrap();
         assert!(matches!(outcome, RequestOutcome::Answered { .. }));
         eventually(|| path.backend.report().total >= 2).await;
         assert_eq!(path.backend.report().repeated.len(), 1);
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn a_lost_datagram_is_sent_again() {
+fn a_lost_datagram_is_resent() {
     support::run(async |executor| {
         let path = Path::start(&executor, |_| ()).await;
         let client = path.open(&executor).await;
@@ -97,7 +100,7 @@
             loss: 1.0,
             ..DatagramFaults::default()
         });
-        let request = client.request(b"lost", true, LIMIT);
+        let request = client.request(b"lost", true, TIMEOUT);
         let heal = async {
             eventually(|| path.fabric.statistics().lost >= 2).await;
             path.fabric.set_faults(DatagramFaults::default());
@@ -108,19 +111,19 @@
 }
 
 #[test]
-fn notices_come_unasked_in_sequence() {
+fn notices_arrive_in_sequence_without_a_request() {
     support::run(async |executor| {
         let interval = time::Duration::from_millis(5);
         let path = Path::start(&executor, |settings| settings.notice_interval = interval).await;
         let client = path.open(&executor).await;
-        let notices = client.wait_for_notices(5, LIMIT).await;
+        let notices = client.wait_for_notices(5, TIMEOUT).await;
         assert!(notices.received >= 5);
         assert_eq!(notices.duplicates, 0);
     });
 }
 
 #[test]
-fn a_frozen_server_answers_when_it_thaws() {
+fn a_frozen_server_answers_after_the_freeze() {
     support::run(async |executor| {
         let path = Path::start(&executor, |_| ()).await;
         let client = path.open(&executor).await;
@@ -129,7 +132,7 @@
         let short = time::Duration::from_millis(50);
         let outcome = client.request(b"cold", true, short).await.unwrap();
         assert_eq!(outcome, RequestOutcome::TimedOut);
-        let outcome = client.request(b"warm", true, LIMIT).await.unwrap();
+        let outcome = client.request(b"warm", true, TIMEOUT).await.unwrap();
         assert!(matches!(outcome, RequestOutcome::Answered { .. }));
     });
 }
@@ -145,13 +148,13 @@
         .await;
         let first = path.open(&executor).await;
         let second = path.open(&executor).await;
-        let long = first.request(b"first", true, LIMIT);
+        let long = first.request(b"first", true, TIMEOUT);
         let refused = async {
             eventually(|| path.backend.report().total == 1).await;
-            second.request(b"second", true, LIMIT).await.unwrap()
+            second.request(b"second", true, TIMEOUT).await.unwrap()
         };
-        // The first caller sends again while its request runs, and is told
-        // that the repetition was shed; only the runs are looked at here.
+        // The first caller resends while its request runs, and the resent copy is
+        // shed, so its outcome is not checked; only the runs are.
         let (_, refused) = futures_lite::future::zip(long, refused).await;
         let reason = RefusalReason::Shed;
         assert!(matches!(refused, RequestOutcome::NotRun { reason: found, .. } if found == reason));
@@ -161,7 +164,7 @@
 }
 
 #[test]
-fn a_server_refuses_what_is_late_cancelled_unknown_or_not_its_own() {
+fn a_server_refuses_late_cancelled_unknown_and_foreign_requests() {
     support::run(async |executor| {
         let (host, host_address) = fabric::bind_datagrams(any()).await.unwrap();
         let mut settings = BackendSettings::new(service(), host_address);
@@ -178,7 +181,7 @@
             start_before: limit,
             deadline: limit,
         };
-        let later = runtime::now().after(LIMIT);
+        let later = runtime::now().after(TIMEOUT);
         let datagram = |kind, request| BackendDatagram {
             flow,
             backend: BackendId::new(1),
@@ -235,7 +238,7 @@
 }
 
 #[test]
-fn the_load_endpoint_can_lie() {
+fn the_load_endpoint_reports_a_fixed_report_in_mode_lie() {
     support::run(async |executor| {
         let path = Path::start(&executor, |_| ()).await;
         let _client = path.open(&executor).await;
@@ -254,9 +257,9 @@
             .await
             .unwrap();
         assert_eq!(set.status, 204);
-        let told = http::request(address, "GET", "/load", "").await.unwrap();
+        let reported = http::request(address, "GET", "/load", "").await.unwrap();
         assert_eq!(
-            serde_json::from_slice::<LoadReport>(&told.body).unwrap(),
+            serde_json::from_slice::<LoadReport>(&reported.body).unwrap(),
             report
         );
     });
@@ -271,15 +274,15 @@
         assert_eq!(drained.unwrap().status, 204);
         let settings = CallerSettings::new(path.fabric.caller_address, service());
         let new = CallerClient::bind(&executor, settings).await.unwrap();
-        let refused = new.open(b"", LIMIT).await.unwrap();
+        let refused = new.open(b"", TIMEOUT).await.unwrap();
         assert!(matches!(refused, OpenOutcome::NotRun { .. }));
-        let outcome = old.request(b"old", true, LIMIT).await.unwrap();
+        let outcome = old.request(b"old", true, TIMEOUT).await.unwrap();
         assert!(matches!(outcome, RequestOutcome::Answered { .. }));
     });
 }
 
 #[test]
-fn many_sessions_are_summed_up() {
+fn the_results_of_many_sessions_are_summed() {
     support::run(async |executor| {
         let path = Path::start(&executor, |settings| {
             settings.slots = SlotCount::new(8);
@@ -287,12 +290,12 @@
         })
         .await;
         let mut caller = CallerSettings::new(path.fabric.caller_address, service());
-        caller.resend_interval = LIMIT;
+        caller.resend_interval = TIMEOUT;
         let settings = LoadSettings {
             caller,
             sessions: 4,
             requests: 5,
-            deadline: LIMIT,
+            deadline: TIMEOUT,
             pause: time::Duration::ZERO,
             attempts: 1,
             idempotent: 0.5,
--- a/crates/cardamomwinch_standin/tests/caller_state.rs
+++ b/crates/cardamomwinch_standin/tests/caller_state.rs
@@ -1,5 +1,5 @@
-//! What a caller counts must show a fault where there is one, or no test that
-//! relies on these counts proves anything.
+//! The counters of a caller must show each fault, because other tests rely on
+//! them to detect faults.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -11,7 +11,7 @@
 use cardamomwinch_standin::fabric;
 use cardamomwinch_standin::prelude::*;
 use cardamomwinch_state::prelude::*;
-use support::{LIMIT, any, service};
+use support::{TIMEOUT, any, service};
 use yare::parameterized;
 
 const REQUEST: RequestId = RequestId::new(1);
@@ -74,7 +74,7 @@
         CallerCounters { contradictions: 1, ..CallerCounters::default() },
     },
 )]
-fn an_answer_is_kept_once_and_faults_are_counted(
+fn an_answer_is_stored_once_and_faults_are_counted(
     kinds: &[CallerReplyKind<'_>],
     counters: CallerCounters,
 ) {
@@ -121,7 +121,7 @@
 }
 
 #[parameterized(echoing = {true}, silent = {false})]
-fn the_first_token_is_echoed_or_never(echoes_token: bool) {
+fn a_caller_echoes_the_first_token_or_none(echoes_token: bool) {
     support::run(async |executor| {
         let (host, address) = fabric::bind_datagrams(any()).await.unwrap();
         let mut settings = CallerSettings::new(address, service());
@@ -142,7 +142,7 @@
                 support::send(&host, flow.caller, &CallerReply { flow, kind }).await;
             }
         };
-        let (outcome, ()) = futures_lite::future::zip(client.open(b"", LIMIT), opened).await;
+        let (outcome, ()) = futures_lite::future::zip(client.open(b"", TIMEOUT), opened).await;
         assert_eq!(outcome.unwrap(), OpenOutcome::Opened);
         client.close().await.unwrap();
         let mut buffer = [0; codec::DATAGRAM_LIMIT];
@@ -159,9 +159,9 @@
     });
 }
 
-/// A caller holds part 0 of one run and part 1 of another and takes them for an
-/// answer. Cause: an idempotent request was sent to a server again after its
-/// first answer was late, and both runs answered.
+/// Guards against a caller that joins part 0 of one run and part 1 of another into
+/// an answer. An idempotent request runs twice when a host retries it because its
+/// answer is late, and both runs answer.
 #[test]
 fn parts_of_two_attempts_are_not_mixed() {
     let mut state = CallerState::default();
--- a/crates/cardamomwinch_standin/tests/fabric.rs
+++ b/crates/cardamomwinch_standin/tests/fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric: which hosts a datagram reaches, and in what form.
+//! The fabric: the hosts that a datagram reaches, and its form there.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_doubled_datagram_reaches_two_hosts_once_each() {
+fn a_duplicated_datagram_reaches_two_hosts_once_each() {
     support::run(async |executor| {
         let (fabric, hosts) = start(&executor, SprayMode::Random).await;
         fabric.set_faults(DatagramFaults {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn bytes_that_nobody_understands_pass_whole() {
+fn undecodable_bytes_pass_complete() {
     support::run(async |executor| {
         let (fabric, [host, _]) = start(&executor, SprayMode::Rotate).await;
         let (socket, _) = fabric::bind_datagrams(any()).await.unwrap();
--- a/crates/cardamomwinch_standin/tests/platform.rs
+++ b/crates/cardamomwinch_standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: reading, watching, refusing writes, and its faults.
+//! The platform: reads, watches, refused writes and faults.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -92,7 +92,7 @@
     back = {FaultMode::Back, "first"},
     slow = {FaultMode::Slow, "third"},
 )]
-fn a_fault_decides_which_revision_is_seen(mode: FaultMode, value: &str) {
+fn a_fault_determines_which_revision_is_returned(mode: FaultMode, value: &str) {
     support::run(async |executor| {
         let platform = start(&executor).await;
         platform.put("root", "first".to_owned());
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_fault_breaks_silences_or_refuses() {
+fn a_fault_returns_garbage_refuses_or_never_answers() {
     support::run(async |executor| {
         let platform = start(&executor).await;
         platform.put("root", "x".to_owned());
@@ -125,9 +125,8 @@
     });
 }
 
-/// Story: a host waits in a watch; the platform begins to refuse; the waiting
-/// connection must close as well, or the host would notice nothing for the
-/// whole length of its watch.
+/// Guards against a platform that refuses new connections but leaves waiting
+/// watches open. A host would then not notice the failure until its watch ends.
 #[test]
 fn a_refusing_platform_also_closes_waiting_watches() {
     support::run(async |executor| {
--- a/crates/cardamomwinch_standin/tests/processes.rs
+++ b/crates/cardamomwinch_standin/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The programs as real processes.
+//! The stand-in programs as real processes.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -7,7 +7,7 @@
 
 use cardamomwinch_standin::prelude::*;
 use cardamomwinch_standin::runtime;
-use support::{Forwarder, LIMIT};
+use support::{Forwarder, TIMEOUT};
 
 #[test]
 fn a_whole_path_of_processes_answers_every_request() {
@@ -33,11 +33,11 @@
         let arguments = arguments.into_iter().chain(["--resend-ms", "20000"]);
         let caller = ChildProcess::start(env!("CARGO_BIN_EXE_standin-caller"), arguments);
         let mut caller = caller.unwrap();
-        // Waiting blocks a thread, and this one runs the forwarders.
+        // Waiting blocks its thread, and this thread runs the forwarders.
         let (sender, ended) = async_channel::bounded(1);
         std::thread::spawn(move || {
-            let line = caller.next_line(LIMIT);
-            let status = caller.wait(LIMIT).unwrap();
+            let line = caller.next_line(TIMEOUT);
+            let status = caller.wait(TIMEOUT).unwrap();
             sender.send_blocking((line, status)).unwrap();
         });
         let (line, status) = ended.recv().await.unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_paused_process_is_silent_until_it_is_resumed() {
+fn a_paused_process_does_not_answer_until_it_is_resumed() {
     support::run(async |_| {
         let arguments: [&str; 0] = [];
         let platform = ChildProcess::start(env!("CARGO_BIN_EXE_standin-platform"), arguments);
@@ -64,13 +64,13 @@
         platform.resume().unwrap();
         assert_eq!(read.await.unwrap().status, 404);
         platform.terminate().unwrap();
-        assert!(platform.wait(LIMIT).unwrap().is_some());
+        assert!(platform.wait(TIMEOUT).unwrap().is_some());
         assert!(matches!(platform.terminate(), Err(StandinError::Ended)));
     });
 }
 
 #[test]
-fn a_proxy_process_leads_to_another() {
+fn a_proxy_process_forwards_to_another_process() {
     support::run(async |_| {
         let arguments: [&str; 0] = [];
         let platform = ChildProcess::start(env!("CARGO_BIN_EXE_standin-platform"), arguments);
--- a/crates/cardamomwinch_standin/tests/proxy.rs
+++ b/crates/cardamomwinch_standin/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: carrying and cutting datagrams and connections.
+//! The proxy: forwarding and cutting datagrams and connections.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -42,7 +42,7 @@
         server.send_to(b"back", upstream).await.unwrap();
         let (length, from) = client.recv_from(&mut buffer).await.unwrap();
         assert_eq!((&buffer[..length], from), (&b"back"[..], listen));
-        // Forward still passes, so its arrival shows that the proxy is at work.
+        // The forward direction still passes, so the arrival shows that the proxy runs.
         proxy.set_rules(cut(CutMode::None, CutMode::Hold));
         client.send_to(b"two", listen).await.unwrap();
         let (length, upstream) = server.recv_from(&mut buffer).await.unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_connection_holds_and_goes_on_and_a_closing_cut_ends_it() {
+fn a_held_connection_continues_and_a_closing_cut_ends_it() {
     support::run(async |executor| {
         let platform = PlatformStandin::start(&executor, PlatformSettings::default());
         let platform = platform.await.unwrap();
--- a/crates/cardamomwinch_standin/tests/support/mod.rs
+++ b/crates/cardamomwinch_standin/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Running a test on an executor, and a host that forwards without deciding anything.
-// Each test file uses a part of this.
+//! Runs tests on an executor, and has a host that forwards without any decisions.
+// Each test file uses only a part of this.
 #![allow(dead_code)]
 
 use std::future;
@@ -15,7 +15,7 @@
 use cardamomwinch_standin::prelude::*;
 use cardamomwinch_state::prelude::*;
 
-pub(crate) const LIMIT: time::Duration = time::Duration::from_secs(20);
+pub(crate) const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 pub(crate) fn any() -> net::SocketAddr {
     net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0))
@@ -25,26 +25,29 @@
     net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 80))
 }
 
-/// Runs `test` to its end and fails it where it takes far too long.
+/// Runs `test` to its end and fails it if it takes too long.
 pub(crate) fn run<F: future::Future<Output = ()>>(test: impl FnOnce(TaskExecutor) -> F) {
     let executor = TaskExecutor::default();
     let limited = futures_lite::future::or(test(executor.clone()), async {
-        async_io::Timer::after(3 * LIMIT).await;
+        async_io::Timer::after(3 * TIMEOUT).await;
         panic!("the test did not end in time");
     });
     async_io::block_on(executor.run(limited));
 }
 
-/// Looks again and again until `check` holds.
+/// Repeats `check` until it returns `true`.
 pub(crate) async fn eventually(mut check: impl FnMut() -> bool) {
-    let limit = time::Instant::now() + LIMIT;
+    let limit = time::Instant::now() + TIMEOUT;
     while !check() {
-        assert!(time::Instant::now() < limit, "it never came true");
+        assert!(
+            time::Instant::now() < limit,
+            "the condition was not met in time"
+        );
         async_io::Timer::after(time::Duration::from_millis(5)).await;
     }
 }
 
-/// A host that hands everything from callers to one backend server and back.
+/// A host that forwards everything from callers to one backend server and back.
 pub(crate) struct Forwarder {
     pub(crate) address: net::SocketAddr,
     pub(crate) received: sync::Arc<atomic::AtomicUsize>,
@@ -98,7 +101,7 @@
     send(socket, backend, &forwarded).await;
 }
 
-/// A claim that names `backend` and nothing real besides.
+/// A claim for `backend`; its domain and address are placeholders.
 pub(crate) fn claim(backend: BackendId) -> TokenClaim {
     TokenClaim {
         backend,
