--- a/crates/cardamomwinch_experiment/src/backends.rs
+++ b/crates/cardamomwinch_experiment/src/backends.rs
@@ -1,6 +1,6 @@
 //! A small backend server: slots, a short queue, shedding, a cold start,
-//! cancellation, deadlines and heavy-tailed service times. It does not notice
-//! that it is asked to run a request again.
+//! cancellation, deadlines and heavy-tailed service times. It does not detect
+//! duplicates: a request that reaches it twice runs twice.
 
 use std::collections;
 use std::time;
@@ -17,31 +17,35 @@
 
 use crate::deployment;
 
-/// Requests that wait at the server at most.
+/// The largest number of requests that wait at a server.
 const QUEUE_LIMIT: usize = 8;
-/// The shortest service time.
-const SHORTEST: f64 = 0.020;
-/// The longest service time.
-const LONGEST: f64 = 2.0;
-/// The exponent of the tail of service times.
-const TAIL: f64 = 1.6;
-/// A cold server takes this many times longer.
+/// The shortest service time, in seconds.
+const SHORTEST_SERVICE_SECONDS: f64 = 0.020;
+/// The longest service time, in seconds.
+const LONGEST_SERVICE_SECONDS: f64 = 2.0;
+/// The exponent of the bounded Pareto distribution of service times.
+const TAIL_EXPONENT: f64 = 1.6;
+/// Service times of a cold server are this many times longer.
 const COLD_FACTOR: f64 = 3.0;
-/// One request in this many has an answer of several parts.
+/// One request in this many has an answer of [`LONG_ANSWER_PARTS`] parts.
 const LONG_ANSWER_SHARE: u64 = 10;
 const LONG_ANSWER_PARTS: u32 = 3;
 
-/// The mean of the service times: that of the bounded Pareto distribution.
+/// The mean service time: the mean of the bounded Pareto distribution.
 pub fn mean_service_time() -> time::Duration {
-    let spread = 1.0 - (SHORTEST / LONGEST).powf(TAIL);
-    let tail = 1.0 - (SHORTEST / LONGEST).powf(TAIL - 1.0);
-    time::Duration::from_secs_f64(SHORTEST * TAIL / (TAIL - 1.0) * tail / spread)
+    let spread = 1.0 - (SHORTEST_SERVICE_SECONDS / LONGEST_SERVICE_SECONDS).powf(TAIL_EXPONENT);
+    let tail = 1.0 - (SHORTEST_SERVICE_SECONDS / LONGEST_SERVICE_SECONDS).powf(TAIL_EXPONENT - 1.0);
+    time::Duration::from_secs_f64(
+        SHORTEST_SERVICE_SECONDS * TAIL_EXPONENT / (TAIL_EXPONENT - 1.0) * tail / spread,
+    )
 }
 
 fn service_time(rng: &mut SmallRng) -> time::Duration {
-    let spread = 1.0 - (SHORTEST / LONGEST).powf(TAIL);
+    let spread = 1.0 - (SHORTEST_SERVICE_SECONDS / LONGEST_SERVICE_SECONDS).powf(TAIL_EXPONENT);
     let uniform = rng.random::<f64>();
-    time::Duration::from_secs_f64(SHORTEST / (1.0 - uniform * spread).powf(1.0 / TAIL))
+    time::Duration::from_secs_f64(
+        SHORTEST_SERVICE_SECONDS / (1.0 - uniform * spread).powf(1.0 / TAIL_EXPONENT),
+    )
 }
 
 /// A request at a server.
@@ -56,21 +60,22 @@
 #[derive(Debug)]
 struct ActiveRun {
     number: u64,
-    began: Timestamp,
+    started: Timestamp,
     request: ServerRequest,
 }
 
-/// What a server does.
+/// An effect of a server.
 #[derive(Debug)]
 pub enum ServerOutput {
     /// It sends a reply into the fabric.
     Reply(BackendReply<'static>),
-    /// It has begun to run a request, and will end at that time.
-    Began(RequestId, u64, Timestamp),
-    /// It was busy with a request from one point to another.
-    Busy(Timestamp, Timestamp),
-    /// It holds a new flow.
-    Holds(FlowKey, BackendId, HostId),
+    /// It started a run of a request: the request, the number of the run, and when
+    /// the run ends.
+    RunStarted(RequestId, u64, Timestamp),
+    /// A slot was busy from one time to another.
+    SlotBusy(Timestamp, Timestamp),
+    /// It opened a new flow.
+    FlowOpened(FlowKey, BackendId, HostId),
 }
 
 /// One backend server.
@@ -83,14 +88,14 @@
     waiting: collections::VecDeque<ServerRequest>,
     run_count: u64,
     answers: u64,
-    /// The service that it serves.
+    /// The index of its service.
     pub service: usize,
-    /// Whether it is about to leave.
+    /// Whether it is draining.
     pub draining: bool,
 }
 
 impl BackendServer {
-    /// A server of `service` that is cold until then.
+    /// A server of `service` that is cold until `cold_until`.
     pub const fn new(service: usize, rng: SmallRng, cold_until: Timestamp) -> Self {
         Self {
             rng,
@@ -105,8 +110,8 @@
         }
     }
 
-    /// Starts anew for another service, and cold.
-    pub fn serve_other(&mut self, service: usize, cold_until: Timestamp) {
+    /// Restarts for another service without any flows, cold until `cold_until`.
+    pub fn restart_for(&mut self, service: usize, cold_until: Timestamp) {
         self.service = service;
         self.cold_until = cold_until;
         self.draining = false;
@@ -120,7 +125,7 @@
         self.flows.contains_key(&flow)
     }
 
-    /// What the load endpoint answers.
+    /// The report of the load endpoint.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             busy_slots: self.running.len() as u32,
@@ -131,8 +136,8 @@
         }
     }
 
-    /// Takes a datagram.
-    pub fn take(
+    /// Handles a datagram from a host.
+    pub fn handle(
         &mut self,
         now: Timestamp,
         datagram: &BackendDatagram<'_>,
@@ -186,7 +191,7 @@
         if !self.flows.contains_key(&flow) {
             self.flows.insert(flow, 0);
             let (backend, via) = (datagram.backend, datagram.via);
-            outputs.push(ServerOutput::Holds(datagram.flow, backend, via));
+            outputs.push(ServerOutput::FlowOpened(datagram.flow, backend, via));
         }
         outputs.push(reply(datagram, BackendReplyKind::Opened));
     }
@@ -210,18 +215,18 @@
             }
             self.run_count += 1;
             let number = self.run_count;
-            let mut taken = service_time(&mut self.rng);
+            let mut duration = service_time(&mut self.rng);
             if now < self.cold_until {
-                taken = taken.mul_f64(COLD_FACTOR);
+                duration = duration.mul_f64(COLD_FACTOR);
             }
-            outputs.push(ServerOutput::Began(
+            outputs.push(ServerOutput::RunStarted(
                 request.request.id,
                 number,
-                now.after(taken),
+                now.after(duration),
             ));
             self.running.push(ActiveRun {
                 number,
-                began: now,
+                started: now,
                 request,
             });
         }
@@ -234,7 +239,7 @@
             return;
         };
         let run = self.running.swap_remove(position);
-        outputs.push(ServerOutput::Busy(run.began, now));
+        outputs.push(ServerOutput::SlotBusy(run.started, now));
         let request = run.request.request;
         let total = match request.id.get() % LONG_ANSWER_SHARE {
             0 => LONG_ANSWER_PARTS,
@@ -256,21 +261,21 @@
         let Some(cancelled) = datagram.request else {
             return;
         };
-        let is_it = |request: &ServerRequest| {
+        let is_cancelled = |request: &ServerRequest| {
             (request.flow, request.request.id) == (datagram.flow, cancelled.id)
         };
-        self.waiting.retain(|request| !is_it(request));
+        self.waiting.retain(|request| !is_cancelled(request));
         self.running.retain(|run| {
-            let keep = !is_it(&run.request);
+            let keep = !is_cancelled(&run.request);
             if !keep {
-                outputs.push(ServerOutput::Busy(run.began, now));
+                outputs.push(ServerOutput::SlotBusy(run.started, now));
             }
             keep
         });
         self.begin_waiting(now, outputs);
     }
 
-    /// The next notice of `flow`, where the flow is open.
+    /// The sequence number of the next notice of `flow`, if the flow is open.
     pub fn next_notice(&mut self, flow: usize) -> Option<u64> {
         let sequence = self.flows.get_mut(&flow)?;
         *sequence += 1;
@@ -294,7 +299,7 @@
         part,
         payload: &[],
     };
-    about(request, kind)
+    reply_about(request, kind)
 }
 
 fn shed(request: &ServerRequest, outputs: &mut Vec<ServerOutput>) {
@@ -302,10 +307,10 @@
         request: Some(request.request.id),
         attempt: request.request.attempt,
     };
-    outputs.push(about(request, kind));
+    outputs.push(reply_about(request, kind));
 }
 
-const fn about(request: &ServerRequest, kind: BackendReplyKind<'static>) -> ServerOutput {
+const fn reply_about(request: &ServerRequest, kind: BackendReplyKind<'static>) -> ServerOutput {
     ServerOutput::Reply(BackendReply {
         flow: request.flow,
         backend: request.backend,
--- a/crates/cardamomwinch_experiment/src/baseline/consistent_table.rs
+++ b/crates/cardamomwinch_experiment/src/baseline/consistent_table.rs
@@ -1,4 +1,4 @@
-//! The product's lookup table alone: no flow is remembered anywhere.
+//! The product's lookup table alone, without any flow table.
 
 use cardamomwinch_coordination::routing::lookup_table::LookupTables;
 use cardamomwinch_protocol::prelude::TokenClaim;
--- a/crates/cardamomwinch_experiment/src/baseline/mod.rs
+++ b/crates/cardamomwinch_experiment/src/baseline/mod.rs
@@ -1,5 +1,5 @@
-//! Baselines: what a plain layer-4 balancer does, decided on each host alone.
-//! No host relays anything, and none counts slots or remembers requests.
+//! Baselines: the decisions of a plain layer-4 load balancer, made on each host
+//! alone. Hosts relay nothing, count no slots and record no requests.
 
 pub mod consistent_table;
 pub mod pinned_hash;
@@ -24,24 +24,24 @@
 
 /// How a baseline chooses the backend server of a flow.
 pub trait FlowChoice: Default {
-    /// What tables call it.
+    /// Its name in reports.
     const NAME: &'static str;
 
-    /// Takes a configuration into force.
+    /// Puts a configuration in force.
     fn adopt(&mut self, configuration: &InForceConfiguration);
 
-    /// The server of `flow`.
+    /// The server of `flow`, if there is one.
     fn choose(
         &mut self,
         configuration: &InForceConfiguration,
         flow: &FlowKey,
     ) -> Option<TokenClaim>;
 
-    /// Forgets `flow`.
+    /// Removes `flow`.
     fn close(&mut self, flow: &FlowKey);
 }
 
-/// A host that decides by `C` alone.
+/// A host that chooses servers only by `C`.
 #[derive(Debug)]
 pub struct BaselineHost<C> {
     identity: HostIdentity,
@@ -69,7 +69,7 @@
                 self.forward(&datagram, sink);
             }
             HostEvent::Traffic(TrafficEvent::Fabric(FabricDatagram::Backend(reply))) => {
-                self.tell_caller(&reply, sink);
+                self.send_to_caller(&reply, sink);
             }
             HostEvent::Traffic(_) => {}
         }
@@ -82,7 +82,7 @@
             ControlEvent::Start => PlainAdoption::first_requests(),
             ControlEvent::Platform(outcome) => {
                 let before = self.adoption.configuration.version;
-                let requests = self.adoption.take(outcome);
+                let requests = self.adoption.handle(outcome);
                 if self.adoption.configuration.version > before {
                     self.choice.adopt(&self.adoption.configuration);
                 }
@@ -130,7 +130,7 @@
         }));
     }
 
-    fn tell_caller<S: HostSink>(&self, answer: &BackendReply<'_>, sink: &mut S) {
+    fn send_to_caller<S: HostSink>(&self, answer: &BackendReply<'_>, sink: &mut S) {
         let kind = match answer.kind {
             BackendReplyKind::Answer {
                 request,
--- a/crates/cardamomwinch_experiment/src/baseline/pinned_hash.rs
+++ b/crates/cardamomwinch_experiment/src/baseline/pinned_hash.rs
@@ -1,5 +1,5 @@
-//! A local flow table over a plain hash: a flow that this host has not seen
-//! goes to the server at its hash modulo the number of servers.
+//! A local flow table and a plain hash: a flow that is not in the table goes to
+//! the server whose index is the flow's hash modulo the number of servers.
 
 use cardamomwinch_protocol::prelude::TokenClaim;
 use cardamomwinch_state::prelude::{
@@ -9,9 +9,9 @@
 
 use crate::baseline::FlowChoice;
 
-const FLOW_LIMIT: usize = 500_000;
+const MAX_FLOWS: usize = 500_000;
 
-/// Flows that this host has seen, and servers by service.
+/// The flow table of one host, and the servers of each service.
 #[derive(Debug)]
 pub struct PinnedHash {
     flows: FlowTable<TokenClaim>,
@@ -21,7 +21,7 @@
 impl Default for PinnedHash {
     fn default() -> Self {
         Self {
-            flows: FlowTable::new(FLOW_LIMIT),
+            flows: FlowTable::new(MAX_FLOWS),
             servers: SortedVector::new(),
         }
     }
@@ -32,8 +32,8 @@
 
     fn adopt(&mut self, configuration: &InForceConfiguration) {
         self.servers = SortedVector::new();
-        let takers = configuration.backends.values();
-        for entry in takers.filter(|entry| entry.takes_new_flows()) {
+        let accepting = configuration.backends.values();
+        for entry in accepting.filter(|entry| entry.takes_new_flows()) {
             let servers = self.servers.get_or_insert_with(entry.service, Vec::new);
             servers.push(entry.id);
         }
@@ -52,7 +52,7 @@
         let servers = self.servers.get(&service.id)?;
         let chosen = servers[(hash.get() % servers.len() as u64) as usize];
         let claim = TokenClaim::from(configuration.backends.get(&chosen)?);
-        // A full table only means that the next datagram is hashed anew.
+        // If the table is full, the next datagram of the flow is hashed again.
         let _ = self.flows.insert(hash, *flow, claim);
         Some(claim)
     }
--- a/crates/cardamomwinch_experiment/src/baseline/plain_adoption.rs
+++ b/crates/cardamomwinch_experiment/src/baseline/plain_adoption.rs
@@ -1,4 +1,4 @@
-//! How a baseline host learns the configuration: it watches the platform.
+//! How a baseline host gets its configuration: it watches the platform.
 
 use std::time;
 
@@ -12,44 +12,45 @@
 
 const WATCH_WAIT: time::Duration = time::Duration::from_secs(20);
 
-/// What a baseline host has in force, and what it still reads.
+/// The configuration that a baseline host has in force, and the documents that
+/// it has read.
 #[derive(Debug, Default)]
 pub struct PlainAdoption {
-    /// What is in force.
+    /// The configuration in force.
     pub configuration: InForceConfiguration,
     fragments: SortedVector<String, AcceptedFragment>,
     pending: Option<(ConfigurationVersion, RootDocument)>,
-    repeated: Vec<PlatformRequest>,
+    failed: Vec<PlatformRequest>,
 }
 
 impl PlainAdoption {
-    /// The calls of a cold host.
+    /// The calls of a host that has just started.
     pub fn first_requests() -> Vec<PlatformRequest> {
         vec![request(PlatformKey::Root, None)]
     }
 
-    /// Calls that failed and are made again.
+    /// Removes and returns the failed calls, which are due for a retry.
     pub fn due_requests(&mut self) -> Vec<PlatformRequest> {
-        std::mem::take(&mut self.repeated)
+        std::mem::take(&mut self.failed)
     }
 
-    /// Takes the outcome of a call; returns the calls to make next.
-    pub fn take(&mut self, outcome: PlatformOutcome) -> Vec<PlatformRequest> {
+    /// Handles the outcome of a call; returns the calls to make next.
+    pub fn handle(&mut self, outcome: PlatformOutcome) -> Vec<PlatformRequest> {
         match outcome.result {
             Ok(PlatformAnswer::Value { revision, text }) => match outcome.request.key {
-                PlatformKey::Root => self.take_root(revision, &text),
-                PlatformKey::Team(team) => self.take_fragment(team, revision, &text),
+                PlatformKey::Root => self.handle_root(revision, &text),
+                PlatformKey::Team(team) => self.handle_fragment(team, revision, &text),
                 PlatformKey::Hosts => Vec::new(),
             },
             Ok(PlatformAnswer::Unchanged) => vec![outcome.request],
             Ok(PlatformAnswer::Missing) | Err(_) => {
-                self.repeated.push(outcome.request);
+                self.failed.push(outcome.request);
                 Vec::new()
             }
         }
     }
 
-    fn take_root(&mut self, revision: u64, text: &str) -> Vec<PlatformRequest> {
+    fn handle_root(&mut self, revision: u64, text: &str) -> Vec<PlatformRequest> {
         let version = ConfigurationVersion::new(revision);
         let mut next = vec![request(PlatformKey::Root, Some(revision))];
         let Ok(document) = RootDocument::parse("root", text) else {
@@ -67,7 +68,7 @@
         next
     }
 
-    fn take_fragment(&mut self, team: String, revision: u64, text: &str) -> Vec<PlatformRequest> {
+    fn handle_fragment(&mut self, team: String, revision: u64, text: &str) -> Vec<PlatformRequest> {
         if let Ok(fragment) = TeamFragment::parse(&team, text) {
             let accepted = AcceptedFragment {
                 team: team.clone(),
--- a/crates/cardamomwinch_experiment/src/bin/cardamomwinch_experiment.rs
+++ b/crates/cardamomwinch_experiment/src/bin/cardamomwinch_experiment.rs
@@ -1,4 +1,4 @@
-//! Runs scenarios under each policy and prints what they measured.
+//! Runs scenarios under each policy and prints the results.
 
 use std::env;
 use std::fs;
@@ -18,7 +18,7 @@
 
 const HOSTS: std::ops::RangeInclusive<usize> = 3..=64;
 
-/// Why the command could not do what it was asked.
+/// Errors of the command.
 #[derive(Debug)]
 #[derive(Snafu)]
 enum CommandError {
@@ -83,10 +83,10 @@
 }
 
 fn run_once<P: HostPolicy>(options: RunOptions) -> RunMeasures {
-    let began = time::Instant::now();
+    let started = time::Instant::now();
     let subject = format!("{}, {}, seed {}", options.scenario, P::NAME, options.seed);
     let mut progress = |passed: time::Duration| {
-        let (virtual_time, real) = (passed.as_secs(), began.elapsed().as_secs());
+        let (virtual_time, real) = (passed.as_secs(), started.elapsed().as_secs());
         eprint!("\r{subject}: {virtual_time} s in {real} s   ");
     };
     let measures = WorldRun::<P>::measure(options, &mut progress);
--- a/crates/cardamomwinch_experiment/src/callers/flows.rs
+++ b/crates/cardamomwinch_experiment/src/callers/flows.rs
@@ -1,11 +1,11 @@
-//! How a caller opens and closes its flows, and what ends them early.
+//! How callers open and close flows, and how flows break.
 
 use cardamomwinch_protocol::prelude::{CallerKind, RoutingToken};
 use cardamomwinch_state::prelude::Timestamp;
 
 use crate::callers::{
-    CallerFleet, CallerOutput, CallerTimer, DATA_INTERVAL, FIRST_RESEND, FlowRole, FlowState,
-    OPENING_LIMIT, REOPEN_AFTER, datagram,
+    CallerFleet, CallerOutput, CallerTimer, DATA_INTERVAL, FIRST_RESEND_INTERVAL, FlowRole,
+    FlowState, MAX_OPENING_SENDS, REOPEN_DELAY, datagram,
 };
 use crate::deployment;
 use crate::measures::{BreakCause, RunMeasures};
@@ -22,18 +22,18 @@
         if flow.state != FlowState::Opening {
             return;
         }
-        if flow.opening_sends >= OPENING_LIMIT {
+        if flow.opening_sends >= MAX_OPENING_SENDS {
             flow.state = FlowState::Abandoned;
             measures.counts.not_established += 1;
             return;
         }
         flow.opening_sends += 1;
         outputs.push(CallerOutput::Send(datagram(flow, CallerKind::Open, None)));
-        let again = now.after(FIRST_RESEND);
-        outputs.push(CallerOutput::At(again, CallerTimer::Open(index)));
+        let again = now.after(FIRST_RESEND_INTERVAL);
+        outputs.push(CallerOutput::Wait(again, CallerTimer::Open(index)));
     }
 
-    pub(super) fn arrive(
+    pub(super) fn start_short_flow(
         &mut self,
         now: Timestamp,
         service: usize,
@@ -47,7 +47,7 @@
         self.make_request(now, flow, measures, outputs);
         let pause = self.exponential(self.arrivals[service]);
         let next = now.after(pause);
-        outputs.push(CallerOutput::At(next, CallerTimer::Arrival(service)));
+        outputs.push(CallerOutput::Wait(next, CallerTimer::Arrival(service)));
     }
 
     pub(super) fn send_data(
@@ -60,7 +60,7 @@
         if flow.state == FlowState::Open && now < self.load_until {
             outputs.push(CallerOutput::Send(datagram(flow, CallerKind::Carry, None)));
             let next = now.after(DATA_INTERVAL);
-            outputs.push(CallerOutput::At(next, CallerTimer::Data(index)));
+            outputs.push(CallerOutput::Wait(next, CallerTimer::Data(index)));
         }
     }
 
@@ -93,9 +93,9 @@
         flow.token = flow.echoes.then_some(token);
         if let FlowRole::Session(interval) = flow.role {
             let request = now.after(self.exponential(interval));
-            outputs.push(CallerOutput::At(request, CallerTimer::Request(index)));
+            outputs.push(CallerOutput::Wait(request, CallerTimer::Request(index)));
             let data = now.after(self.exponential(DATA_INTERVAL));
-            outputs.push(CallerOutput::At(data, CallerTimer::Data(index)));
+            outputs.push(CallerOutput::Wait(data, CallerTimer::Data(index)));
         }
     }
 
@@ -135,8 +135,8 @@
         let (role, service) = (flow.role, deployment::service_at(&flow.key));
         if role != FlowRole::Short && now < self.load_until {
             let fresh = self.add_flow(service, role);
-            let then = now.after(REOPEN_AFTER);
-            outputs.push(CallerOutput::At(then, CallerTimer::Open(fresh)));
+            let then = now.after(REOPEN_DELAY);
+            outputs.push(CallerOutput::Wait(then, CallerTimer::Open(fresh)));
         }
     }
 }
--- a/crates/cardamomwinch_experiment/src/callers/mod.rs
+++ b/crates/cardamomwinch_experiment/src/callers/mod.rs
@@ -17,30 +17,32 @@
 use crate::deployment;
 use crate::measures::{BreakCause, RunMeasures};
 
-/// The longest time from first sending to deadline, as the configuration has it.
+/// The longest time from the first send of a request to its deadline, as in the
+/// configuration.
 const LONG_DEADLINE: time::Duration = time::Duration::from_secs(10);
 const SHORT_DEADLINE: time::Duration = time::Duration::from_secs(4);
-const FIRST_RESEND: time::Duration = time::Duration::from_millis(400);
-const LAST_RESEND: time::Duration = time::Duration::from_millis(1600);
-const OPENING_LIMIT: u32 = 12;
+const FIRST_RESEND_INTERVAL: time::Duration = time::Duration::from_millis(400);
+const MAX_RESEND_INTERVAL: time::Duration = time::Duration::from_millis(1600);
+const MAX_OPENING_SENDS: u32 = 12;
 const DATA_INTERVAL: time::Duration = time::Duration::from_secs(4);
-const REOPEN_AFTER: time::Duration = time::Duration::from_millis(200);
+const REOPEN_DELAY: time::Duration = time::Duration::from_millis(200);
 const SHORT_FLOW_PAUSE: time::Duration = time::Duration::from_millis(300);
-/// Requests of a short flow.
+/// The number of requests of a short flow.
 pub const SHORT_FLOW_REQUESTS: u32 = 2;
-/// A session counts as silent after this many requests without any reply.
+/// A session counts as silent after this many consecutive requests without a reply.
 const SILENT_REQUESTS: u32 = 2;
-/// Only requests of this last part of a run tell whether a session is silent:
-/// by then all changes are over.
-const SETTLED_PART: time::Duration = time::Duration::from_secs(40);
-const SILENT_NOTICES: time::Duration = time::Duration::from_secs(16);
-/// How often a backend server sends a notice on a session.
+/// Only requests of this last part of the load, when all changes are over, are
+/// used to find silent sessions.
+const SETTLED_DURATION: time::Duration = time::Duration::from_secs(40);
+/// A session counts as silent if it received no notice in this last part of the load.
+const SILENT_NOTICE_DURATION: time::Duration = time::Duration::from_secs(16);
+/// The time between two notices of a backend server on a session.
 pub const NOTICE_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
-/// What a flow is for.
+/// The kind of a flow.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FlowRole {
-    /// Open for the whole run, with a request every so often.
+    /// Open for the whole run, with requests at this mean interval.
     Session(time::Duration),
     /// A few requests, then closed.
     Short,
@@ -66,8 +68,8 @@
     opened: Timestamp,
     opening_sends: u32,
     requests: u32,
-    unheard: u32,
-    last_heard: Timestamp,
+    unanswered: u32,
+    last_reply: Timestamp,
     notices: Vec<bool>,
     last_notice: Timestamp,
 }
@@ -75,44 +77,44 @@
 #[derive(Debug)]
 struct CallerRequest {
     flow: usize,
-    made: Timestamp,
+    created: Timestamp,
     idempotent: bool,
     deadline: Timestamp,
     pause: time::Duration,
-    first_arrival: Option<Timestamp>,
+    first_at_host: Option<Timestamp>,
     ended: bool,
     counted: bool,
     attempt: AttemptNumber,
     parts: Vec<bool>,
     runs: u32,
-    told_not_run: bool,
-    counted_false: bool,
+    reported_not_run: bool,
+    counted_violation: bool,
 }
 
-/// What a caller waits for.
+/// The action at the end of a caller's timer.
 #[derive(Debug, Clone, Copy)]
 pub enum CallerTimer {
-    /// To open a flow, or to try again.
+    /// Send or resend the opening of a flow.
     Open(usize),
-    /// To make the next request on a flow.
+    /// Make the next request on a flow.
     Request(usize),
-    /// To send a request again.
+    /// Resend a request.
     Resend(usize),
-    /// To send data without a request on a flow.
+    /// Send data without a request on a flow.
     Data(usize),
-    /// To close a flow.
+    /// Close a flow.
     Close(usize),
-    /// To begin the next short flow to a service.
+    /// Start the next short flow to a service.
     Arrival(usize),
 }
 
-/// What a caller does.
+/// An effect of a caller.
 #[derive(Debug)]
 pub enum CallerOutput {
     /// It sends a datagram into the fabric.
     Send(CallerDatagram<'static>),
-    /// It waits.
-    At(Timestamp, CallerTimer),
+    /// It waits until a time, then handles the timer.
+    Wait(Timestamp, CallerTimer),
 }
 
 /// How a request ended for its caller.
@@ -129,7 +131,7 @@
 pub struct CallerFleet {
     rng: SmallRng,
     echo_share: f64,
-    /// From one short flow to the next, by service.
+    /// The mean time between two short flows, by service.
     arrivals: [time::Duration; 2],
     load_until: Timestamp,
     flows: Vec<CallerFlow>,
@@ -137,7 +139,8 @@
 }
 
 impl CallerFleet {
-    /// Callers of whom `echo_share` echo their tokens.
+    /// Callers that make requests until `load_until`; a share `echo_share` of their
+    /// flows echo tokens.
     pub const fn new(
         rng: SmallRng,
         echo_share: f64,
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Adds a flow that has still to be opened.
+    /// Adds a flow that is not open yet and returns its index.
     pub fn add_flow(&mut self, service: usize, role: FlowRole) -> usize {
         let flow = self.flows.len();
         self.flows.push(CallerFlow {
@@ -167,16 +170,16 @@
             opened: Timestamp::ZERO,
             opening_sends: 0,
             requests: 0,
-            unheard: 0,
-            last_heard: Timestamp::ZERO,
+            unanswered: 0,
+            last_reply: Timestamp::ZERO,
             notices: Vec::new(),
             last_notice: Timestamp::ZERO,
         });
         flow
     }
 
-    /// Does what was waited for.
-    pub fn act(
+    /// Handles the end of a timer.
+    pub fn handle_timer(
         &mut self,
         now: Timestamp,
         timer: CallerTimer,
@@ -189,12 +192,12 @@
             CallerTimer::Resend(request) => self.resend(now, request, measures, outputs),
             CallerTimer::Data(flow) => self.send_data(now, flow, outputs),
             CallerTimer::Close(flow) => self.close(flow, outputs),
-            CallerTimer::Arrival(service) => self.arrive(now, service, measures, outputs),
+            CallerTimer::Arrival(service) => self.start_short_flow(now, service, measures, outputs),
         }
     }
 
-    /// Takes a reply.
-    pub fn receive(
+    /// Handles a reply.
+    pub fn handle_reply(
         &mut self,
         now: Timestamp,
         reply: &CallerReply<'_>,
@@ -224,11 +227,11 @@
                 ..
             } => {
                 let request = request.get() as usize;
-                self.requests[request].told_not_run = true;
+                self.requests[request].reported_not_run = true;
                 self.check_refusal(request, measures);
                 self.end(now, request, RequestEnd::NotRun(reason), measures, outputs);
             }
-            // The opening is tried again in any case.
+            // A timer resends the opening in any case.
             CallerReplyKind::NotRun { request: None, .. } => {}
             CallerReplyKind::OutcomeUnknown { request, .. } => {
                 let request = request.get() as usize;
--- a/crates/cardamomwinch_experiment/src/callers/requests.rs
+++ b/crates/cardamomwinch_experiment/src/callers/requests.rs
@@ -1,13 +1,13 @@
-//! How a caller makes requests, sends them again, and takes their answers.
+//! How callers make requests, resend them, and handle their answers.
 
 use cardamomwinch_protocol::prelude::{AttemptNumber, CallerKind, PartNumber, RequestHeader};
 use cardamomwinch_state::prelude::{RequestId, Timestamp};
 use rand::Rng;
 
 use crate::callers::{
-    CallerFleet, CallerOutput, CallerRequest, CallerTimer, FIRST_RESEND, FlowRole, FlowState,
-    LAST_RESEND, LONG_DEADLINE, RequestEnd, SETTLED_PART, SHORT_DEADLINE, SHORT_FLOW_PAUSE,
-    SHORT_FLOW_REQUESTS, datagram,
+    CallerFleet, CallerOutput, CallerRequest, CallerTimer, FIRST_RESEND_INTERVAL, FlowRole,
+    FlowState, LONG_DEADLINE, MAX_RESEND_INTERVAL, RequestEnd, SETTLED_DURATION, SHORT_DEADLINE,
+    SHORT_FLOW_PAUSE, SHORT_FLOW_REQUESTS, datagram,
 };
 use crate::measures::{RunCounts, RunMeasures};
 
@@ -25,7 +25,7 @@
         self.make_request(now, flow, measures, outputs);
         if let FlowRole::Session(interval) = self.flows[flow].role {
             let next = now.after(self.exponential(interval));
-            outputs.push(CallerOutput::At(next, CallerTimer::Request(flow)));
+            outputs.push(CallerOutput::Wait(next, CallerTimer::Request(flow)));
         }
     }
 
@@ -39,24 +39,24 @@
         self.flows[flow].requests += 1;
         let counted = now >= measures.begin;
         measures.counts.requests += u64::from(counted);
-        let patience = match self.rng.random_bool(0.5) {
+        let timeout = match self.rng.random_bool(0.5) {
             true => LONG_DEADLINE,
             false => SHORT_DEADLINE,
         };
         self.requests.push(CallerRequest {
             flow,
-            made: now,
+            created: now,
             idempotent: self.rng.random_bool(0.5),
-            deadline: now.after(patience),
-            pause: FIRST_RESEND,
-            first_arrival: None,
+            deadline: now.after(timeout),
+            pause: FIRST_RESEND_INTERVAL,
+            first_at_host: None,
             ended: false,
             counted,
             attempt: AttemptNumber::default(),
             parts: Vec::new(),
             runs: 0,
-            told_not_run: false,
-            counted_false: false,
+            reported_not_run: false,
+            counted_violation: false,
         });
         self.resend(now, self.requests.len() - 1, measures, outputs);
     }
@@ -87,12 +87,12 @@
         };
         outputs.push(CallerOutput::Send(datagram(flow, kind, Some(header))));
         let again = now.after(request.pause).min(request.deadline);
-        request.pause = (request.pause * 2).min(LAST_RESEND);
-        outputs.push(CallerOutput::At(again, CallerTimer::Resend(index)));
+        request.pause = (request.pause * 2).min(MAX_RESEND_INTERVAL);
+        outputs.push(CallerOutput::Wait(again, CallerTimer::Resend(index)));
     }
 
-    /// Notes a part of an answer; `true` where the answer is whole now. Parts
-    /// of different runs are not mixed.
+    /// Records a part of an answer; returns whether the answer is complete now.
+    /// Parts of different runs are not mixed.
     pub(super) fn note_part(
         &mut self,
         index: usize,
@@ -125,26 +125,33 @@
         }
         request.ended = true;
         let flow = request.flow;
-        let made = request.made;
+        let created = request.created;
         if request.counted {
             count_end(end, &mut measures.counts);
         }
-        self.note_heard(now, flow, made, end);
+        self.note_request_end(now, flow, created, end);
         self.after_request(now, flow, measures, outputs);
     }
 
-    /// A session is silent only by requests that nothing was heard after.
-    fn note_heard(&mut self, now: Timestamp, index: usize, made: Timestamp, end: RequestEnd) {
-        let settled = self.load_until.before(SETTLED_PART);
+    /// An unanswered request counts towards silence only if no reply was received
+    /// after the request was made.
+    fn note_request_end(
+        &mut self,
+        now: Timestamp,
+        index: usize,
+        created: Timestamp,
+        end: RequestEnd,
+    ) {
+        let settled_at = self.load_until.before(SETTLED_DURATION);
         let flow = &mut self.flows[index];
         match end {
-            RequestEnd::Unanswered if made >= settled && made > flow.last_heard => {
-                flow.unheard += 1;
+            RequestEnd::Unanswered if created >= settled_at && created > flow.last_reply => {
+                flow.unanswered += 1;
             }
             RequestEnd::Unanswered => {}
             _ => {
-                flow.unheard = 0;
-                flow.last_heard = now;
+                flow.unanswered = 0;
+                flow.last_reply = now;
             }
         }
     }
@@ -169,7 +176,7 @@
             true => CallerTimer::Request(index),
             false => CallerTimer::Close(index),
         };
-        outputs.push(CallerOutput::At(now.after(SHORT_FLOW_PAUSE), next));
+        outputs.push(CallerOutput::Wait(now.after(SHORT_FLOW_PAUSE), next));
     }
 }
 
--- a/crates/cardamomwinch_experiment/src/changes.rs
+++ b/crates/cardamomwinch_experiment/src/changes.rs
@@ -12,25 +12,25 @@
 /// A change to a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// Another preset: weights change, one server drains.
+    /// The peak preset comes into force: weights change, one server drains.
     PresetSwitch,
     /// A server is set to drain.
     Drain,
-    /// A server leaves the configuration.
+    /// A server is removed from the configuration.
     ServerRemoved,
-    /// A server leaves one service, and its address is given to the other.
+    /// A server is removed from one service, and the other service gets its address.
     ServerMoved,
     /// A host joins.
     HostAdded,
-    /// A host stops gracefully and leaves.
+    /// A host stops gracefully and leaves the list.
     HostStopped,
-    /// A host dies.
+    /// A host is killed.
     HostKilled,
-    /// Every host in turn stops gracefully and starts again.
+    /// Every host, one after another, stops gracefully and restarts.
     RollingRestart,
     /// A failure domain is cut off.
     DomainCut,
-    /// The platform answers with an older state.
+    /// The platform answers with the previous revisions.
     PlatformStale,
     /// A host is paused for 30 seconds.
     HostPaused,
@@ -52,8 +52,8 @@
         Self::HostPaused,
     ];
 
-    /// Whether operators bring it about, and flows should survive it. Those of a
-    /// server that is given to another service cannot.
+    /// Whether operators make the change and flows should survive it. Flows of a
+    /// server that moves to another service cannot survive.
     pub const fn is_planned(self) -> bool {
         matches!(
             self,
@@ -83,51 +83,51 @@
     }
 }
 
-/// One thing that happens to a deployment.
+/// One step of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeStep {
-    /// The operators publish the other preset.
+    /// The operators publish the peak preset.
     SwitchPreset,
-    /// They set a server to drain.
+    /// The operators set a server to drain.
     Drain(usize),
-    /// They remove a server.
+    /// The operators remove a server.
     Remove(usize),
-    /// They give the address of a removed server to the first service.
+    /// The operators give the address of a removed server to the first service.
     Move(usize),
     /// A host process starts and is listed.
     Start(usize),
-    /// A host is told to stop and is listed as leaving.
+    /// A host is requested to stop and is listed as leaving.
     Stop(usize),
-    /// A host process ends and is not listed any more.
+    /// A host process ends and is removed from the list.
     End(usize),
-    /// A host dies.
+    /// A host is killed.
     Kill(usize),
     /// A failure domain is cut off.
     Cut(usize),
-    /// The cut heals.
+    /// The cut ends.
     Heal,
-    /// The platform falls behind, or catches up.
+    /// The platform falls behind (`true`) or catches up (`false`).
     Stale(bool),
     /// A host is paused.
     Pause(usize),
-    /// It wakes.
+    /// A paused host is resumed.
     Wake(usize),
 }
 
-/// A stopping host's process ends this late where it has not ended before.
+/// A stopping host's process is ended after this time if it still runs.
 const STOP_GRACE: time::Duration = time::Duration::from_secs(10);
-/// From one host of a rolling restart to the next.
+/// The time between the stops of two hosts in a rolling restart.
 const ROLLING_INTERVAL: time::Duration = time::Duration::from_secs(14);
-const MOVE_AFTER: time::Duration = time::Duration::from_secs(10);
-const CUT_LENGTH: time::Duration = time::Duration::from_secs(20);
-const STALE_LENGTH: time::Duration = time::Duration::from_secs(20);
-const PAUSE_LENGTH: time::Duration = time::Duration::from_secs(30);
+const MOVE_DELAY: time::Duration = time::Duration::from_secs(10);
+const CUT_DURATION: time::Duration = time::Duration::from_secs(20);
+const STALE_DURATION: time::Duration = time::Duration::from_secs(20);
+const PAUSE_DURATION: time::Duration = time::Duration::from_secs(30);
 
-/// A step and when it happens after the change began.
+/// A step and its time after the start of the change.
 pub type TimedStep = (time::Duration, ChangeStep);
 
-/// The steps of `change`. Changes of a pair concern different servers and
-/// hosts, but for the rolling restart.
+/// The steps of `change`. The two changes of a pair concern different servers
+/// and hosts, except for the rolling restart.
 pub fn steps(change: ChangeKind, plan: &DeploymentPlan) -> Vec<TimedStep> {
     let now = time::Duration::ZERO;
     match change {
@@ -136,7 +136,7 @@
         ChangeKind::ServerRemoved => vec![(now, ChangeStep::Remove(documents::REMOVED_SERVER))],
         ChangeKind::ServerMoved => vec![
             (now, ChangeStep::Remove(documents::MOVED_SERVER)),
-            (MOVE_AFTER, ChangeStep::Move(documents::MOVED_SERVER)),
+            (MOVE_DELAY, ChangeStep::Move(documents::MOVED_SERVER)),
         ],
         ChangeKind::HostAdded => vec![(now, ChangeStep::Start(plan.host_count))],
         ChangeKind::HostStopped => {
@@ -144,25 +144,25 @@
         }
         ChangeKind::HostKilled => vec![(now, ChangeStep::Kill(2))],
         ChangeKind::RollingRestart => (0..plan.host_count).flat_map(restart).collect(),
-        ChangeKind::DomainCut => vec![(now, ChangeStep::Cut(1)), (CUT_LENGTH, ChangeStep::Heal)],
+        ChangeKind::DomainCut => vec![(now, ChangeStep::Cut(1)), (CUT_DURATION, ChangeStep::Heal)],
         ChangeKind::PlatformStale => vec![
             (now, ChangeStep::Stale(true)),
-            (STALE_LENGTH, ChangeStep::Stale(false)),
+            (STALE_DURATION, ChangeStep::Stale(false)),
         ],
         ChangeKind::HostPaused => {
             vec![
                 (now, ChangeStep::Pause(0)),
-                (PAUSE_LENGTH, ChangeStep::Wake(0)),
+                (PAUSE_DURATION, ChangeStep::Wake(0)),
             ]
         }
     }
 }
 
 fn restart(host: usize) -> [TimedStep; 3] {
-    let begin = ROLLING_INTERVAL * host as u32;
-    let end = begin + STOP_GRACE;
+    let start = ROLLING_INTERVAL * host as u32;
+    let end = start + STOP_GRACE;
     [
-        (begin, ChangeStep::Stop(host)),
+        (start, ChangeStep::Stop(host)),
         (end, ChangeStep::End(host)),
         (end, ChangeStep::Start(host)),
     ]
@@ -171,7 +171,7 @@
 /// No change, one, or two that overlap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeScenario {
-    /// The changes, in the order in which they begin.
+    /// The changes, in the order of their starts.
     pub changes: Vec<ChangeKind>,
 }
 
@@ -221,7 +221,7 @@
 }
 
 impl ChangeScenario {
-    /// No change, and each alone.
+    /// The scenario without changes, and each change alone.
     pub fn singles() -> Vec<Self> {
         let calm = Self {
             changes: Vec::new(),
@@ -232,7 +232,7 @@
         [calm].into_iter().chain(singles).collect()
     }
 
-    /// Each pair of planned changes, and each planned change with a death.
+    /// Each pair of planned changes, and each planned change with a killed host.
     pub fn pairs() -> Vec<Self> {
         let planned: Vec<_> = ChangeKind::ALL
             .into_iter()
@@ -250,7 +250,8 @@
         pairs
     }
 
-    /// Whether a change concerns `server`, so that its load is not to be compared.
+    /// Whether a change concerns `server`. The load of such a server is not compared
+    /// with that of others.
     pub fn touches(&self, plan: &DeploymentPlan, server: usize) -> bool {
         self.changes.iter().any(|change| match change {
             ChangeKind::PresetSwitch => documents::is_changed_by_preset(plan, server),
@@ -261,13 +262,13 @@
         })
     }
 
-    /// The steps of all changes; the second change begins a second later.
+    /// The steps of all changes; the second change starts one second later.
     pub fn steps(&self, plan: &DeploymentPlan) -> Vec<TimedStep> {
         let mut all = Vec::new();
         for (position, change) in self.changes.iter().enumerate() {
-            let begin = time::Duration::from_secs(position as u64);
+            let start = time::Duration::from_secs(position as u64);
             let steps = steps(*change, plan);
-            all.extend(steps.into_iter().map(|(after, step)| (begin + after, step)));
+            all.extend(steps.into_iter().map(|(after, step)| (start + after, step)));
         }
         all
     }
--- a/crates/cardamomwinch_experiment/src/deployment.rs
+++ b/crates/cardamomwinch_experiment/src/deployment.rs
@@ -1,5 +1,6 @@
 //! The two deployments: their failure domains, services, backend servers,
-//! entry hosts and delays. Everything has an index; addresses follow from it.
+//! entry hosts and delays. Each of them has an index, which determines its
+//! address.
 
 use std::fmt;
 use std::net;
@@ -11,19 +12,19 @@
 
 /// Requests that a backend server runs at the same time.
 pub const SLOTS: u32 = 2;
-/// Flows that a backend server holds open at the same time.
+/// The number of flows that may be open at a backend server.
 pub const CONNECTIONS: u32 = 2000;
 
 const SERVICE_PORT: u16 = 7000;
 const SERVER_PORT: u16 = 9000;
 const HOST_PORT: u16 = 20_000;
 
-/// Which deployment a run stands for.
+/// The deployment that a run simulates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeploymentName {
-    /// The association's.
+    /// The deployment with three failure domains.
     Budapest,
-    /// The Landesstelle's.
+    /// The deployment with four failure domains.
     Bavaria,
 }
 
@@ -62,16 +63,16 @@
 /// A service with its backend servers.
 #[derive(Debug, Clone, Copy)]
 pub struct ServicePlan {
-    /// The name of the service; its team has the same.
+    /// The name of the service and of its team.
     pub name: &'static str,
     /// The number of its backend servers.
     pub server_count: usize,
 }
 
-/// A deployment of a certain number of entry hosts.
+/// The parts of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentPlan {
-    /// Which.
+    /// The deployment.
     pub name: DeploymentName,
     /// The failure domains.
     pub domains: &'static [&'static str],
@@ -79,7 +80,7 @@
     pub services: [ServicePlan; 2],
     /// The number of entry hosts at the start.
     pub host_count: usize,
-    /// One way between callers and hosts.
+    /// The one-way delay between callers and hosts.
     pub caller_delay: time::Duration,
 }
 
@@ -171,7 +172,7 @@
     address(1, SERVICE_PORT + service as u16)
 }
 
-/// Where backend server `server` takes datagrams.
+/// The address of backend server `server`.
 pub fn server_address(server: usize) -> net::SocketAddr {
     address(2, SERVER_PORT + server as u16)
 }
@@ -181,12 +182,12 @@
     usize::from(address.port() - SERVER_PORT)
 }
 
-/// Where `host` takes datagrams of `kind`: 0 from the fabric, 1 relayed, 2 control.
+/// The address of `host` for datagrams of `kind`: 0 from the fabric, 1 relayed, 2 control.
 pub fn host_address(host: usize, kind: u8) -> net::SocketAddr {
     address(10 + kind, HOST_PORT + host as u16)
 }
 
-/// The key of flow `flow` to `service`.
+/// The key of the flow with index `flow` to `service`.
 pub fn flow_key(flow: usize, service: usize) -> FlowKey {
     let [_, high, middle, low] = (flow as u32).to_be_bytes();
     let caller = net::Ipv4Addr::new(10, high, middle, low);
@@ -197,7 +198,7 @@
     }
 }
 
-/// The flow that `key` names.
+/// The index of the flow with key `key`; the inverse of [`flow_key`].
 pub fn flow_at(key: &FlowKey) -> usize {
     match key.caller.ip() {
         net::IpAddr::V4(caller) => {
@@ -208,7 +209,7 @@
     }
 }
 
-/// The service that `key` names.
+/// The index of the service in `key`.
 pub const fn service_at(key: &FlowKey) -> usize {
     (key.service.port() - SERVICE_PORT) as usize
 }
--- a/crates/cardamomwinch_experiment/src/documents.rs
+++ b/crates/cardamomwinch_experiment/src/documents.rs
@@ -1,32 +1,32 @@
-//! What the operators publish, and how it is written down for the platform.
+//! The documents that the operators publish on the platform.
 
 use cardamomwinch_state::prelude::SortedVector;
 use serde_json::{Map, Value, json};
 
 use crate::deployment::{self, DeploymentPlan};
 
-/// The preset of ordinary days.
+/// The preset in force at the start.
 pub const ORDINARY_PRESET: &str = "ordinary";
 /// The preset that changes weights and phases.
 pub const PEAK_PRESET: &str = "peak";
 
-/// What the operators want to be in force.
+/// The state that the operators publish.
 #[derive(Debug, Clone)]
 pub struct PublishedState {
     /// The name of the preset.
     pub preset: &'static str,
     /// Backend servers that drain.
     pub draining: Vec<usize>,
-    /// Backend servers that have left the configuration.
+    /// Backend servers that were removed from the configuration.
     pub removed: Vec<usize>,
-    /// Removed servers whose addresses the first service was given.
+    /// Removed servers whose addresses the first service got.
     pub moved: Vec<usize>,
-    /// Listed hosts, and whether each is leaving.
+    /// The listed hosts, each with whether it is leaving.
     pub hosts: SortedVector<usize, bool>,
 }
 
 impl PublishedState {
-    /// What is in force at the start.
+    /// The state at the start.
     pub fn initial(plan: &DeploymentPlan) -> Self {
         Self {
             preset: ORDINARY_PRESET,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The root document over fragments of these revisions.
+    /// The root document that refers to fragments of these revisions.
     pub fn root(&self, plan: &DeploymentPlan, revisions: [u64; 2]) -> String {
         let names = plan.services.iter().map(|service| service.name.to_owned());
         let teams: Map<String, Value> = names.zip(revisions.map(Value::from)).collect();
@@ -102,8 +102,8 @@
     format!("server-{server}")
 }
 
-/// The preset for peaks halves the weight of every third server of the first
-/// service and drains one.
+/// The change that the peak preset makes to `server`, if any. The preset halves
+/// the weight of every third server of the first service and drains server 1.
 fn peak_override(plan: &DeploymentPlan, server: usize) -> Option<Value> {
     match server {
         _ if plan.service_of_server(server) != 0 => None,
@@ -113,14 +113,14 @@
     }
 }
 
-/// Servers that a single change drains or removes.
+/// The server that is drained.
 pub const DRAINED_SERVER: usize = 2;
 /// The server that is moved from the second service to the first.
 pub const MOVED_SERVER: usize = 16;
-/// The server that leaves the configuration.
+/// The server that is removed from the configuration.
 pub const REMOVED_SERVER: usize = 5;
 
-/// Whether the other preset changes `server`.
+/// Whether the peak preset changes `server`.
 pub fn is_changed_by_preset(plan: &DeploymentPlan, server: usize) -> bool {
     peak_override(plan, server).is_some()
 }
--- a/crates/cardamomwinch_experiment/src/event_queue.rs
+++ b/crates/cardamomwinch_experiment/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The one queue of everything that is still to happen, in virtual time.
+//! The queue of all future events, in virtual time.
 
 use std::cmp;
 use std::collections;
@@ -38,8 +38,8 @@
     }
 }
 
-/// Events by time; those of one time in the order in which they were added, so
-/// that a run with the same seed is the same run.
+/// Events by time. Events of the same time keep the order in which they were
+/// added, so that a run can be repeated with its seed.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: collections::BinaryHeap<QueuedEvent<E>>,
@@ -56,7 +56,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds `event`, to happen at `time`.
+    /// Adds `event` at `time`.
     pub fn push(&mut self, time: Timestamp, event: E) {
         self.sequence += 1;
         let sequence = self.sequence;
@@ -67,7 +67,7 @@
         });
     }
 
-    /// Takes the next event with its time.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Timestamp, E)> {
         self.heap.pop().map(|queued| (queued.time, queued.event))
     }
--- a/crates/cardamomwinch_experiment/src/hosts.rs
+++ b/crates/cardamomwinch_experiment/src/hosts.rs
@@ -1,4 +1,4 @@
-//! A host process: it runs, is paused with its datagrams waiting, or is down.
+//! A host process: running, paused with its datagrams buffered, or down.
 
 use std::time;
 
@@ -13,21 +13,21 @@
 use crate::policy::HostPolicy;
 use crate::wire::HostOutput;
 
-/// Datagrams that the sockets of a paused process hold.
+/// The number of datagrams that the sockets of a paused process buffer.
 const BACKLOG_LIMIT: usize = 2000;
-/// As in the daemon, a host that is drained stays until the fabric has handed
-/// it nothing for this long.
+/// A drained host ends when the fabric has sent it nothing for this time, as in
+/// the daemon.
 const QUIET_PERIOD: time::Duration = time::Duration::from_millis(1500);
 const SHARED_KEY: [u8; 32] = [7; 32];
 
-/// What reaches a host.
+/// An input of a host.
 #[derive(Debug, Clone)]
 pub enum HostInput {
-    /// For control.
+    /// An event for the control engine.
     Control(ControlEvent),
-    /// From the fabric.
+    /// A datagram from the fabric.
     Fabric(FabricDatagram<'static>),
-    /// From another host.
+    /// A datagram relayed by another host.
     Relay(Box<RelayEnvelope<'static>>),
     /// Time has passed.
     Tick,
@@ -40,46 +40,48 @@
     Paused(Box<P>, Vec<HostInput>),
 }
 
-/// One host over all its lives.
+/// One host with all incarnations of its process.
 #[derive(Debug)]
 pub struct HostProcess<P> {
-    /// The host.
+    /// The identifier of the host.
     pub id: HostId,
     domain: DomainId,
-    /// Which life this is.
-    pub life: u32,
-    ahead: time::Duration,
+    /// The number of starts so far, which identifies the present incarnation of the
+    /// process.
+    pub start_count: u32,
+    clock_offset: time::Duration,
     drained: bool,
     last_fabric: Timestamp,
     state: ProcessState<P>,
 }
 
 impl<P: HostPolicy> HostProcess<P> {
-    /// A host that is not running yet, whose clock is ahead of the true one.
-    pub const fn new(id: HostId, domain: DomainId, ahead: time::Duration) -> Self {
+    /// A host that is not running yet. Its clock is ahead of the true time by
+    /// `clock_offset`.
+    pub const fn new(id: HostId, domain: DomainId, clock_offset: time::Duration) -> Self {
         Self {
             id,
             domain,
-            life: 0,
-            ahead,
+            start_count: 0,
+            clock_offset,
             drained: false,
             last_fabric: Timestamp::ZERO,
             state: ProcessState::Down,
         }
     }
 
-    /// Starts a new life.
+    /// Starts a new incarnation of the process.
     pub fn start(&mut self, now: Timestamp, outputs: &mut Vec<HostOutput>) {
-        self.life += 1;
+        self.start_count += 1;
         self.drained = false;
         let identity = HostIdentity {
             host: self.id,
             domain: self.domain,
-            incarnation: Incarnation::new(now.after(self.ahead).get()),
+            incarnation: Incarnation::new(now.after(self.clock_offset).get()),
         };
         let keys = AuthenticationKeys::new(SecretKey::new(SHARED_KEY), None);
         self.state = ProcessState::Running(Box::new(P::start(identity, keys)));
-        self.take(now, HostInput::Control(ControlEvent::Start), outputs);
+        self.handle_input(now, HostInput::Control(ControlEvent::Start), outputs);
     }
 
     /// Ends the process at once.
@@ -87,12 +89,12 @@
         self.state = ProcessState::Down;
     }
 
-    /// Notes that the host holds nothing any more.
+    /// Records that the host is drained.
     pub const fn note_drained(&mut self) {
         self.drained = true;
     }
 
-    /// Ends the process where it is drained and nothing is handed to it any more.
+    /// Ends the process if it is drained and the fabric no longer sends it anything.
     pub fn end_if_quiet(&mut self, now: Timestamp) {
         if self.drained && now.since(self.last_fabric) >= QUIET_PERIOD {
             self.kill();
@@ -112,22 +114,22 @@
         };
     }
 
-    /// Wakes the process; it finds what came meanwhile.
-    pub fn wake(&mut self, now: Timestamp, outputs: &mut Vec<HostOutput>) {
+    /// Resumes the process, which then handles its buffered inputs.
+    pub fn resume(&mut self, now: Timestamp, outputs: &mut Vec<HostOutput>) {
         match std::mem::replace(&mut self.state, ProcessState::Down) {
             ProcessState::Paused(policy, backlog) => {
                 self.state = ProcessState::Running(policy);
                 for input in backlog {
-                    self.take(now, input, outputs);
+                    self.handle_input(now, input, outputs);
                 }
             }
             other => self.state = other,
         }
     }
 
-    /// Lets the host decide about `input`; what it wants done is added to
-    /// `outputs`. Returns whether a process took it.
-    pub fn take(
+    /// Handles `input` and appends the effects to `outputs`. Returns whether the
+    /// process handled or buffered it.
+    pub fn handle_input(
         &mut self,
         now: Timestamp,
         input: HostInput,
@@ -136,15 +138,15 @@
         if matches!(input, HostInput::Fabric(_)) {
             self.last_fabric = now;
         }
-        let now = now.after(self.ahead);
+        let now = now.after(self.clock_offset);
         match &mut self.state {
             ProcessState::Down => false,
             ProcessState::Paused(_, backlog) => {
-                let room = backlog.len() < BACKLOG_LIMIT && !matches!(input, HostInput::Tick);
-                if room {
+                let accepted = backlog.len() < BACKLOG_LIMIT && !matches!(input, HostInput::Tick);
+                if accepted {
                     backlog.push(input);
                 }
-                room
+                accepted
             }
             ProcessState::Running(policy) => {
                 handle(policy.as_mut(), now, input, outputs);
--- a/crates/cardamomwinch_experiment/src/lib.rs
+++ b/crates/cardamomwinch_experiment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Measures the decisions of entry hosts. Real decision logic, or a baseline
-//! in its place, is driven through its public interface by small fakes of
-//! fabric, callers, backend servers and platform, in virtual time and from one
-//! seed, so that policies are compared side by side under the same load.
+//! Measures the decisions of entry hosts. The real decision logic, or a baseline
+//! instead of it, is driven through its public interface by small fakes of the
+//! fabric, callers, backend servers and the platform. A run uses virtual time
+//! and one seed, so that policies can be compared under the same load.
 //!
 //! ```
 //! use std::time;
@@ -39,7 +39,7 @@
 pub mod wire;
 pub mod world;
 
-/// What users of the experiment need most often.
+/// The items that most users of the experiment need.
 pub mod prelude {
     pub use crate::baseline::BaselineHost;
     pub use crate::baseline::consistent_table::ConsistentTable;
--- a/crates/cardamomwinch_experiment/src/measures.rs
+++ b/crates/cardamomwinch_experiment/src/measures.rs
@@ -1,4 +1,4 @@
-//! What a run counts.
+//! The measurements of a run.
 
 use std::time;
 
@@ -13,18 +13,18 @@
 /// The length of the windows in which imbalance is measured.
 pub const WINDOW: time::Duration = time::Duration::from_secs(10);
 
-/// Longer waits are counted as this long.
-const LONGEST_WAIT_MICROS: u64 = 60_000_000;
+/// Longer waits are recorded as this value.
+const MAX_WAIT_MICROS: u64 = 60_000_000;
 
 /// Why a flow counts as broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BreakCause {
-    /// Its data reached another backend server than its own, which took it.
-    /// One that says that it does not hold the flow does no harm in itself.
+    /// Its data reached a backend server other than its own, and that server
+    /// accepted it. A server that answers "unknown flow" is not counted here.
     OtherServer,
     /// It was reset.
     Reset,
-    /// Its requests or notices do not get through any more.
+    /// Its requests are no longer answered, or its notices no longer arrive.
     Silent,
 }
 
@@ -33,49 +33,51 @@
 pub struct RunCounts {
     /// Flows that opened.
     pub established: u64,
-    /// Openings that were given up.
+    /// Flows whose opening was given up.
     pub not_established: u64,
     /// Broken flows by cause.
     pub broken: SortedVector<BreakCause, u64>,
     /// Notices that servers sent on flows that were open.
     pub notices: u64,
-    /// Notices that the fabric handed to a host that was down, or paused with
-    /// its buffers full.
+    /// Notices that the fabric sent to a host that was down, or paused with
+    /// full buffers.
     pub notices_to_gone_hosts: u64,
     /// Notices that the network lost.
     pub notices_lost_by_fabric: u64,
-    /// Notices that came to their callers.
+    /// Notices that reached their callers.
     pub notices_received: u64,
     /// Requests that callers made.
     pub requests: u64,
-    /// Requests answered whole.
+    /// Requests with a complete answer.
     pub answered: u64,
-    /// Requests whose caller was told "not run".
+    /// Requests answered "not run", by reason.
     pub not_run: SortedVector<RefusalReason, u64>,
-    /// Requests whose caller was told that the outcome is unknown.
+    /// Requests answered "outcome unknown".
     pub outcome_unknown: u64,
-    /// Requests that got no final answer.
+    /// Requests without a final reply.
     pub unanswered: u64,
-    /// What hosts counted.
+    /// The counters of all hosts.
     pub counters: SortedVector<Counter, u64>,
     /// Non-idempotent requests that ran twice.
     pub run_twice: u64,
-    /// Requests that ran though their caller was told "not run".
+    /// Requests that ran although their caller received "not run".
     pub not_run_but_ran: u64,
-    /// Requests that ran twice though not idempotent, or ran after "not run".
+    /// Non-idempotent requests that ran twice, and requests that ran although their
+    /// caller received "not run".
     pub violations: Vec<RequestViolation>,
-    /// Datagrams that reached a server of another service later than a change
-    /// has to be in force.
+    /// Datagrams that reached a server of another service after the time within
+    /// which a change must be in force.
     pub wrong_service: u64,
-    /// Those before: only the server itself, which refuses them, can tell.
+    /// Such datagrams before that time. Only the server itself can detect and refuse
+    /// them.
     pub wrong_service_in_adoption: u64,
-    /// Datagrams that the fabric handed to hosts.
+    /// Datagrams that the fabric sent to hosts.
     pub fabric_datagrams: u64,
-    /// Callers' datagrams relayed among hosts.
+    /// Callers' datagrams relayed between hosts.
     pub relayed_callers: u64,
-    /// Results of searches, told to the host that began the search.
+    /// Results of flow searches, sent to the host that started the search.
     pub relayed_results: u64,
-    /// Backend servers' replies relayed among hosts.
+    /// Backend servers' replies relayed between hosts.
     pub relayed_replies: u64,
     /// Calls to the platform.
     pub platform_calls: u64,
@@ -116,7 +118,8 @@
     }
 }
 
-/// A request that ran twice though not idempotent, or that ran after "not run".
+/// A non-idempotent request that ran twice, or a request that ran although its
+/// caller received "not run".
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct RequestViolation {
@@ -129,7 +132,7 @@
 /// Control messages of one host.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct ControlCost {
-    /// Bytes with headers.
+    /// Bytes, including headers.
     pub bytes: u64,
     /// Messages.
     pub messages: u64,
@@ -143,7 +146,7 @@
 }
 
 impl BusyWindows {
-    /// Windows from `begin` to `end`; a part of a window at the end is left out.
+    /// Windows from `begin` to `end`; an incomplete window at the end is left out.
     pub fn new(plan: &DeploymentPlan, begin: Timestamp, end: Timestamp) -> Self {
         let count = (end.since(begin).as_micros() / WINDOW.as_micros()) as usize;
         Self {
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Adds a busy slot of `server`.
+    /// Adds the time from `from` to `to` during which a slot of `server` was busy.
     pub fn add(&mut self, server: usize, from: Timestamp, to: Timestamp) {
         let length = WINDOW.as_micros() as u64;
         let begin = self.begin.get();
@@ -176,27 +179,27 @@
     }
 }
 
-/// Everything that a run measured.
+/// All measurements of a run.
 #[derive(Debug)]
 pub struct RunMeasures {
     /// The seed of the run.
     pub seed: u64,
-    /// Counts.
+    /// The counts.
     pub counts: RunCounts,
     /// Waits for a slot in microseconds.
     pub waits: Histogram<u64>,
-    /// Busy slots.
+    /// Busy slot time.
     pub busy: BusyWindows,
     /// Control messages by host.
     pub control: Vec<ControlCost>,
     /// When measuring began.
     pub begin: Timestamp,
-    /// When it ended.
+    /// When measuring ends.
     pub end: Timestamp,
 }
 
 impl RunMeasures {
-    /// Nothing measured yet. Callers make requests until `load_until`.
+    /// Empty measurements of a run. Callers make requests until `load_until`.
     pub fn new(
         plan: &DeploymentPlan,
         seed: u64,
@@ -204,7 +207,7 @@
         load_until: Timestamp,
         end: Timestamp,
     ) -> Self {
-        let waits = Histogram::new_with_bounds(1, LONGEST_WAIT_MICROS, 3);
+        let waits = Histogram::new_with_bounds(1, MAX_WAIT_MICROS, 3);
         let waits = waits.expect("the bounds are more than a factor of two apart");
         Self {
             seed,
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Adds what another run of the same scenario measured.
+    /// Adds the measurements of another run of the same scenario.
     pub fn add(&mut self, other: &Self) {
         self.counts.add(&other.counts);
         self.waits
@@ -227,7 +230,7 @@
         self.control.extend_from_slice(&other.control);
     }
 
-    /// Notes that a request did what none may do.
+    /// Records that a request violated the guarantees; see [`RequestViolation`].
     pub fn note_violation(&mut self, request: usize) {
         let seed = self.seed;
         let violation = RequestViolation { seed, request };
@@ -239,7 +242,7 @@
         *self.counts.broken.get_or_insert_with(cause, || 0) += 1;
     }
 
-    /// Adds to what hosts counted.
+    /// Increments a counter of the hosts.
     pub fn count(&mut self, counter: Counter) {
         *self.counts.counters.get_or_insert_with(counter, || 0) += 1;
     }
--- a/crates/cardamomwinch_experiment/src/network.rs
+++ b/crates/cardamomwinch_experiment/src/network.rs
@@ -1,15 +1,18 @@
-//! Delays, losses and cuts, and the fabric that sprays datagrams over hosts.
+//! Delays, losses and cuts, and the fabric that distributes datagrams among hosts.
 
 use std::time;
 
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-const DOUBLING: f64 = 0.005;
-const HELD_UP: f64 = 0.005;
-const HELD_UP_LIMIT: time::Duration = time::Duration::from_millis(40);
-const WITHIN_DOMAIN: time::Duration = time::Duration::from_micros(200);
-const BETWEEN_DOMAINS: time::Duration = time::Duration::from_millis(1);
+/// The share of datagrams that the fabric delivers twice.
+const DUPLICATE_SHARE: f64 = 0.005;
+/// The share of datagrams with a long delay.
+const LONG_DELAY_SHARE: f64 = 0.005;
+const MAX_LONG_DELAY: time::Duration = time::Duration::from_millis(40);
+const DELAY_WITHIN_DOMAIN: time::Duration = time::Duration::from_micros(200);
+const DELAY_BETWEEN_DOMAINS: time::Duration = time::Duration::from_millis(1);
+/// The largest random addition to a delay, as a share of the delay.
 const JITTER: f64 = 0.3;
 
 /// The network between callers, hosts, backend servers and the platform.
@@ -20,19 +23,19 @@
     loss: f64,
     /// The failure domain that is cut off from the others, if any.
     pub cut: Option<usize>,
-    /// The hosts to which the fabric hands datagrams.
-    pub sprayed: Vec<usize>,
+    /// The hosts to which the fabric sends datagrams.
+    pub fabric_hosts: Vec<usize>,
 }
 
 impl NetworkModel {
-    /// A network without a cut that loses a `loss` share of all datagrams.
+    /// A network without a cut that loses the share `loss` of all datagrams.
     pub const fn new(rng: SmallRng, caller_delay: time::Duration, loss: f64) -> Self {
         Self {
             rng,
             caller_delay,
             loss,
             cut: None,
-            sprayed: Vec::new(),
+            fabric_hosts: Vec::new(),
         }
     }
 
@@ -46,12 +49,12 @@
         self.cut != Some(domain)
     }
 
-    /// How often the fabric delivers a datagram: mostly once.
+    /// The number of copies of a datagram that the fabric delivers, mostly one.
     pub fn copies(&mut self) -> usize {
         let drawn = self.rng.random::<f64>();
         match drawn {
             _ if drawn < self.loss => 0,
-            _ if drawn < self.loss + DOUBLING => 2,
+            _ if drawn < self.loss + DUPLICATE_SHARE => 2,
             _ => 1,
         }
     }
@@ -61,15 +64,15 @@
         self.rng.random_bool(self.loss)
     }
 
-    /// A host for a datagram of a caller.
-    pub fn spray(&mut self) -> Option<usize> {
-        let count = self.sprayed.len();
-        (count > 0).then(|| self.sprayed[self.rng.random_range(0..count)])
+    /// A random host for a datagram of a caller.
+    pub fn choose_host(&mut self) -> Option<usize> {
+        let count = self.fabric_hosts.len();
+        (count > 0).then(|| self.fabric_hosts[self.rng.random_range(0..count)])
     }
 
-    /// A host for a datagram of a backend server in `domain`.
-    pub fn spray_from(&mut self, domain: usize, domain_count: usize) -> Option<usize> {
-        let reached = self.sprayed.iter().copied();
+    /// A random reachable host for a datagram of a backend server in `domain`.
+    pub fn choose_host_from(&mut self, domain: usize, domain_count: usize) -> Option<usize> {
+        let reached = self.fabric_hosts.iter().copied();
         let reached: Vec<usize> = reached
             .filter(|host| self.connects(domain, host % domain_count))
             .collect();
@@ -77,25 +80,25 @@
         (count > 0).then(|| reached[self.rng.random_range(0..count)])
     }
 
-    /// The time between a caller and a host.
+    /// The delay between a caller and a host.
     pub fn caller_delay(&mut self) -> time::Duration {
         self.vary(self.caller_delay)
     }
 
-    /// The time between two failure domains.
+    /// The delay between two failure domains.
     pub fn delay(&mut self, one: usize, other: usize) -> time::Duration {
         self.vary(match one == other {
-            true => WITHIN_DOMAIN,
-            false => BETWEEN_DOMAINS,
+            true => DELAY_WITHIN_DOMAIN,
+            false => DELAY_BETWEEN_DOMAINS,
         })
     }
 
     fn vary(&mut self, delay: time::Duration) -> time::Duration {
         let jitter = 1.0 + JITTER * self.rng.random::<f64>();
-        let held_up = match self.rng.random_bool(HELD_UP) {
-            true => HELD_UP_LIMIT.mul_f64(self.rng.random()),
+        let long_delay = match self.rng.random_bool(LONG_DELAY_SHARE) {
+            true => MAX_LONG_DELAY.mul_f64(self.rng.random()),
             false => time::Duration::ZERO,
         };
-        delay.mul_f64(jitter) + held_up
+        delay.mul_f64(jitter) + long_delay
     }
 }
--- a/crates/cardamomwinch_experiment/src/platform.rs
+++ b/crates/cardamomwinch_experiment/src/platform.rs
@@ -11,12 +11,13 @@
     text: String,
 }
 
-/// A call that waits for a change.
+/// A call that may wait for a change.
 #[derive(Debug, Clone)]
 pub struct WaitingCall {
     /// The host that called.
     pub host: usize,
-    /// Which of its lives.
+    /// The incarnation that called, as the number of the host's starts; named `life`
+    /// in traces.
     pub life: u32,
     /// The call.
     pub request: PlatformRequest,
@@ -29,13 +30,13 @@
     revision: u64,
     stale: bool,
     waiting: Vec<WaitingCall>,
-    /// Calls that were made.
+    /// The number of calls so far.
     pub calls: u64,
 }
 
 impl PlatformStore {
-    /// Publishes `text` under `key`; returns its revision and the calls that
-    /// waited for it.
+    /// Publishes `text` under `key`; returns its revision and the waiting calls that
+    /// can now be answered.
     pub fn publish(&mut self, key: PlatformKey, text: String) -> (u64, Vec<WaitingCall>) {
         self.revision += 1;
         let revision = self.revision;
@@ -44,7 +45,8 @@
         (revision, self.take_ready())
     }
 
-    /// Makes the store answer with the revision before the newest, or heals it.
+    /// Sets whether the store answers with the revision before the newest; returns
+    /// the waiting calls that can now be answered.
     pub fn set_stale(&mut self, stale: bool) -> Vec<WaitingCall> {
         self.stale = stale;
         self.take_ready()
@@ -59,7 +61,7 @@
         ready
     }
 
-    /// The answer to `request`, unless it has to wait.
+    /// The answer to `request`; nothing if it has to wait.
     pub fn answer(&self, request: &PlatformRequest) -> Option<PlatformAnswer> {
         let Some(history) = self.keys.get(&request.key) else {
             return Some(PlatformAnswer::Missing);
@@ -78,8 +80,9 @@
         self.waiting.push(call);
     }
 
-    /// Ends the wait of a call whose time is over; `false` where it was answered.
-    pub fn give_up(&mut self, call: &WaitingCall) -> bool {
+    /// Removes a waiting call that timed out; returns `false` if it was answered
+    /// before.
+    pub fn remove_waiting(&mut self, call: &WaitingCall) -> bool {
         let same = |other: &WaitingCall| {
             (other.host, other.life) == (call.host, call.life) && other.request == call.request
         };
--- a/crates/cardamomwinch_experiment/src/policy.rs
+++ b/crates/cardamomwinch_experiment/src/policy.rs
@@ -1,4 +1,4 @@
-//! What a host decides by: the product, or a baseline beside it.
+//! The policy by which a host decides: the product, or a baseline.
 
 use cardamomwinch_coordination::prelude::{
     HostBuilder, HostEngine, HostEvent, HostIdentity, HostSink,
@@ -8,13 +8,13 @@
 
 /// The decisions of one host.
 pub trait HostPolicy {
-    /// What tables call it.
+    /// Its name in reports.
     const NAME: &'static str;
 
     /// A host that has just started.
     fn start(identity: HostIdentity, keys: AuthenticationKeys) -> Self;
 
-    /// Decides about `event` at `now` and gives the effects to `sink`.
+    /// Handles `event` at `now` and emits the effects into `sink`.
     fn handle<S: HostSink>(&mut self, now: Timestamp, event: HostEvent<'_>, sink: &mut S);
 }
 
--- a/crates/cardamomwinch_experiment/src/report.rs
+++ b/crates/cardamomwinch_experiment/src/report.rs
@@ -14,11 +14,11 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
 pub struct BrokenFlows {
-    /// Whose data reached another server.
+    /// Flows whose data reached another server.
     pub other_server: u64,
-    /// That were reset.
+    /// Flows that were reset.
     pub reset: u64,
-    /// That fell silent.
+    /// Flows that became silent.
     pub silent: u64,
 }
 
@@ -48,17 +48,17 @@
     pub count: u64,
 }
 
-/// One line of results.
+/// The results of one scenario under one policy.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct RunReport {
     /// The deployment.
     pub deployment: String,
-    /// Its hosts at the start.
+    /// The number of hosts at the start.
     pub hosts: usize,
     /// The changes.
     pub scenario: String,
-    /// Who decided.
+    /// The policy of the hosts.
     pub policy: &'static str,
     /// The offered load in percent of all slots.
     pub load_percent: f64,
@@ -68,72 +68,75 @@
     pub loss_percent: f64,
     /// The first seed.
     pub seed: u64,
-    /// The number of runs, each with the next seed, that are added up.
+    /// The number of runs, with successive seeds, that are added up.
     pub runs: u64,
-    /// Flows established.
+    /// Flows that opened.
     pub established: u64,
-    /// Openings given up.
+    /// Flows whose opening was given up.
     pub not_established: u64,
-    /// Broken flows.
+    /// Broken flows by cause.
     pub broken: BrokenFlows,
     /// Broken flows per 100,000 established.
     pub broken_per_100_000: f64,
     /// Notices sent on open flows.
     pub notices: u64,
-    /// Notices that were neither received, nor lost by the network, nor handed
-    /// to a host that was gone.
+    /// Notices that were neither received, nor lost by the network, nor sent to a
+    /// host that was down or paused with full buffers.
     pub notices_missed: u64,
-    /// Notices that the fabric handed to a host that was gone.
+    /// Notices that the fabric sent to a host that was down or paused with full
+    /// buffers.
     pub notices_to_gone_hosts: u64,
     /// Imbalance of the larger and of the smaller service.
     pub imbalance: [ImbalanceSpread; 2],
     /// The median wait for a slot in milliseconds.
     pub wait_p50_ms: f64,
-    /// Its 99th percentile.
+    /// The 99th percentile of the wait for a slot in milliseconds.
     pub wait_p99_ms: f64,
     /// Relayed datagrams of callers per hundred datagrams from the fabric.
     pub relayed_percent: f64,
-    /// Results of searches told per hundred datagrams from the fabric.
+    /// Results of flow searches sent between hosts, per hundred datagrams from the
+    /// fabric.
     pub relayed_result_percent: f64,
     /// Relayed replies of backend servers per hundred datagrams from the fabric.
     pub relayed_reply_percent: f64,
-    /// Control bytes a second, mean over hosts.
+    /// Control bytes per second, mean over hosts.
     pub control_bytes: f64,
-    /// Control bytes a second of the host that sends most.
+    /// Control bytes per second of the host that sends most.
     pub control_bytes_worst: f64,
-    /// Control messages a second, mean over hosts.
+    /// Control messages per second, mean over hosts.
     pub control_messages: f64,
     /// Calls to the platform in the whole run.
     pub platform_calls: u64,
     /// Requests made.
     pub requests: u64,
-    /// Answered whole.
+    /// Requests with a complete answer.
     pub answered: u64,
-    /// Told "not run", by reason.
+    /// Requests answered "not run", by reason.
     pub not_run: Vec<RefusalCount>,
-    /// Told that the outcome is unknown.
+    /// Requests answered "outcome unknown".
     pub outcome_unknown: u64,
-    /// Without any final answer.
+    /// Requests without a final reply.
     pub unanswered: u64,
-    /// Sent to a server again by a host.
+    /// Requests that a host sent to a server again.
     pub retried: u64,
-    /// Not idempotent and run twice.
+    /// Non-idempotent requests that ran twice.
     pub run_twice: u64,
-    /// Told "not run" and run.
+    /// Requests that ran although their caller received "not run".
     pub not_run_but_ran: u64,
-    /// Datagrams at a server of another service, once the change that gave it
-    /// the server has to be in force.
+    /// Datagrams that reached a server of another service after the time within
+    /// which a change must be in force.
     pub wrong_service: u64,
-    /// Those before.
+    /// Such datagrams before that time.
     pub wrong_service_in_adoption: u64,
-    /// Requests that ran twice or after "not run".
+    /// Non-idempotent requests that ran twice, and requests that ran although their
+    /// caller received "not run".
     pub violations: Vec<RequestViolation>,
-    /// What hosts counted, by the name of the metric.
+    /// The counters of all hosts, by the name of the metric.
     pub counters: BTreeMap<&'static str, u64>,
 }
 
 impl RunReport {
-    /// What `measures` say about `runs` runs of `policy` under `options`.
+    /// The report of `runs` runs of `policy` under `options`.
     pub fn new(
         policy: &'static str,
         options: &RunOptions,
@@ -208,7 +211,7 @@
         }
     }
 
-    /// The line of the table.
+    /// The row of the table.
     pub fn row(&self) -> String {
         let refused: u64 = self.not_run.iter().map(|refusal| refusal.count).sum();
         let [large, small] = self.imbalance;
@@ -272,8 +275,8 @@
     }
 }
 
-/// Median and worst of the imbalance of `service` over all windows. Servers
-/// that a change concerns are left out.
+/// The median and the worst imbalance of `service` over all windows, without the
+/// servers that a change concerns.
 fn imbalance(options: &RunOptions, measures: &RunMeasures, service: usize) -> ImbalanceSpread {
     let plan = &options.plan;
     let servers = plan.servers_of(service);
--- a/crates/cardamomwinch_experiment/src/wire.rs
+++ b/crates/cardamomwinch_experiment/src/wire.rs
@@ -1,5 +1,5 @@
-//! What goes over the network, without payloads: nothing here depends on them,
-//! so that datagrams own all that they hold.
+//! The messages of hosts on the network, without payloads. The experiment needs
+//! no payloads, and without them datagrams own all their data.
 
 use std::net;
 
@@ -12,7 +12,7 @@
 };
 use cardamomwinch_state::prelude::{BackendId, HostId};
 
-/// What a host wants done.
+/// An effect of a host.
 #[derive(Debug, Clone)]
 pub enum HostOutput {
     /// Send a reply to a caller.
@@ -25,16 +25,16 @@
     ToPeer(HostId, PeerEnvelope),
     /// Call the platform.
     Platform(PlatformRequest),
-    /// Ask a backend server about its load.
+    /// Probe the load endpoint of a backend server.
     AskLoad(BackendId, net::SocketAddr),
-    /// Nothing: it has stopped, and its process may end.
+    /// The host has stopped, and its process may end.
     Drained,
-    /// Count something.
+    /// Increment a counter.
     Count(Counter),
 }
 
 impl HostOutput {
-    /// The owned form of `effect`; absent where it asks for nothing to be sent.
+    /// The owned form of `effect`; nothing if it stays inside the host.
     pub fn of_effect(effect: HostEffect<'_>) -> Option<Self> {
         match effect {
             HostEffect::Control(effect) => Self::of_control(effect),
@@ -49,29 +49,29 @@
             ControlEffect::AskLoad { backend, address } => Some(Self::AskLoad(backend, address)),
             ControlEffect::Count(counter) => Some(Self::Count(counter)),
             ControlEffect::Drained => Some(Self::Drained),
-            // The rest stays between the engines of one host.
+            // The other effects stay between the engines of one host.
             _ => None,
         }
     }
 
     fn of_traffic(effect: &TrafficEffect<'_>) -> Option<Self> {
         match effect {
-            TrafficEffect::ToCaller(reply) => Some(Self::ToCaller(bare_reply(reply))),
+            TrafficEffect::ToCaller(reply) => Some(Self::ToCaller(strip_caller_reply(reply))),
             TrafficEffect::ToBackend { address, datagram } => {
-                Some(Self::ToBackend(*address, bare_backend(datagram)))
+                Some(Self::ToBackend(*address, strip_backend_datagram(datagram)))
             }
             TrafficEffect::Relay { host, envelope, .. } => {
-                Some(Self::Relay(*host, bare_relay(envelope)))
+                Some(Self::Relay(*host, strip_relay_envelope(envelope)))
             }
             TrafficEffect::Count(counter) => Some(Self::Count(*counter)),
-            // Hosts are driven with a single traffic thread each, and the rest
-            // stays between the engines of one host.
+            // Each host has a single traffic thread, and the other effects stay
+            // between the engines of one host.
             _ => None,
         }
     }
 }
 
-fn bare_reply(reply: &CallerReply<'_>) -> CallerReply<'static> {
+fn strip_caller_reply(reply: &CallerReply<'_>) -> CallerReply<'static> {
     let kind = match reply.kind {
         CallerReplyKind::Opened { token } => CallerReplyKind::Opened { token },
         CallerReplyKind::Answer {
@@ -113,7 +113,7 @@
     }
 }
 
-const fn bare_backend(datagram: &BackendDatagram<'_>) -> BackendDatagram<'static> {
+const fn strip_backend_datagram(datagram: &BackendDatagram<'_>) -> BackendDatagram<'static> {
     BackendDatagram {
         flow: datagram.flow,
         backend: datagram.backend,
@@ -124,7 +124,7 @@
     }
 }
 
-const fn bare_caller(datagram: &CallerDatagram<'_>) -> CallerDatagram<'static> {
+const fn strip_caller_datagram(datagram: &CallerDatagram<'_>) -> CallerDatagram<'static> {
     CallerDatagram {
         flow: datagram.flow,
         kind: datagram.kind,
@@ -135,7 +135,7 @@
     }
 }
 
-const fn bare_answer(reply: &BackendReply<'_>) -> BackendReply<'static> {
+const fn strip_backend_reply(reply: &BackendReply<'_>) -> BackendReply<'static> {
     let kind = match reply.kind {
         BackendReplyKind::Opened => BackendReplyKind::Opened,
         BackendReplyKind::Answer {
@@ -167,7 +167,7 @@
     }
 }
 
-const fn bare_relay(envelope: &RelayEnvelope<'_>) -> RelayEnvelope<'static> {
+const fn strip_relay_envelope(envelope: &RelayEnvelope<'_>) -> RelayEnvelope<'static> {
     let frame = match &envelope.frame {
         RelayFrame::Caller {
             datagram,
@@ -176,7 +176,7 @@
             shard,
             hops,
         } => RelayFrame::Caller {
-            datagram: bare_caller(datagram),
+            datagram: strip_caller_datagram(datagram),
             decided: *decided,
             search: *search,
             shard: *shard,
@@ -197,7 +197,7 @@
             shard: *shard,
         },
         RelayFrame::Backend { reply, shard, hops } => RelayFrame::Backend {
-            reply: bare_answer(reply),
+            reply: strip_backend_reply(reply),
             shard: *shard,
             hops: *hops,
         },
--- a/crates/cardamomwinch_experiment/src/world/change_steps.rs
+++ b/crates/cardamomwinch_experiment/src/world/change_steps.rs
@@ -10,8 +10,8 @@
 use crate::hosts::{HostInput, HostProcess};
 use crate::policy::HostPolicy;
 use crate::world::{
-    CLOCK_SPREAD_MICROS, COLD_FOR, DEATH_LAG, FABRIC_LAG, LIST_LAG, READY_AFTER, TICK, WorldEvent,
-    WorldRun,
+    CLOCK_SPREAD_MICROS, COLD_DURATION, DEATH_LAG, FABRIC_LAG, LIST_LAG, READY_DELAY, TICK,
+    WorldEvent, WorldRun,
 };
 
 impl<P: HostPolicy> WorldRun<P> {
@@ -34,12 +34,12 @@
             ChangeStep::Move(server) => {
                 self.published.moved.push(server);
                 self.moved_at = self.now;
-                self.servers[server].serve_other(0, self.now.after(COLD_FOR));
+                self.servers[server].restart_for(0, self.now.after(COLD_DURATION));
                 self.publish_fragment(0);
                 self.publish_root();
             }
             ChangeStep::Start(host) => {
-                self.start_host(host, READY_AFTER);
+                self.start_host(host, READY_DELAY);
                 self.list(host, false);
             }
             ChangeStep::Stop(host) => self.stop(host),
@@ -49,10 +49,10 @@
                 self.after(LIST_LAG, WorldEvent::PublishHosts);
             }
             ChangeStep::Kill(host) => {
-                let life = self.hosts[host].life;
+                let start_count = self.hosts[host].start_count;
                 self.hosts[host].kill();
                 self.after(FABRIC_LAG, WorldEvent::Spray(host, false));
-                self.after(DEATH_LAG, WorldEvent::Unlist(host, life));
+                self.after(DEATH_LAG, WorldEvent::Unlist(host, start_count));
             }
             ChangeStep::Cut(domain) => self.network.cut = Some(domain),
             ChangeStep::Heal => self.network.cut = None,
@@ -66,8 +66,8 @@
             }
             ChangeStep::Wake(host) => {
                 let mut outputs = Vec::new();
-                self.hosts[host].wake(self.now, &mut outputs);
-                self.carry_out_host(host, outputs);
+                self.hosts[host].resume(self.now, &mut outputs);
+                self.apply_host_outputs(host, outputs);
                 self.after(FABRIC_LAG, WorldEvent::Spray(host, true));
             }
         }
@@ -79,7 +79,7 @@
         }
         self.list(host, true);
         self.after(FABRIC_LAG, WorldEvent::Spray(host, false));
-        self.give_to_host(host, HostInput::Control(ControlEvent::Stop));
+        self.deliver_to_host(host, HostInput::Control(ControlEvent::Stop));
     }
 
     pub(super) fn list(&mut self, host: usize, leaving: bool) {
@@ -87,17 +87,17 @@
         self.after(LIST_LAG, WorldEvent::PublishHosts);
     }
 
-    pub(super) fn unlist(&mut self, host: usize, life: u32) {
-        if self.hosts[host].life == life {
+    pub(super) fn unlist(&mut self, host: usize, start_count: u32) {
+        if self.hosts[host].start_count == start_count {
             self.published.hosts.remove(&host);
             self.publish_hosts();
         }
     }
 
-    pub(super) fn spray(&mut self, host: usize, handed: bool) {
-        self.network.sprayed.retain(|other| *other != host);
-        if handed && self.hosts[host].is_up() {
-            self.network.sprayed.push(host);
+    pub(super) fn update_fabric_hosts(&mut self, host: usize, included: bool) {
+        self.network.fabric_hosts.retain(|other| *other != host);
+        if included && self.hosts[host].is_up() {
+            self.network.fabric_hosts.push(host);
         }
     }
 
@@ -105,17 +105,17 @@
         if host == self.hosts.len() {
             let id = self.options.plan.host_id(host);
             let domain = self.options.plan.domain_id(self.domain_of(host));
-            let ahead = self.rng.random_range(0..CLOCK_SPREAD_MICROS);
-            let ahead = time::Duration::from_micros(ahead);
-            self.hosts.push(HostProcess::new(id, domain, ahead));
+            let clock_offset = self.rng.random_range(0..CLOCK_SPREAD_MICROS);
+            let clock_offset = time::Duration::from_micros(clock_offset);
+            self.hosts.push(HostProcess::new(id, domain, clock_offset));
             self.host_index.insert(id, host);
         }
         let mut outputs = Vec::new();
         self.hosts[host].start(self.now, &mut outputs);
-        let life = self.hosts[host].life;
+        let start_count = self.hosts[host].start_count;
         let phase = TICK.mul_f64(self.rng.random());
-        self.after(phase, WorldEvent::Tick(host, life));
+        self.after(phase, WorldEvent::Tick(host, start_count));
         self.after(ready, WorldEvent::Spray(host, true));
-        self.carry_out_host(host, outputs);
+        self.apply_host_outputs(host, outputs);
     }
 }
--- a/crates/cardamomwinch_experiment/src/world/endpoints.rs
+++ b/crates/cardamomwinch_experiment/src/world/endpoints.rs
@@ -1,5 +1,4 @@
-//! What callers and backend servers are given, and where that goes which they
-//! send.
+//! Delivers datagrams to callers and backend servers, and applies their effects.
 
 use cardamomwinch_protocol::prelude::{
     BackendDatagram, BackendKind, BackendReply, BackendReplyKind, CallerDatagram, FabricDatagram,
@@ -12,21 +11,21 @@
 use crate::deployment;
 use crate::hosts::HostInput;
 use crate::policy::HostPolicy;
-use crate::world::{IN_FORCE_WITHIN, WorldEvent, WorldRun};
+use crate::world::{MAX_ADOPTION_TIME, WorldEvent, WorldRun};
 
 impl<P: HostPolicy> WorldRun<P> {
-    pub(super) fn carry_out_callers(&mut self, outputs: Vec<CallerOutput>) {
+    pub(super) fn apply_caller_outputs(&mut self, outputs: Vec<CallerOutput>) {
         for output in outputs {
             match output {
                 CallerOutput::Send(datagram) => self.send_from_caller(datagram),
-                CallerOutput::At(time, timer) => self.queue.push(time, WorldEvent::Caller(timer)),
+                CallerOutput::Wait(time, timer) => self.queue.push(time, WorldEvent::Caller(timer)),
             }
         }
     }
 
     pub(super) fn send_from_caller(&mut self, datagram: CallerDatagram<'static>) {
         for _ in 0..self.network.copies() {
-            if let Some(host) = self.network.spray() {
+            if let Some(host) = self.network.choose_host() {
                 let delay = self.network.caller_delay();
                 let input = HostInput::Fabric(FabricDatagram::Caller(datagram));
                 self.after(delay, WorldEvent::ToHost(host, input));
@@ -34,11 +33,11 @@
         }
     }
 
-    pub(super) fn give_to_server(&mut self, server: usize, datagram: &BackendDatagram<'static>) {
+    pub(super) fn deliver_to_server(&mut self, server: usize, datagram: &BackendDatagram<'static>) {
         let service = self.servers[server].service;
         if deployment::service_at(&datagram.flow) != service {
             let counts = &mut self.measures.counts;
-            match self.now < self.moved_at.after(IN_FORCE_WITHIN) {
+            match self.now < self.moved_at.after(MAX_ADOPTION_TIME) {
                 true => counts.wrong_service_in_adoption += 1,
                 false => counts.wrong_service += 1,
             }
@@ -50,24 +49,24 @@
             let flow = &datagram.flow;
             self.fleet
                 .note_delivery(self.now, flow, server, measures, &mut outputs);
-            self.carry_out_callers(outputs);
+            self.apply_caller_outputs(outputs);
         }
         let mut outputs = Vec::new();
-        self.servers[server].take(self.now, datagram, &mut outputs);
-        self.carry_out_server(server, outputs);
+        self.servers[server].handle(self.now, datagram, &mut outputs);
+        self.apply_server_outputs(server, outputs);
     }
 
-    pub(super) fn carry_out_server(&mut self, server: usize, outputs: Vec<ServerOutput>) {
+    pub(super) fn apply_server_outputs(&mut self, server: usize, outputs: Vec<ServerOutput>) {
         for output in outputs {
             match output {
                 ServerOutput::Reply(reply) => self.send_from_server(server, reply),
-                ServerOutput::Began(request, number, end) => {
+                ServerOutput::RunStarted(request, number, end) => {
                     let measures = &mut self.measures;
                     self.fleet.note_run(self.now, request, measures);
                     self.queue.push(end, WorldEvent::RunEnds(server, number));
                 }
-                ServerOutput::Busy(from, to) => self.measures.busy.add(server, from, to),
-                ServerOutput::Holds(flow, backend, via) => {
+                ServerOutput::SlotBusy(from, to) => self.measures.busy.add(server, from, to),
+                ServerOutput::FlowOpened(flow, backend, via) => {
                     if self.fleet.is_session(deployment::flow_at(&flow)) {
                         let pause = callers::NOTICE_INTERVAL.mul_f64(self.rng.random());
                         self.after(pause, WorldEvent::Notice(server, flow, backend, via));
@@ -118,7 +117,7 @@
             self.measures.counts.notices_lost_by_fabric += 1;
         }
         for _ in 0..copies {
-            if let Some(host) = self.network.spray_from(domain, domain_count) {
+            if let Some(host) = self.network.choose_host_from(domain, domain_count) {
                 let delay = self.network.delay(domain, self.domain_of(host));
                 let input = HostInput::Fabric(FabricDatagram::Backend(reply));
                 self.after(delay, WorldEvent::ToHost(host, input));
--- a/crates/cardamomwinch_experiment/src/world/host_links.rs
+++ b/crates/cardamomwinch_experiment/src/world/host_links.rs
@@ -1,4 +1,4 @@
-//! What hosts are given, and where that goes which they send.
+//! Delivers inputs to hosts, and applies their effects.
 
 use std::time;
 
@@ -19,24 +19,24 @@
 };
 
 impl<P: HostPolicy> WorldRun<P> {
-    pub(super) fn tick(&mut self, host: usize, life: u32) {
+    pub(super) fn tick(&mut self, host: usize, start_count: u32) {
         self.hosts[host].end_if_quiet(self.now);
-        if self.hosts[host].life != life || !self.hosts[host].is_up() {
+        if self.hosts[host].start_count != start_count || !self.hosts[host].is_up() {
             return;
         }
-        self.give_to_host(host, HostInput::Tick);
-        self.after(TICK, WorldEvent::Tick(host, life));
+        self.deliver_to_host(host, HostInput::Tick);
+        self.after(TICK, WorldEvent::Tick(host, start_count));
     }
 
-    pub(super) fn give_to_host(&mut self, host: usize, input: HostInput) {
+    pub(super) fn deliver_to_host(&mut self, host: usize, input: HostInput) {
         self.note_fabric(&input);
         let notice = is_notice(&input);
         let mut outputs = Vec::new();
-        let taken = self.hosts[host].take(self.now, input, &mut outputs);
-        if notice && !taken {
+        let accepted = self.hosts[host].handle_input(self.now, input, &mut outputs);
+        if notice && !accepted {
             self.measures.counts.notices_to_gone_hosts += 1;
         }
-        self.carry_out_host(host, outputs);
+        self.apply_host_outputs(host, outputs);
     }
 
     pub(super) fn note_fabric(&mut self, input: &HostInput) {
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(super) fn carry_out_host(&mut self, host: usize, outputs: Vec<HostOutput>) {
+    pub(super) fn apply_host_outputs(&mut self, host: usize, outputs: Vec<HostOutput>) {
         for output in outputs {
             self.trace(Some(host), &output);
             match output {
@@ -63,7 +63,7 @@
                 HostOutput::ToPeer(peer, envelope) => self.send_to_peer(host, peer, envelope),
                 HostOutput::Platform(request) => self.call_platform(host, request),
                 HostOutput::AskLoad(backend, address) => {
-                    self.ask_load(host, backend, deployment::server_at(address));
+                    self.probe_load(host, backend, deployment::server_at(address));
                 }
                 HostOutput::Drained => self.hosts[host].note_drained(),
                 HostOutput::Count(counter) => self.measures.count(counter),
@@ -95,8 +95,8 @@
         }
     }
 
-    /// The time to another host; absent where a datagram does not get there.
-    pub(super) fn way_to_host(
+    /// The index of another host and the delay to it; nothing if a cut separates them.
+    pub(super) fn path_to_host(
         &mut self,
         host: usize,
         peer: HostId,
@@ -115,7 +115,7 @@
             }
             RelayFrame::Backend { .. } => self.measures.counts.relayed_replies += 1,
         }
-        if let Some((target, delay)) = self.way_to_host(host, peer)
+        if let Some((target, delay)) = self.path_to_host(host, peer)
             && !self.network.loses()
         {
             let input = HostInput::Relay(Box::new(envelope));
@@ -129,7 +129,7 @@
         self.measures
             .count_control(self.now, host, length + CONTROL_OVERHEAD);
         let lost = length <= DATAGRAM_MESSAGE_LIMIT && self.network.loses();
-        if let Some((target, delay)) = self.way_to_host(host, peer)
+        if let Some((target, delay)) = self.path_to_host(host, peer)
             && !lost
         {
             let input = HostInput::Control(ControlEvent::Peer(envelope));
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(super) fn ask_load(&mut self, host: usize, backend: BackendId, server: usize) {
+    pub(super) fn probe_load(&mut self, host: usize, backend: BackendId, server: usize) {
         let (from, to) = (
             self.domain_of(host),
             self.options.plan.domain_of_server(server),
--- a/crates/cardamomwinch_experiment/src/world/mod.rs
+++ b/crates/cardamomwinch_experiment/src/world/mod.rs
@@ -1,5 +1,5 @@
-//! Drives the hosts of one deployment through one scenario: takes events off
-//! the queue, gives them to whom they are for, and carries out what comes back.
+//! Drives the hosts of one deployment through one scenario: removes events from
+//! the queue, delivers them, and applies the resulting effects.
 
 mod change_steps;
 mod endpoints;
@@ -29,38 +29,44 @@
 
 const EPOCH: Timestamp = Timestamp::new(1_700_000_000_000_000);
 const TICK: time::Duration = time::Duration::from_millis(100);
-const CALLERS_FROM: time::Duration = time::Duration::from_secs(4);
-const SESSIONS_WITHIN: time::Duration = time::Duration::from_secs(6);
-const MEASURE_FROM: time::Duration = time::Duration::from_secs(14);
-const CHANGE_AT: time::Duration = time::Duration::from_secs(20);
-const SETTLE: time::Duration = time::Duration::from_secs(44);
-const LAST_REQUESTS: time::Duration = time::Duration::from_secs(12);
-/// A published change has to be in force everywhere within this time.
-const IN_FORCE_WITHIN: time::Duration = time::Duration::from_secs(3);
+/// When callers start, from the start of the run.
+const CALLERS_START: time::Duration = time::Duration::from_secs(4);
+/// All sessions open within this time after [`CALLERS_START`].
+const SESSION_OPENING_DURATION: time::Duration = time::Duration::from_secs(6);
+const MEASURE_START: time::Duration = time::Duration::from_secs(14);
+const CHANGE_START: time::Duration = time::Duration::from_secs(20);
+/// From the last change to the end of the load.
+const SETTLE_DURATION: time::Duration = time::Duration::from_secs(44);
+/// From the end of the load to the end of the run, for the last requests to end.
+const LAST_REQUESTS_DURATION: time::Duration = time::Duration::from_secs(12);
+/// A published change must be in force on all hosts within this time.
+const MAX_ADOPTION_TIME: time::Duration = time::Duration::from_secs(3);
 /// A server that starts in the middle of a run is cold for this long.
-const COLD_FOR: time::Duration = time::Duration::from_secs(6);
+const COLD_DURATION: time::Duration = time::Duration::from_secs(6);
 const CLOCK_SPREAD_MICROS: u64 = 40_000;
-/// The fabric learns this late that a host is gone.
+/// The delay with which the fabric learns that a host failed, stopped or resumed.
 const FABRIC_LAG: time::Duration = time::Duration::from_secs(1);
-/// The fabric hands a new host its first datagram this late.
-const READY_AFTER: time::Duration = time::Duration::from_secs(3);
+/// The fabric starts to send to a new host this long after its start.
+const READY_DELAY: time::Duration = time::Duration::from_secs(3);
 const LIST_LAG: time::Duration = time::Duration::from_secs(1);
-/// The list still has a dead host for this long.
+/// A killed host is removed from the list after this time.
 const DEATH_LAG: time::Duration = time::Duration::from_secs(5);
 const PLATFORM_DELAY: time::Duration = time::Duration::from_millis(2);
-/// A change reaches the watches of different hosts within this time.
+/// A change reaches the watches of all hosts within this time.
 const WATCH_SPREAD_MILLIS: u64 = 800;
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(1);
-/// Code and headers of a control datagram besides its message.
+/// Bytes of a control datagram besides its message: 16 for the authentication
+/// code, 28 for the headers.
 const CONTROL_OVERHEAD: u64 = 16 + 28;
+/// Longer messages are not sent as datagrams, so none of them is lost.
 const DATAGRAM_MESSAGE_LIMIT: u64 = 1200;
 const SESSIONS_PER_SLOT: usize = 72;
-/// The share of requests that sessions make; short flows make the rest.
+/// The share of requests made on sessions; the others are made on short flows.
 const SESSION_SHARE: f64 = 0.7;
 /// One session in this many is busy.
 const BUSY_SESSIONS: usize = 5;
 
-/// What a run is about.
+/// The options of a run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
     /// The deployment.
@@ -75,7 +81,7 @@
     pub loss: f64,
     /// The seed of everything random.
     pub seed: u64,
-    /// Shows every event and output whose debug form has this text, such as
+    /// Prints every event and output whose debug form contains this text, such as
     /// `RequestId(7)`, on standard error.
     pub traced: Option<String>,
 }
@@ -98,7 +104,7 @@
     Change(ChangeStep),
 }
 
-/// One deployment with everything around it.
+/// One deployment with its callers, network and platform.
 #[derive(Debug)]
 pub struct WorldRun<P> {
     options: RunOptions,
@@ -145,8 +151,8 @@
         let plan = options.plan.clone();
         let steps = options.scenario.steps(&plan);
         let last = steps.iter().map(|(after, _)| *after).max();
-        let load_until = EPOCH.after(CHANGE_AT + last.unwrap_or_default() + SETTLE);
-        let end = load_until.after(LAST_REQUESTS);
+        let load_until = EPOCH.after(CHANGE_START + last.unwrap_or_default() + SETTLE_DURATION);
+        let end = load_until.after(LAST_REQUESTS_DURATION);
         let mut fork = || SmallRng::from_rng(&mut rng);
         let arrivals = [0, 1].map(|service| {
             let rate = request_rate(&options, service) * (1.0 - SESSION_SHARE);
@@ -154,7 +160,7 @@
         });
         let fleet = CallerFleet::new(fork(), options.echo_share, arrivals, load_until);
         let network = NetworkModel::new(fork(), plan.caller_delay, options.loss);
-        let cold_until = EPOCH.after(CALLERS_FROM + SESSIONS_WITHIN);
+        let cold_until = EPOCH.after(CALLERS_START + SESSION_OPENING_DURATION);
         let servers = (0..plan.server_count())
             .map(|server| BackendServer::new(plan.service_of_server(server), fork(), cold_until));
         let servers = servers.collect();
@@ -174,7 +180,7 @@
             measures: RunMeasures::new(
                 &plan,
                 options.seed,
-                EPOCH.after(MEASURE_FROM),
+                EPOCH.after(MEASURE_START),
                 load_until,
                 end,
             ),
@@ -194,13 +200,13 @@
         }
         for service in 0..2 {
             self.add_sessions(service);
-            let first = EPOCH.after(CALLERS_FROM);
+            let first = EPOCH.after(CALLERS_START);
             self.queue
                 .push(first, WorldEvent::Caller(CallerTimer::Arrival(service)));
         }
         let plan = self.options.plan.clone();
         for (after, step) in self.options.scenario.steps(&plan) {
-            let time = EPOCH.after(CHANGE_AT + after);
+            let time = EPOCH.after(CHANGE_START + after);
             self.queue.push(time, WorldEvent::Change(step));
         }
     }
@@ -216,8 +222,8 @@
             };
             let interval = time::Duration::from_secs_f64(1.0 / (rate * activity));
             let flow = self.fleet.add_flow(service, FlowRole::Session(interval));
-            let offset = SESSIONS_WITHIN.mul_f64(self.rng.random());
-            let time = EPOCH.after(CALLERS_FROM + offset);
+            let offset = SESSION_OPENING_DURATION.mul_f64(self.rng.random());
+            let time = EPOCH.after(CALLERS_START + offset);
             self.queue
                 .push(time, WorldEvent::Caller(CallerTimer::Open(flow)));
         }
@@ -245,19 +251,20 @@
     fn handle(&mut self, event: WorldEvent) {
         self.trace(None, &event);
         match event {
-            WorldEvent::Tick(host, life) => self.tick(host, life),
-            WorldEvent::ToHost(host, input) => self.give_to_host(host, input),
-            WorldEvent::ToServer(server, datagram) => self.give_to_server(server, &datagram),
+            WorldEvent::Tick(host, start_count) => self.tick(host, start_count),
+            WorldEvent::ToHost(host, input) => self.deliver_to_host(host, input),
+            WorldEvent::ToServer(server, datagram) => self.deliver_to_server(server, &datagram),
             WorldEvent::ToCaller(reply) => {
                 let mut outputs = Vec::new();
                 let measures = &mut self.measures;
-                self.fleet.receive(self.now, &reply, measures, &mut outputs);
-                self.carry_out_callers(outputs);
+                self.fleet
+                    .handle_reply(self.now, &reply, measures, &mut outputs);
+                self.apply_caller_outputs(outputs);
             }
             WorldEvent::RunEnds(server, number) => {
                 let mut outputs = Vec::new();
                 self.servers[server].end(self.now, number, &mut outputs);
-                self.carry_out_server(server, outputs);
+                self.apply_server_outputs(server, outputs);
             }
             WorldEvent::Notice(server, flow, backend, via) => {
                 self.send_notice(server, flow, backend, via);
@@ -265,25 +272,26 @@
             WorldEvent::Caller(timer) => {
                 let mut outputs = Vec::new();
                 let measures = &mut self.measures;
-                self.fleet.act(self.now, timer, measures, &mut outputs);
-                self.carry_out_callers(outputs);
+                self.fleet
+                    .handle_timer(self.now, timer, measures, &mut outputs);
+                self.apply_caller_outputs(outputs);
             }
             WorldEvent::PlatformCall(call) => self.answer_platform(call),
             WorldEvent::PlatformTimeout(call) => {
-                if self.platform.give_up(&call) {
+                if self.platform.remove_waiting(&call) {
                     self.finish_call(call, PLATFORM_DELAY);
                 }
             }
-            WorldEvent::PlatformDone(call, result) => self.give_outcome(call, result),
-            WorldEvent::Spray(host, handed) => self.spray(host, handed),
-            WorldEvent::Unlist(host, life) => self.unlist(host, life),
+            WorldEvent::PlatformDone(call, result) => self.deliver_outcome(call, result),
+            WorldEvent::Spray(host, included) => self.update_fabric_hosts(host, included),
+            WorldEvent::Unlist(host, start_count) => self.unlist(host, start_count),
             WorldEvent::PublishHosts => self.publish_hosts(),
             WorldEvent::Change(step) => self.change(step),
         }
     }
 }
 
-/// Requests a second to `service` at the offered load.
+/// Requests per second to `service` at the offered load.
 fn request_rate(options: &RunOptions, service: usize) -> f64 {
     let servers = options.plan.servers_of(service).len();
     let slots = servers as f64 * f64::from(deployment::SLOTS);
--- a/crates/cardamomwinch_experiment/src/world/platform_calls.rs
+++ b/crates/cardamomwinch_experiment/src/world/platform_calls.rs
@@ -1,4 +1,4 @@
-//! What the operators publish, and the hosts' calls to the platform.
+//! The publications of the operators, and the hosts' calls to the platform.
 
 use std::time;
 
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn call_platform(&mut self, host: usize, request: PlatformRequest) {
-        let life = self.hosts[host].life;
+        let life = self.hosts[host].start_count;
         let call = WaitingCall {
             host,
             life,
@@ -81,7 +81,7 @@
         self.after(call.request.wait, WorldEvent::PlatformTimeout(call));
     }
 
-    pub(super) fn give_outcome(
+    pub(super) fn deliver_outcome(
         &mut self,
         call: WaitingCall,
         result: Result<PlatformAnswer, PlatformFailure>,
@@ -90,14 +90,14 @@
             let failed = WorldEvent::PlatformDone(call, Err(PlatformFailure));
             return self.after(CALL_TIMEOUT, failed);
         }
-        if self.hosts[call.host].life != call.life {
+        if self.hosts[call.host].start_count != call.life {
             return;
         }
         let outcome = PlatformOutcome {
             request: call.request,
             result,
         };
-        self.give_to_host(
+        self.deliver_to_host(
             call.host,
             HostInput::Control(ControlEvent::Platform(outcome)),
         );
--- a/crates/cardamomwinch_experiment/tests/fakes.rs
+++ b/crates/cardamomwinch_experiment/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! The fakes and the measures of the experiment.
+//! The fakes and the measurements of the experiment.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::time;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn events_of_one_time_keep_their_order() {
+fn events_of_the_same_time_keep_their_order() {
     let mut queue = EventQueue::default();
     for (time, event) in [(at(2), 'c'), (at(1), 'a'), (at(2), 'd'), (at(1), 'b')] {
         queue.push(time, event);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn addresses_give_the_flow_back() {
+fn a_flow_key_identifies_its_flow_and_service() {
     for flow in [0, 255, 256, 70_000] {
         let key = deployment::flow_key(flow, 1);
         assert_eq!(deployment::flow_at(&key), flow);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn scenarios_give_their_names_back() {
+fn the_names_of_scenarios_can_be_parsed() {
     for scenario in [ChangeScenario::singles(), ChangeScenario::pairs()].concat() {
         let name = scenario.to_string();
         assert_eq!(name.parse::<ChangeScenario>().unwrap(), scenario);
@@ -63,8 +63,8 @@
     assert!("calm+drain+nothing".parse::<ChangeScenario>().is_err());
 }
 
-/// A replica of the platform falls behind: a reader is given the older
-/// revision, and a watch above it is not answered until the replica catches up.
+/// A replica of the platform falls behind: a read returns the older revision,
+/// and a watch for a later one is not answered until the replica catches up.
 #[test]
 fn a_stale_platform_answers_with_the_older_revision() {
     let mut store = PlatformStore::default();
--- a/crates/cardamomwinch_experiment/tests/runs.rs
+++ b/crates/cardamomwinch_experiment/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Whole runs: that they repeat, and that they see the faults they count.
+//! Whole runs: they are repeatable, and they detect the faults that they count.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::time;
@@ -21,26 +21,28 @@
 }
 
 #[test]
-fn a_run_with_the_same_seed_is_the_same_run() {
+fn runs_with_the_same_seed_are_identical() {
     let first = run::<HostEngine>("host-killed+drain", 0.1);
     assert_eq!(first, run::<HostEngine>("host-killed+drain", 0.1));
 }
 
-/// A user opens a session; the operators switch the preset; the next packet
-/// meets a host that never saw the flow, hashes it over fewer servers, and the
-/// session is cut off. A measurement that does not see this sees nothing.
+/// Guards against an experiment that does not detect broken flows. A server
+/// drains, and the next packet of a session reaches a host without an entry for
+/// the flow. The host hashes the flow over fewer servers and chooses a server
+/// that resets it.
 #[test]
-fn a_hash_over_the_servers_of_each_host_breaks_flows_when_the_servers_change() {
+fn a_plain_hash_breaks_flows_when_the_servers_change() {
     let calm = run::<BaselineHost<PinnedHash>>("calm", 0.1);
     assert_eq!(calm.broken_per_100_000, 0.0);
     let drained = run::<BaselineHost<PinnedHash>>("drain", 0.1);
     assert!(drained.broken.reset > 100, "{:?}", drained.broken);
 }
 
-/// A caller's submission is doubled on its way and both copies reach the
-/// server by different hosts that know nothing of each other: it runs twice.
+/// Guards against an experiment that does not detect repeated runs. The network
+/// duplicates a request, both copies reach the server through hosts that record
+/// no requests, and it runs twice.
 #[test]
-fn doubled_requests_run_twice_where_no_host_remembers_them() {
+fn duplicated_requests_run_twice_if_no_host_records_them() {
     let report = run::<BaselineHost<ConsistentTable>>("calm", 0.1);
     assert!(report.run_twice > 0);
 }
--- a/crates/cardamomwinch_standin/src/caller.rs
+++ b/crates/cardamomwinch_standin/src/caller.rs
@@ -150,7 +150,7 @@
         self.shared.request(kind, payload, idempotent, wait).await
     }
 
-    /// Waits until `count` different notices have come, or `wait` has passed.
+    /// Waits until `count` different notices are received, or `wait` has passed.
     pub async fn wait_for_notices(&self, count: u64, wait: time::Duration) -> NoticeSummary {
         let shared = &self.shared;
         let limit = time::Instant::now() + wait;
