--- a/crates/cardamomwinch_experiment/src/lib.rs
+++ b/crates/cardamomwinch_experiment/src/lib.rs
@@ -1,7 +1,8 @@
-//! Measures the decisions of entry hosts. The real decision logic, or a baseline
-//! instead of it, is driven through its public interface by small fakes of the
-//! fabric, callers, backend servers and the platform. A run uses virtual time
-//! and one seed, so that policies can be compared under the same load.
+//! Measures the decisions of entry hosts, the hosts that receive datagrams from
+//! the fabric. The real decision logic, or a baseline instead of it, is driven
+//! through its public interface by small fakes of the fabric, callers, backend
+//! servers and the platform. A run uses virtual time and one seed, so that
+//! policies can be compared under the same load.
 //!
 //! ```
 //! use std::time;
--- a/crates/cardamomwinch_standin/src/backend.rs
+++ b/crates/cardamomwinch_standin/src/backend.rs
@@ -29,7 +29,8 @@
 use crate::runtime::{self, TaskExecutor};
 
 const MAX_BIND_ATTEMPTS: usize = 50;
-/// The exponent of the Pareto distribution: a mean exists, a variance hardly.
+/// The exponent of the Pareto distribution of service times. It is barely above 2, below which
+/// the variance is infinite; the mean is finite.
 const TAIL_EXPONENT: f64 = 2.1;
 /// The longest service time, as a multiple of the mean.
 const MAX_SERVICE_FACTOR: f64 = 50.0;
@@ -58,7 +59,7 @@
     /// Whether service times vary widely (Pareto distribution); otherwise each is
     /// the mean.
     pub heavy_tail: bool,
-    /// How long after its start it is cold: slower by a factor of five.
+    /// How long after its start it is cold, that is, slower by a factor of five.
     pub cold_start: time::Duration,
     /// The time between two notices on an open flow; zero for no notices.
     pub notice_interval: time::Duration,
@@ -397,15 +398,17 @@
     fn answer_http(&self, request: &HttpRequest) -> HttpReply {
         let mut state = runtime::locked(&self.state);
         match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/load") => HttpReply::of(&state.load(time::Instant::now())),
-            ("GET", "/runs") => HttpReply::of(&state.report()),
+            ("GET", "/load") => HttpReply::with_json(&state.load(time::Instant::now())),
+            ("GET", "/runs") => HttpReply::with_json(&state.report()),
             ("POST", "/drain") => {
                 state.drain();
                 HttpReply::empty(204)
             }
-            ("POST", "/freeze") => HttpReply::done(&request.json().map(|order| self.freeze(order))),
+            ("POST", "/freeze") => {
+                HttpReply::for_result(&request.json().map(|order| self.freeze(order)))
+            }
             ("POST", "/health") => {
-                HttpReply::done(&request.json().map(|health| state.set_health(health)))
+                HttpReply::for_result(&request.json().map(|health| state.set_health(health)))
             }
             _ => HttpReply::empty(404),
         }
--- a/crates/cardamomwinch_standin/src/backend_state.rs
+++ b/crates/cardamomwinch_standin/src/backend_state.rs
@@ -17,7 +17,7 @@
 /// are only counted.
 pub const MAX_LISTED_RUNS: usize = 100_000;
 
-/// The sender and the destination that replies about a flow carry.
+/// The flow, server and host that replies about a flow carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyRoute {
     /// The flow.
@@ -110,7 +110,7 @@
     #[default]
     Truth,
     /// The load as of an earlier query. The first query after each period still
-    /// gets the old report and takes a new one.
+    /// gets the old report and stores a new one for later queries.
     Lag {
         /// The period in milliseconds.
         period_ms: u64,
@@ -184,7 +184,7 @@
     runs: SortedVector<(FlowKey, RequestId), RequestRuns>,
     draining: bool,
     health: HealthMode,
-    lagged: Option<(time::Instant, LoadReport)>,
+    delayed_report: Option<(time::Instant, LoadReport)>,
     /// The counters. The lists are filled only by [`Self::report`].
     pub counters: RunReport,
 }
@@ -210,7 +210,7 @@
             runs: SortedVector::new(),
             draining: false,
             health,
-            lagged: None,
+            delayed_report: None,
             counters: RunReport::default(),
         }
     }
@@ -222,7 +222,7 @@
         own
     }
 
-    /// Opens the flow of `route`. Returns `true` if it is open now, also if it
+    /// Opens the flow of `route`. Returns `true` if the flow is open, even if it
     /// was open before. Refuses new flows while draining and when the limit of
     /// connections is reached.
     pub fn open(&mut self, route: ReplyRoute) -> bool {
@@ -343,7 +343,7 @@
     /// Sets what the load endpoint reports.
     pub fn set_health(&mut self, health: HealthMode) {
         self.health = health;
-        self.lagged = None;
+        self.delayed_report = None;
     }
 
     /// The report of the load endpoint at `now`.
@@ -360,9 +360,9 @@
             HealthMode::Lie { report } => report,
             HealthMode::Lag { period_ms } => {
                 let period = time::Duration::from_millis(period_ms);
-                let (taken, report) = *self.lagged.get_or_insert((now, truth));
+                let (taken, report) = *self.delayed_report.get_or_insert((now, truth));
                 if now.duration_since(taken) >= period {
-                    self.lagged = Some((now, truth));
+                    self.delayed_report = Some((now, truth));
                 }
                 report
             }
--- a/crates/cardamomwinch_standin/src/caller_state.rs
+++ b/crates/cardamomwinch_standin/src/caller_state.rs
@@ -240,8 +240,8 @@
             return;
         }
         answer.total = part.total;
-        if let Some(held) = answer.parts.get(&part.index) {
-            if held == payload {
+        if let Some(received) = answer.parts.get(&part.index) {
+            if received == payload {
                 self.counters.duplicate_parts += 1;
                 self.counters.duplicate_answers += u64::from(part.index == 0);
             } else {
--- a/crates/cardamomwinch_standin/src/deployment.rs
+++ b/crates/cardamomwinch_standin/src/deployment.rs
@@ -1,5 +1,6 @@
 //! A whole deployment as real processes: platform, fabric, backend servers and
-//! entry hosts, all on loopback addresses with ports that the system chooses.
+//! entry hosts (hosts that receive datagrams from the fabric), all on loopback
+//! addresses with ports that the system chooses.
 
 mod plan;
 mod publishing;
@@ -142,7 +143,7 @@
     }
 
     /// Starts only the platform and the fabric of `plan`, for tests that start
-    /// the rest step by step.
+    /// the other processes one by one.
     ///
     /// # Errors
     /// Fails if a program cannot be started or does not become ready.
--- a/crates/cardamomwinch_standin/src/deployment/publishing.rs
+++ b/crates/cardamomwinch_standin/src/deployment/publishing.rs
@@ -30,7 +30,10 @@
     /// # Errors
     /// Fails if the platform does not accept it.
     pub async fn publish_team(&mut self, service: &'static str) -> Result<(), StandinError> {
-        let backends = self.backends.iter().filter(|held| held.service == service);
+        let backends = self
+            .backends
+            .iter()
+            .filter(|backend| backend.service == service);
         let mut definitions = serde_json::Map::new();
         for backend in backends {
             let mut definition = backend.definition.clone();
--- a/crates/cardamomwinch_standin/src/deployment/waiting.rs
+++ b/crates/cardamomwinch_standin/src/deployment/waiting.rs
@@ -53,14 +53,17 @@
         let mut holders = vec![0; self.backends.len()];
         for position in 0..self.hosts.len() {
             let backends = self.call(position, "backends", json!([])).await?;
-            let held = backends.as_array().map(Vec::as_slice).unwrap_or_default();
-            let homes: Vec<Value> = held.iter().map(|held| held["home_host"].clone()).collect();
+            let reported = backends.as_array().map(Vec::as_slice).unwrap_or_default();
+            let homes: Vec<Value> = reported
+                .iter()
+                .map(|backend| backend["home_host"].clone())
+                .collect();
             let known = homes.iter().all(Value::is_string) && homes.len() == self.backends.len();
             if !known || agreed.as_ref().is_some_and(|agreed| *agreed != homes) {
                 return Ok(false);
             }
-            for (count, held) in holders.iter_mut().zip(held) {
-                *count += u32::from(held["holds_home"] == json!(true));
+            for (count, backend) in holders.iter_mut().zip(reported) {
+                *count += u32::from(backend["holds_home"] == json!(true));
             }
             agreed = Some(homes);
         }
--- a/crates/cardamomwinch_standin/src/fabric.rs
+++ b/crates/cardamomwinch_standin/src/fabric.rs
@@ -21,8 +21,8 @@
 use crate::http::{self, HttpAction, HttpReply, HttpRequest};
 use crate::runtime::{self, TaskExecutor};
 
-/// The codec writes an enum as the position of its variant and then its
-/// content, so one byte before the content makes it a `FabricDatagram`.
+/// The position of a variant of `FabricDatagram`. The codec writes it as one byte
+/// before the content, so the fabric prepends this byte to each datagram.
 #[derive(Debug, Clone, Copy)]
 #[repr(u8)]
 enum FabricSide {
@@ -61,11 +61,11 @@
 /// The settings of a fabric.
 #[derive(Debug, Clone)]
 pub struct FabricSettings {
-    /// Where callers send to.
+    /// The address to which callers send.
     pub callers: net::SocketAddr,
-    /// Where backend servers send to.
+    /// The address to which backend servers send.
     pub returns: net::SocketAddr,
-    /// Where the control listener is bound.
+    /// The address of the control listener.
     pub control: net::SocketAddr,
     /// How hosts are chosen.
     pub spray: SprayMode,
@@ -127,11 +127,11 @@
 /// A running fabric; it stops when dropped.
 #[derive(Debug)]
 pub struct FabricStandin {
-    /// Where callers send to.
+    /// The address to which callers send.
     pub caller_address: net::SocketAddr,
-    /// Where backend servers send to.
+    /// The address to which backend servers send.
     pub return_address: net::SocketAddr,
-    /// Where hosts and faults are set.
+    /// The HTTP address at which hosts and faults are set.
     pub control_address: net::SocketAddr,
     shared: sync::Arc<SharedFabric>,
     _tasks: [Task<()>; 3],
@@ -278,12 +278,12 @@
         let mut state = runtime::locked(&self.state);
         match (request.method.as_str(), request.path.as_str()) {
             ("PUT", "/v1/hosts") => {
-                HttpReply::done(&request.json().map(|hosts| state.hosts = hosts))
+                HttpReply::for_result(&request.json().map(|hosts| state.hosts = hosts))
             }
             ("PUT", "/v1/faults") => {
-                HttpReply::done(&request.json().map(|faults| state.faults = faults))
+                HttpReply::for_result(&request.json().map(|faults| state.faults = faults))
             }
-            ("GET", "/v1/statistics") => HttpReply::of(&state.statistics),
+            ("GET", "/v1/statistics") => HttpReply::with_json(&state.statistics),
             _ => HttpReply::empty(404),
         }
     }
--- a/crates/cardamomwinch_standin/src/faults.rs
+++ b/crates/cardamomwinch_standin/src/faults.rs
@@ -37,9 +37,9 @@
     pub loss: f64,
     /// The share that is delivered twice.
     pub double: f64,
-    /// The least delay of each, in milliseconds.
+    /// The minimum delay of each datagram, in milliseconds.
     pub delay_ms: u64,
-    /// The largest further delay of each, in milliseconds; chosen at random.
+    /// The maximum random delay that is added to it, in milliseconds.
     pub delay_ms_max: u64,
     /// The share that is delayed so that later ones overtake it.
     pub reorder: f64,
@@ -59,12 +59,12 @@
 
     fn delay(&self, random: &mut SmallRng) -> time::Duration {
         let millis = self.delay_ms + random.random_range(0..=self.delay_ms_max);
-        let held = if happens(self.reorder, random) {
+        let reorder_delay = if happens(self.reorder, random) {
             REORDER_DELAY
         } else {
             time::Duration::ZERO
         };
-        time::Duration::from_millis(millis) + held
+        time::Duration::from_millis(millis) + reorder_delay
     }
 }
 
--- a/crates/cardamomwinch_standin/src/http.rs
+++ b/crates/cardamomwinch_standin/src/http.rs
@@ -71,7 +71,7 @@
     }
 
     /// A reply of status 200 with `value` as JSON.
-    pub fn of<T: Serialize>(value: &T) -> Self {
+    pub fn with_json<T: Serialize>(value: &T) -> Self {
         match serde_json::to_vec(value) {
             Ok(bytes) => Self {
                 status: 200,
@@ -82,7 +82,7 @@
     }
 
     /// An empty reply: 204 for success, 400 for failure.
-    pub fn done<T>(result: &Result<T, StandinError>) -> Self {
+    pub fn for_result<T>(result: &Result<T, StandinError>) -> Self {
         Self::empty(if result.is_ok() { 204 } else { 400 })
     }
 
--- a/crates/cardamomwinch_standin/src/load.rs
+++ b/crates/cardamomwinch_standin/src/load.rs
@@ -25,7 +25,8 @@
     pub deadline: time::Duration,
     /// The mean pause between requests.
     pub pause: time::Duration,
-    /// Attempts at each opening or request while it is answered "not run".
+    /// The maximum number of attempts at an opening or a request that is answered
+    /// "not run".
     pub attempts: u32,
     /// The share of idempotent requests.
     pub idempotent: f64,
--- a/crates/cardamomwinch_standin/src/platform.rs
+++ b/crates/cardamomwinch_standin/src/platform.rs
@@ -54,7 +54,7 @@
     /// Answers with the values as they were when the fault was set.
     Stale,
     /// Answers with the first revision of each key; a watch is answered at
-    /// once if that differs from the revision it names.
+    /// once if the first revision differs from the revision in its query.
     Back,
     /// Answers 200 with bytes that are not JSON.
     Broken,
@@ -66,7 +66,7 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PlatformFault {
-    /// How to apply_fault.
+    /// How the public listener misbehaves.
     pub mode: FaultMode,
     /// The delay of [`FaultMode::Slow`], in milliseconds.
     #[serde(default)]
@@ -277,7 +277,7 @@
         self.shared.put(key, value)
     }
 
-    /// Makes the public listener apply_fault.
+    /// Makes the public listener misbehave.
     pub fn set_fault(&self, fault: PlatformFault) {
         self.shared.set_fault(fault);
     }
@@ -302,10 +302,12 @@
 
     fn serve_operator(&self, request: &HttpRequest) -> HttpReply {
         match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/v1/statistics") => HttpReply::of(&runtime::locked(&self.state).statistics()),
+            ("GET", "/v1/statistics") => {
+                HttpReply::with_json(&runtime::locked(&self.state).statistics())
+            }
             ("POST", "/v1/fault") => {
                 let fault = request.json();
-                HttpReply::done(&fault.map(|fault| self.set_fault(fault)))
+                HttpReply::for_result(&fault.map(|fault| self.set_fault(fault)))
             }
             ("PUT", path) => match path.strip_prefix(KEY_PREFIX) {
                 Some(key) if !key.is_empty() => self.write(key, &request.body),
@@ -320,7 +322,7 @@
             return HttpReply::empty(413);
         }
         match String::from_utf8(value.to_vec()) {
-            Ok(value) => HttpReply::of(&WrittenRevision {
+            Ok(value) => HttpReply::with_json(&WrittenRevision {
                 revision: self.put(key, value),
             }),
             Err(_) => HttpReply::empty(400),
@@ -341,7 +343,7 @@
                 }
             }
         };
-        found.map_or(HttpReply::empty(404), |found| HttpReply::of(&found))
+        found.map_or(HttpReply::empty(404), |found| HttpReply::with_json(&found))
     }
 }
 
--- a/crates/cardamomwinch_standin/src/process.rs
+++ b/crates/cardamomwinch_standin/src/process.rs
@@ -1,5 +1,5 @@
 //! Child processes of tests. They are signalled by their own id, and killed when
-//! their guard is dropped or this process ends without dropping it.
+//! their [`ChildProcess`] is dropped or this process ends.
 
 mod starter;
 
--- a/crates/cardamomwinch_standin/src/proxy.rs
+++ b/crates/cardamomwinch_standin/src/proxy.rs
@@ -26,6 +26,7 @@
 /// clients are dropped.
 const MAX_CLIENTS: usize = 4096;
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
+/// Longer than any test runs.
 const FOREVER: time::Duration = time::Duration::from_secs(24 * 3600);
 
 /// The addresses of a proxy.
@@ -194,14 +195,14 @@
     async fn control(&self, request: &HttpRequest) -> HttpReply {
         match (request.method.as_str(), request.path.as_str()) {
             ("PUT", "/v1/rules") => {
-                HttpReply::done(&request.json().map(|order| self.set_rules(order)))
+                HttpReply::for_result(&request.json().map(|order| self.set_rules(order)))
             }
             ("PUT", "/v1/blocked") => {
-                HttpReply::done(&request.json().map(|order| self.block(&order)))
+                HttpReply::for_result(&request.json().map(|order| self.block(&order)))
             }
             ("POST", "/v1/proxies") => match request.json() {
                 Ok(pair) => match self.add(pair).await {
-                    Ok(pair) => HttpReply::of(&pair),
+                    Ok(pair) => HttpReply::with_json(&pair),
                     Err(_) => HttpReply::empty(409),
                 },
                 Err(_) => HttpReply::empty(400),
--- a/crates/cardamomwinch_standin/src/runtime.rs
+++ b/crates/cardamomwinch_standin/src/runtime.rs
@@ -11,14 +11,15 @@
 
 /// The wall clock.
 pub fn now() -> Timestamp {
-    // A clock before 1970 counts as 1970, so every deadline is far in the future.
+    // If the clock is before 1970, 1970 is used; all deadlines are then far away.
     let since_epoch = time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
         .unwrap_or_default();
     Timestamp::ZERO.after(since_epoch)
 }
 
-/// Locks `mutex`, also if a holder panicked, so that a stand-in continues to answer.
+/// Locks `mutex`, even if a thread panicked while it held the lock, so that a
+/// stand-in continues to answer.
 pub fn locked<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
--- a/crates/cardamomwinch_standin/tests/support/mod.rs
+++ b/crates/cardamomwinch_standin/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs tests on an executor, and has a host that forwards without any decisions.
+//! Runs tests on an executor, and defines a host that forwards without any decisions.
 // Each test file uses only a part of this.
 #![allow(dead_code)]
 
@@ -35,7 +35,7 @@
     async_io::block_on(executor.run(limited));
 }
 
-/// Repeats `check` until it returns `true`.
+/// Repeats `check` until it returns `true`; fails the test after [`TIMEOUT`].
 pub(crate) async fn eventually(mut check: impl FnMut() -> bool) {
     let limit = time::Instant::now() + TIMEOUT;
     while !check() {
