--- a/crates/cardamomwinch_standin/src/caller_state.rs
+++ b/crates/cardamomwinch_standin/src/caller_state.rs
@@ -106,8 +106,8 @@
     pub duplicate_parts: u64,
     /// Answers whose first part was received again.
     pub duplicate_answers: u64,
-    /// Parts received again with other content, or with an impossible part number;
-    /// a violation.
+    /// Parts received again with other content, or whose numbers do not fit the
+    /// other parts; a violation.
     pub conflicting_parts: u64,
     /// Requests for which both an answer and "not run" were received; a violation.
     pub contradictions: u64,
--- a/crates/cardamomwinch_standin/src/lib.rs
+++ b/crates/cardamomwinch_standin/src/lib.rs
@@ -1,7 +1,6 @@
 //! Small stand-ins for what surrounds the load balancer: the platform, the
 //! fabric, backend servers and callers, and a proxy that injects faults. They
-//! serve tests and demonstrations; no other crate of the product depends on
-//! them outside its tests.
+//! serve only tests and demonstrations; the product does not depend on them.
 //!
 //! ```
 //! use cardamomwinch_standin::prelude::*;
