--- a/crates/cardamomwinch_standin/src/deployment/waiting.rs
+++ b/crates/cardamomwinch_standin/src/deployment/waiting.rs
@@ -1,4 +1,4 @@
-//! Waits for what the hosts of a deployment come to.
+//! Waits until the hosts of a deployment reach a state.
 
 use std::time;
 
@@ -8,14 +8,14 @@
 use crate::error::{NotReadySnafu, StandinError, TimeoutSnafu};
 use crate::http;
 
-/// How often a condition is looked at while it is waited for.
+/// The time between two checks of a condition.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 impl Deployment {
-    /// Waits until every host says that it is ready.
+    /// Waits until `/readyz` of every host reports that it is ready.
     ///
     /// # Errors
-    /// Fails where one does not within `wait`.
+    /// Fails if a host is not ready within `wait`.
     pub async fn wait_until_ready(&self, wait: time::Duration) -> Result<(), StandinError> {
         for host in &self.hosts {
             let admin = host.address("admin_address")?;
@@ -33,10 +33,11 @@
         Ok(())
     }
 
-    /// Waits until all hosts name the same home for every backend server.
+    /// Waits until all hosts name the same home for every backend server, and
+    /// exactly one host holds each home.
     ///
     /// # Errors
-    /// Fails where they do not within `wait`.
+    /// Fails if they do not agree within `wait`, or a host does not answer.
     pub async fn wait_until_homes_agree(&self, wait: time::Duration) -> Result<(), StandinError> {
         let limit = time::Instant::now() + wait;
         while !self.homes_agree().await? {
@@ -52,24 +53,27 @@
         let mut holders = vec![0; self.backends.len()];
         for position in 0..self.hosts.len() {
             let backends = self.call(position, "backends", json!([])).await?;
-            let held = backends.as_array().map(Vec::as_slice).unwrap_or_default();
-            let homes: Vec<Value> = held.iter().map(|held| held["home_host"].clone()).collect();
+            let reported = backends.as_array().map(Vec::as_slice).unwrap_or_default();
+            let homes: Vec<Value> = reported
+                .iter()
+                .map(|backend| backend["home_host"].clone())
+                .collect();
             let known = homes.iter().all(Value::is_string) && homes.len() == self.backends.len();
             if !known || agreed.as_ref().is_some_and(|agreed| *agreed != homes) {
                 return Ok(false);
             }
-            for (count, held) in holders.iter_mut().zip(held) {
-                *count += u32::from(held["holds_home"] == json!(true));
+            for (count, backend) in holders.iter_mut().zip(reported) {
+                *count += u32::from(backend["holds_home"] == json!(true));
             }
             agreed = Some(homes);
         }
         Ok(holders.iter().all(|count| *count == 1))
     }
 
-    /// Waits until `holds` is true of the status of every host.
+    /// Waits until `holds` returns `true` for the status of every host.
     ///
     /// # Errors
-    /// Fails where it is not within `wait`.
+    /// Fails if it does not for a host within `wait`.
     pub async fn wait_for_status(
         &self,
         wait: time::Duration,
