--- a/crates/cardamomwinch_state/src/backend_server.rs
+++ b/crates/cardamomwinch_state/src/backend_server.rs
@@ -1,4 +1,4 @@
-//! Backend servers: what runs the requests.
+//! Backend servers, which run the requests.
 
 use std::fmt;
 use std::net;
@@ -13,9 +13,9 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendPhase {
-    /// It takes new flows.
+    /// It accepts new flows.
     Active,
-    /// It keeps the flows it has and gets no new one.
+    /// It keeps its open flows and gets no new ones.
     Draining,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A backend server as it is in force.
+/// A backend server of the configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BackendEntry {
@@ -38,22 +38,22 @@
     pub name: String,
     /// The service it serves.
     pub service: ServiceId,
-    /// The failure domain it stands in.
+    /// The failure domain it is in.
     pub domain: DomainId,
-    /// Where it takes datagrams (UDP) and answers about its load (HTTP).
+    /// Where it receives datagrams (UDP) and serves its load report (HTTP).
     pub address: net::SocketAddr,
-    /// Requests it runs at the same time.
+    /// The most requests it runs at the same time.
     pub slots: SlotCount,
-    /// Flows it holds open at the same time.
+    /// The most flows it holds open at the same time.
     pub connections: ConnectionCount,
-    /// Its share of new flows.
+    /// Its relative share of new flows.
     pub weight: Weight,
     /// Whether it gets new flows.
     pub phase: BackendPhase,
 }
 
 impl BackendEntry {
-    /// Whether the server may be given a new flow.
+    /// Whether a new flow may be placed on the server.
     pub fn takes_new_flows(&self) -> bool {
         self.phase == BackendPhase::Active && self.weight > Weight::ZERO
     }
--- a/crates/cardamomwinch_state/src/configuration.rs
+++ b/crates/cardamomwinch_state/src/configuration.rs
@@ -11,21 +11,21 @@
 use crate::service::ServiceEntry;
 use crate::sorted_vector::SortedVector;
 
-/// Limits that all hosts must apply alike; the root document sets them.
+/// Limits that must be the same on all hosts; the root document sets them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigurationLimits {
-    /// The longest time between the first sending of a request and its deadline.
+    /// The longest time from when a request is first sent to its deadline.
     pub request_lifetime: time::Duration,
-    /// How far apart two hosts' clocks may be.
+    /// The largest difference allowed between the clocks of two hosts.
     pub clock_skew: time::Duration,
-    /// How long a home host may act without its lease being renewed.
+    /// How long the home of a shard may act without a renewal of its lease.
     pub home_lease: time::Duration,
-    /// Shards into which the backend servers of a failure domain are divided.
+    /// The number of shards into which the backend servers of a failure domain are divided.
     pub shards_per_domain: u16,
     /// The seed of the flow hash.
     pub flow_hash_seed: u64,
-    /// Retries allowed per hundred first tries.
+    /// Retries allowed per hundred first attempts.
     pub retry_percent: u32,
 }
 
@@ -42,14 +42,14 @@
     }
 }
 
-/// One version of the configuration with exactly one preset applied.
+/// One version of the configuration with one preset applied.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct InForceConfiguration {
     /// The version that this was resolved from.
     pub version: ConfigurationVersion,
     /// The name of the preset in force.
     pub preset: String,
-    /// Limits that all hosts apply alike.
+    /// Limits that are the same on all hosts.
     pub limits: ConfigurationLimits,
     /// Services by identifier.
     pub services: SortedVector<ServiceId, ServiceEntry>,
--- a/crates/cardamomwinch_state/src/flow.rs
+++ b/crates/cardamomwinch_state/src/flow.rs
@@ -1,4 +1,4 @@
-//! What names a flow, and the hash that all hosts compute alike.
+//! The key of a flow and its hash, which is the same on all hosts.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -9,7 +9,7 @@
 use siphasher::sip::SipHasher13;
 use snafu::Snafu;
 
-/// The two ends of a flow: caller and service.
+/// The addresses of the caller and the service, which identify a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct FlowKey {
@@ -19,7 +19,7 @@
     pub service: net::SocketAddr,
 }
 
-/// Text that does not name a flow as `CALLER->SERVICE`.
+/// A text is not a flow in the form `CALLER->SERVICE`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("expected CALLER->SERVICE as two addresses with ports, found {found:?}"))]
@@ -49,13 +49,13 @@
     }
 }
 
-/// A flow's hash under the key that all hosts share.
+/// The hash of a flow under the seed that all hosts share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct FlowHash(u64);
 
 impl FlowHash {
-    /// Wraps a number that was produced by [`Self::get`] elsewhere.
+    /// Wraps a number that [`Self::get`] returned, possibly on another host.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -65,22 +65,22 @@
         self.0
     }
 
-    /// Mixes the hash with `salt` into a number that is evenly spread and
-    /// independent for different salts. This is the finalizer of SplitMix64.
+    /// Mixes the hash with `salt` by the finalizer of SplitMix64. The results are evenly
+    /// distributed and independent for different salts.
     pub const fn mixed_with(self, salt: u64) -> u64 {
         mix(self.0 ^ salt.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     }
 }
 
-/// Spreads the bits of `number` evenly: the finalizer of SplitMix64.
+/// Distributes `number` evenly over all 64-bit numbers by the finalizer of SplitMix64.
 pub const fn mix(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
 }
 
-/// Computes [`FlowHash`]es under a shared seed. The seed keeps callers from
-/// choosing ports that all meet in one place.
+/// Computes [`FlowHash`]es under a seed that all hosts share. Without a seed, callers could
+/// choose ports whose flows all get the same hash.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowHasher {
     seed: u64,
--- a/crates/cardamomwinch_state/src/host.rs
+++ b/crates/cardamomwinch_state/src/host.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as the platform lists them.
+//! Hosts and the list of them that the platform publishes.
 
 use std::fmt;
 use std::net;
@@ -9,12 +9,12 @@
 use crate::quantities::HostListVersion;
 use crate::sorted_vector::SortedVector;
 
-/// What the platform says about a host. The list lags behind the truth.
+/// The phase of a host in the published list, which lags behind the real state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostPhase {
-    /// The host is meant to run.
+    /// The host should be running.
     Live,
     /// The host is about to stop.
     Leaving,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A host as the platform lists it.
+/// A host in the list that the platform publishes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostEntry {
@@ -37,19 +37,19 @@
     pub id: HostId,
     /// The name of the host.
     pub name: String,
-    /// The failure domain it stands in.
+    /// The failure domain it is in.
     pub domain: DomainId,
-    /// Where it takes datagrams from the fabric (UDP).
+    /// Where it receives datagrams from the fabric (UDP).
     pub traffic_address: net::SocketAddr,
-    /// Where it takes control messages of other hosts (UDP, and TCP for bulk).
+    /// Where it receives control messages from other hosts (UDP, and TCP for large messages).
     pub peer_address: net::SocketAddr,
-    /// Where it takes datagrams relayed by other hosts (UDP).
+    /// Where it receives datagrams that other hosts relay (UDP).
     pub relay_address: net::SocketAddr,
-    /// What the platform says about it.
+    /// Its phase according to the platform.
     pub phase: HostPhase,
 }
 
-/// The published list of hosts at one version.
+/// One version of the published list of hosts.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct HostTable {
     /// The version of the list.
--- a/crates/cardamomwinch_state/src/identifiers.rs
+++ b/crates/cardamomwinch_state/src/identifiers.rs
@@ -1,7 +1,6 @@
-//! Identifiers. Those made from a name are the first eight bytes of the
-//! BLAKE3 hash of that name, so that every host derives the same identifier
-//! without any assignment having to be agreed on. The configuration check
-//! refuses two names that collide.
+//! Identifiers. One that is derived from a name is the first eight bytes of a BLAKE3 hash of
+//! that name, so that all hosts derive the same identifier without having to agree on an
+//! assignment. The configuration check refuses two names whose identifiers are equal.
 
 use std::fmt;
 use std::str;
@@ -9,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Text that is not sixteen hexadecimal digits.
+/// A text is not an identifier of sixteen hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("expected sixteen hexadecimal digits, found {found:?}"))]
@@ -37,7 +36,7 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Wraps a number that was produced by [`Self::get`] elsewhere.
+            /// Wraps a number that [`Self::get`] returned, possibly on another host.
             pub const fn new(number: u64) -> Self {
                 Self(number)
             }
@@ -69,7 +68,7 @@
 }
 
 hashed_identifier! {
-    /// An entry host.
+    /// A host.
     HostId
 }
 hashed_identifier! {
@@ -77,7 +76,7 @@
     DomainId
 }
 hashed_identifier! {
-    /// A region: failure domains that stand close to each other.
+    /// A region: failure domains that are close to each other.
     RegionId
 }
 hashed_identifier! {
@@ -89,13 +88,13 @@
     ServiceId
 }
 hashed_identifier! {
-    /// A backend server in the role it has for one service. The same address
-    /// under another service is another identifier, so that a flow of the old
-    /// service can never resolve to the new one.
+    /// A backend server of one service. The same address has another identifier under
+    /// another service, so that a flow of one service can't be sent to a server of another
+    /// after the address is reassigned.
     BackendId
 }
 hashed_identifier! {
-    /// A request, chosen by its caller and unique within the flow.
+    /// A request. The caller chooses the identifier, unique within the flow.
     RequestId
 }
 
@@ -135,8 +134,7 @@
 }
 
 impl BackendId {
-    /// Derives the identifier of backend server `name` at `address` in its
-    /// role for `service`.
+    /// Derives the identifier of the backend server `name` of `service` at `address`.
     pub fn from_role(service: ServiceId, name: &str, address: std::net::SocketAddr) -> Self {
         let address = address.to_string();
         Self(hash_parts(&[
@@ -148,8 +146,9 @@
     }
 }
 
-/// One of the equal parts into which the backend servers of a failure domain
-/// are divided; every shard has at most one home host at a time.
+/// One of the equal parts into which the backend servers of a failure domain are divided.
+/// A shard has at most one home at a time: the host that holds its lease and decides about
+/// its flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ShardId {
@@ -160,7 +159,8 @@
 }
 
 impl ShardId {
-    /// The shard of `backend` in `domain`, which is divided into `count` shards.
+    /// The shard of `backend` in `domain`, which is divided into `count` shards (zero counts
+    /// as one).
     pub const fn of_backend(domain: DomainId, backend: BackendId, count: u16) -> Self {
         let count = if count == 0 { 1 } else { count };
         let index = (crate::flow::mix(backend.get()) % count as u64) as u16;
--- a/crates/cardamomwinch_state/src/lib.rs
+++ b/crates/cardamomwinch_state/src/lib.rs
@@ -1,5 +1,5 @@
-//! Identifiers, quantities and tables of the load balancer: plain data that
-//! neither performs input or output nor reads a clock.
+//! Identifiers, quantities and tables of the load balancer. Nothing here does input or output
+//! or reads a clock.
 //!
 //! Every other crate of the workspace builds on this one.
 //!
@@ -21,7 +21,7 @@
 pub mod service;
 pub mod sorted_vector;
 
-/// What users of the data model need most often.
+/// The items of the data model that are needed most often.
 pub mod prelude {
     pub use crate::backend_server::{BackendEntry, BackendPhase};
     pub use crate::configuration::{ConfigurationLimits, InForceConfiguration};
--- a/crates/cardamomwinch_state/src/parted_table.rs
+++ b/crates/cardamomwinch_state/src/parted_table.rs
@@ -1,24 +1,24 @@
-//! A bounded table kept as sorted vectors in many parts, chosen by the hash of
-//! a flow, so that an insertion moves only a short run of entries.
+//! A bounded table that is split into many sorted vectors by the hash of a flow, so that an
+//! insertion moves only a few entries.
 
 use crate::flow::{FlowHash, FlowKey};
 use crate::sorted_vector::SortedVector;
 
 const PART_COUNT: usize = 1024;
 
-/// The table already holds as many flows as it may.
+/// The table is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(snafu::Snafu)]
 #[snafu(display("the table holds its limit of {limit} entries"))]
 pub struct TableFullError {
-    /// The bound from the settings.
+    /// The most entries that the table may hold.
     pub limit: usize,
 }
 
-/// Flows and a value for each, bounded in number.
+/// A table with one value per flow.
 pub type FlowTable<V> = PartedTable<FlowKey, V>;
 
-/// Entries that belong to flows, bounded in number.
+/// A bounded number of entries, each of which belongs to a flow.
 #[derive(Debug)]
 pub struct PartedTable<K, V> {
     parts: Vec<SortedVector<K, V>>,
@@ -42,30 +42,30 @@
         (hash.get() >> 32) as usize % PART_COUNT
     }
 
-    /// The number of entries held.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether no entry is held.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// The value under `key`, whose flow has the hash `hash`.
+    /// The value of `key`, whose flow has the hash `hash`.
     pub fn get(&self, hash: FlowHash, key: &K) -> Option<&V> {
         self.parts[Self::part(hash)].get(key)
     }
 
-    /// The value under `key`, to be changed.
+    /// A mutable reference to the value of `key`, whose flow has the hash `hash`.
     pub fn get_mut(&mut self, hash: FlowHash, key: &K) -> Option<&mut V> {
         self.parts[Self::part(hash)].get_mut(key)
     }
 
-    /// Puts `value` under `key` and returns what it replaced.
+    /// Sets the value of `key` and returns the previous one.
     ///
     /// # Errors
-    /// Refuses a key that is not held yet once the table is full.
+    /// Fails if the table is full and has no entry for `key`.
     pub fn insert(
         &mut self,
         hash: FlowHash,
@@ -83,7 +83,7 @@
         Ok(replaced)
     }
 
-    /// Takes the value under `key` out.
+    /// Removes the entry of `key` and returns its value.
     pub fn remove(&mut self, hash: FlowHash, key: &K) -> Option<V> {
         let removed = self.parts[Self::part(hash)].remove(key);
         if removed.is_some() {
@@ -92,7 +92,7 @@
         removed
     }
 
-    /// Keeps only the entries for which `keep` holds.
+    /// Removes all entries for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         for part in &mut self.parts {
             part.retain(&mut keep);
@@ -105,13 +105,13 @@
         self.parts.iter().flat_map(SortedVector::iter)
     }
 
-    /// The number of parts that [`Self::retain_part`] walks.
+    /// The number of parts of a table, for [`Self::retain_part`].
     pub const fn part_count() -> usize {
         PART_COUNT
     }
 
-    /// Like [`Self::retain`] for one part only, so that a sweep over a large
-    /// table can be spread over many short steps.
+    /// Like [`Self::retain`] for one part only, so that a sweep over a large table can be
+    /// split into many short steps. `position` is taken modulo the number of parts.
     pub fn retain_part(&mut self, position: usize, keep: impl FnMut(&K, &mut V) -> bool) {
         let part = &mut self.parts[position % PART_COUNT];
         let before = part.len();
--- a/crates/cardamomwinch_state/src/quantities.rs
+++ b/crates/cardamomwinch_state/src/quantities.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates, versions and points in time, each a type of its own.
+//! Sizes, rates, versions and points in time, each with its own type.
 
 use std::fmt;
 use std::num;
@@ -15,9 +15,9 @@
         pub struct $name($inner);
 
         impl $name {
-            /// Nothing of this quantity.
+            /// Zero.
             pub const ZERO: Self = Self(0);
-            /// The largest representable amount.
+            /// The largest value.
             pub const MAX: Self = Self(<$inner>::MAX);
 
             /// Wraps a plain number.
@@ -30,13 +30,13 @@
                 self.0
             }
 
-            /// The sum, or the largest representable amount.
+            /// The sum, at most [`Self::MAX`].
             #[must_use]
             pub const fn saturating_add(self, other: Self) -> Self {
                 Self(self.0.saturating_add(other.0))
             }
 
-            /// The difference, or nothing.
+            /// The difference, at least zero.
             #[must_use]
             pub const fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
@@ -60,15 +60,15 @@
 }
 
 quantity! {
-    /// Requests that a backend server can run at the same time.
+    /// A number of requests that run at the same time on a backend server.
     SlotCount(u32)
 }
 quantity! {
-    /// Flows that a backend server can hold open at the same time.
+    /// A number of flows that are open at the same time on a backend server.
     ConnectionCount(u32)
 }
 quantity! {
-    /// New flows in a thousand seconds.
+    /// New flows per thousand seconds.
     OpeningRate(u64)
 }
 quantity! {
@@ -80,48 +80,48 @@
     ByteCount(u64)
 }
 quantity! {
-    /// The version of the whole configuration. It only rises.
+    /// The version of the whole configuration. It only increases.
     ConfigurationVersion(u64)
 }
 quantity! {
-    /// The revision of one team's fragment. It only rises.
+    /// The revision of one team's fragment. It only increases.
     FragmentRevision(u64)
 }
 quantity! {
-    /// The version of the published list of hosts. It only rises.
+    /// The version of the published list of hosts. It only increases.
     HostListVersion(u64)
 }
 quantity! {
-    /// Distinguishes successive lives of one host: microseconds since the Unix
-    /// epoch at the start of the process. A later life has a higher number.
+    /// Distinguishes successive processes of one host: the start time of the process in
+    /// microseconds since the Unix epoch. A later incarnation has a higher number.
     Incarnation(u64)
 }
 quantity! {
-    /// How often a host has refuted, within one life, the claim that it is dead.
+    /// How often a host has refuted, within one incarnation, the claim that it is dead.
     RefutationCount(u32)
 }
 quantity! {
-    /// A point in time: microseconds since the Unix epoch, as the host sees it.
-    /// It never falls within one process.
+    /// A point in time by the clock of the host, in microseconds since the Unix epoch. It
+    /// never decreases within one process.
     Timestamp(u64)
 }
 
 impl Timestamp {
-    /// This point moved `duration` into the future, or the last representable one.
+    /// The point `duration` later, at most [`Self::MAX`].
     #[must_use]
     pub fn after(self, duration: time::Duration) -> Self {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 
-    /// This point moved `duration` into the past, or the first representable one.
+    /// The point `duration` earlier, at least [`Self::ZERO`].
     #[must_use]
     pub fn before(self, duration: time::Duration) -> Self {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 
-    /// How long after `earlier` this point is; nothing where it is not later.
+    /// The time from `earlier` to this point; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/cardamomwinch_state/src/service.rs
+++ b/crates/cardamomwinch_state/src/service.rs
@@ -1,4 +1,4 @@
-//! Services: what callers address.
+//! Services, to which callers open flows.
 
 use std::net;
 
@@ -6,7 +6,7 @@
 
 use crate::identifiers::{ServiceId, TeamId};
 
-/// A service as it is in force.
+/// A service of the configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceEntry {
--- a/crates/cardamomwinch_state/src/sorted_vector.rs
+++ b/crates/cardamomwinch_state/src/sorted_vector.rs
@@ -1,6 +1,6 @@
-//! A map kept as one vector sorted by key: compact, and found by binary search.
+//! A compact map: one vector sorted by key and searched by binary search.
 
-/// Entries sorted by key, without duplicates.
+/// A map of entries that are sorted by key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SortedVector<K, V> {
     entries: Vec<(K, V)>,
@@ -27,7 +27,7 @@
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether the map is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -36,24 +36,24 @@
         self.entries.binary_search_by(|(held, _)| held.cmp(key))
     }
 
-    /// The value under `key`.
+    /// The value of `key`.
     pub fn get(&self, key: &K) -> Option<&V> {
         let position = self.position(key).ok()?;
         Some(&self.entries[position].1)
     }
 
-    /// The value under `key`, to be changed.
+    /// A mutable reference to the value of `key`.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         let position = self.position(key).ok()?;
         Some(&mut self.entries[position].1)
     }
 
-    /// Whether there is a value under `key`.
+    /// Whether there is an entry for `key`.
     pub fn contains_key(&self, key: &K) -> bool {
         self.position(key).is_ok()
     }
 
-    /// Puts `value` under `key` and returns what it replaced.
+    /// Sets the value of `key` and returns the previous one.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.position(&key) {
             Ok(position) => Some(std::mem::replace(&mut self.entries[position].1, value)),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The value under `key`, created by `make` where there is none.
+    /// A mutable reference to the value of `key`, which `make` creates if there is none.
     pub fn get_or_insert_with(&mut self, key: K, make: impl FnOnce() -> V) -> &mut V {
         let position = match self.position(&key) {
             Ok(position) => position,
@@ -76,13 +76,13 @@
         &mut self.entries[position].1
     }
 
-    /// Takes the value under `key` out.
+    /// Removes the entry of `key` and returns its value.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         let position = self.position(key).ok()?;
         Some(self.entries.remove(position).1)
     }
 
-    /// Keeps only the entries for which `keep` holds.
+    /// Removes all entries for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         self.entries.retain_mut(|(key, value)| keep(key, value));
     }
@@ -97,12 +97,12 @@
         self.entries.iter().map(|(key, value)| (key, value))
     }
 
-    /// All entries in the order of their keys, with the values to be changed.
+    /// All entries in the order of their keys, with mutable values.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.entries.iter_mut().map(|(key, value)| (&*key, value))
     }
 
-    /// The entries from `key` on, in the order of their keys.
+    /// The entries whose key is `key` or greater, in the order of their keys.
     pub fn range_from<'a>(
         &'a self,
         key: &K,
@@ -130,7 +130,7 @@
 }
 
 impl<K: Ord, V> FromIterator<(K, V)> for SortedVector<K, V> {
-    /// Collects entries; of equal keys the last one wins.
+    /// Collects entries; of those with equal keys the last one is kept.
     fn from_iter<I: IntoIterator<Item = (K, V)>>(entries: I) -> Self {
         let mut entries: Vec<(K, V)> = entries.into_iter().collect();
         entries.reverse();
