--- a/crates/cardamomwinch_protocol/src/administration.rs
+++ b/crates/cardamomwinch_protocol/src/administration.rs
@@ -1,5 +1,5 @@
-//! Types of the administration API: JSON-RPC 2.0 over HTTP. Names are strings
-//! and identifiers hexadecimal text, because operators read them.
+//! Types of the administration API, which is JSON-RPC 2.0 over HTTP. Operators read them, so
+//! names are strings and identifiers are hexadecimal text.
 
 use std::fmt;
 use std::net;
@@ -10,33 +10,32 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Method that answers a [`StatusReport`]. It takes no parameters.
+/// Method that returns a [`StatusReport`]. It takes no parameters.
 pub const STATUS_METHOD: &str = "status";
-/// Method that answers a list of [`MemberReport`]s. It takes no parameters.
+/// Method that returns a list of [`MemberReport`]s. It takes no parameters.
 pub const MEMBERS_METHOD: &str = "members";
-/// Method that answers a list of [`BackendReport`]s. It takes no parameters.
+/// Method that returns a list of [`BackendReport`]s. It takes no parameters.
 pub const BACKENDS_METHOD: &str = "backends";
-/// Method that takes [`FlowsParameters`] and answers a [`FlowsReport`].
+/// Method that takes [`FlowsParameters`] and returns a [`FlowsReport`].
 pub const FLOWS_METHOD: &str = "flows";
-/// Method that takes [`ExplainParameters`] and answers an [`ExplainReport`].
+/// Method that takes [`ExplainParameters`] and returns an [`ExplainReport`].
 pub const EXPLAIN_METHOD: &str = "explain";
-/// Method that answers a [`BeliefReport`]; forwarding hosts have it. It takes no
+/// Method that returns a [`BeliefReport`]. Only forwarding hosts have it. It takes no
 /// parameters.
 pub const BELIEFS_METHOD: &str = "beliefs";
-/// Method that begins a graceful stop and answers a [`StopReport`]. It takes
-/// no parameters.
+/// Method that begins a graceful stop and returns a [`StopReport`]. It takes no parameters.
 pub const STOP_METHOD: &str = "stop";
 
-/// Whether a host serves.
+/// Whether a host accepts new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServingPhase {
-    /// It holds no configuration yet.
+    /// It has no configuration yet.
     Starting,
-    /// It takes new flows.
+    /// It accepts new flows.
     Serving,
-    /// It takes no new flows and finishes what it has.
+    /// It accepts no new flows and finishes its open flows and requests.
     Stopping,
 }
 
@@ -57,23 +56,23 @@
     /// The team that published it; `root` or `hosts` for a document that
     /// concerns all teams.
     pub team: String,
-    /// Its revision.
+    /// The revision of the document.
     pub revision: FragmentRevision,
-    /// Why it is refused.
+    /// Why it was refused.
     pub reason: String,
 }
 
-/// How the platform answers this host.
+/// The state of the platform as this host sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PlatformReport {
-    /// Whether the last call was answered.
+    /// Whether the platform answered the last call.
     pub reachable: bool,
-    /// Answers older than what the host held already. They were ignored.
+    /// The number of answers that were ignored because the host already had newer data.
     pub stale_answers: u64,
 }
 
-/// How a host is doing.
+/// The state of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StatusReport {
@@ -81,40 +80,40 @@
     pub host: String,
     /// The name of its failure domain.
     pub domain: String,
-    /// Its present life.
+    /// Its incarnation, which identifies the running process.
     pub incarnation: Incarnation,
-    /// Whether it serves.
+    /// Whether it accepts new flows.
     pub phase: ServingPhase,
-    /// The configuration version in force; absent while there is none.
+    /// The version of the configuration in force; absent while there is none.
     pub version: Option<ConfigurationVersion>,
     /// The preset in force; absent while there is none.
     pub preset: Option<String>,
     /// The version of the list of hosts; absent while there is none.
     pub host_list_version: Option<HostListVersion>,
-    /// Fragments that are not in force.
+    /// Published documents that are not in force.
     pub refused_fragments: Vec<RefusedFragmentReport>,
-    /// How the platform answers.
+    /// The state of the platform.
     pub platform: PlatformReport,
-    /// Flows held.
+    /// The number of open flows on this host.
     pub flows: u64,
-    /// Requests waited for.
+    /// The number of requests that are queued or running.
     pub pending_requests: u64,
     /// Milliseconds since the process started.
     pub uptime_ms: u64,
 }
 
-/// What this host believes about another.
+/// Whether another host is reachable, as this host sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reachability {
-    /// It was heard of lately.
+    /// It is known to have responded recently.
     Alive,
-    /// It was not heard of for a while.
+    /// It has not responded for a while.
     Suspect,
-    /// It was not heard of for so long that its work is taken over.
+    /// It has not responded for long enough that other hosts take over its shards.
     Dead,
-    /// It was never heard of.
+    /// Nothing is known about it.
     Unknown,
 }
 
@@ -129,7 +128,7 @@
     }
 }
 
-/// A host as another sees it.
+/// A host as another host sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberReport {
@@ -137,30 +136,31 @@
     pub host: String,
     /// The name of its failure domain.
     pub domain: String,
-    /// What the list of hosts says; absent where the host is not on it.
+    /// Its phase in the published list of hosts; absent if it is not in the list.
     pub published_phase: Option<HostPhase>,
-    /// What the asked host believes.
+    /// Whether the reporting host can reach it.
     pub reachability: Reachability,
-    /// The latest life heard of.
+    /// Its latest known incarnation.
     pub incarnation: Option<Incarnation>,
-    /// Milliseconds since it was last heard of.
+    /// Milliseconds since its last sign of being alive.
+    #[serde(rename = "last_heard_ms")]
     pub last_heard_ms: Option<u64>,
-    /// The configuration version it said it holds.
+    /// The version of the configuration that it announced last.
     pub configuration_version: Option<ConfigurationVersion>,
 }
 
-/// What a host makes of the health reports of a backend server.
+/// The health of a backend server, which a host derives from its load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HealthState {
-    /// It answers.
+    /// It responds.
     Healthy,
-    /// It started a short while ago and gets little at first.
+    /// It started recently and gets few flows at first.
     Warming,
-    /// It answers late, or sheds much.
+    /// It responds late, or sheds many requests.
     Degraded,
-    /// It does not answer.
+    /// It does not respond.
     Unhealthy,
     /// Nothing is known.
     Unknown,
@@ -194,35 +194,35 @@
     pub address: String,
     /// Whether it gets new flows.
     pub phase: BackendPhase,
-    /// Its share of new flows.
+    /// Its relative share of new flows.
     pub weight: Weight,
-    /// What the host makes of its health reports.
+    /// Its health.
     pub health: HealthState,
-    /// Slots in use, as far as the host knows.
+    /// The number of slots in use, as far as the host knows.
     pub busy_slots: SlotCount,
-    /// Slots in all.
+    /// The number of slots in total.
     pub slots: SlotCount,
-    /// Flows held open, as far as the host knows.
+    /// The number of open flows, as far as the host knows.
     pub connections: ConnectionCount,
-    /// The position of its shard within its failure domain.
+    /// The index of its shard within its failure domain.
     pub shard: u16,
-    /// The host that decides about the shard; absent where none is known.
+    /// The home of the shard, which decides about its flows; absent if it is not known.
     pub home_host: Option<String>,
-    /// Whether the host that answers holds the lease on the shard and answers
-    /// for every request that is sent from now on. Older hosts do not say.
+    /// Whether the reporting host holds the lease of the shard and is responsible for every
+    /// request that is sent from now on. Hosts of earlier versions omit it.
     #[serde(default)]
     pub holds_home: bool,
 }
 
-/// What [`FLOWS_METHOD`] takes.
+/// The parameters of [`FLOWS_METHOD`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FlowsParameters {
-    /// The most flows to answer.
+    /// The most flows to return.
     pub limit: u32,
 }
 
-/// A flow that a host holds.
+/// An open flow on a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FlowReport {
@@ -230,28 +230,28 @@
     pub flow: String,
     /// The name of its backend server.
     pub backend: String,
-    /// Milliseconds since the host has held it.
+    /// Milliseconds since the flow was placed.
     pub since_ms: u64,
 }
 
-/// Flows that a host holds.
+/// The open flows on a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FlowsReport {
-    /// Flows held in all.
+    /// The number of open flows in total.
     pub total: u64,
-    /// As many of them as were asked for, in no particular order.
+    /// Some of them, at most [`FlowsParameters::limit`], in no particular order.
     pub flows: Vec<FlowReport>,
 }
 
-/// What [`EXPLAIN_METHOD`] takes.
+/// The parameters of [`EXPLAIN_METHOD`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ExplainParameters {
     /// The flow as `CALLER->SERVICE`.
     pub flow: String,
-    /// The routing token that the caller would echo, if any: the hexadecimal
-    /// digits of its encoding.
+    /// The routing token that the caller would echo, if any, encoded and then written in
+    /// hexadecimal digits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token: Option<String>,
 }
@@ -260,18 +260,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ExplainReport {
-    /// The name of the service; absent where the address belongs to none.
+    /// The name of the service; absent if the address belongs to none.
     pub service: Option<String>,
-    /// The name of the backend server; absent where there is none for it.
+    /// The name of the backend server; absent if there is none for the flow.
     pub backend: Option<String>,
-    /// The host that decides about the flow; absent where none is known.
+    /// The home that decides about the flow; absent if it is not known.
     pub home_host: Option<String>,
-    /// The reason, as it stands in the log.
+    /// The reason, as in the log of decisions.
     pub reason: String,
-    /// The configuration version in force; absent while there is none.
+    /// The version of the configuration in force; absent while there is none.
     pub version: Option<ConfigurationVersion>,
-    /// Identifiers of the backend servers of which one would be chosen; empty where
-    /// `backend` names one, and where there is none. Entry hosts name none here.
+    /// The identifiers of the backend servers from which one would be chosen. Empty if
+    /// `backend` names the server or there is none. Only forwarding hosts fill it in.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub candidates: Vec<String>,
 }
@@ -286,45 +286,46 @@
     pub address: net::SocketAddr,
     /// The identifier of its service.
     pub service: String,
-    /// Whether it stands in the failure domain of the host that answers.
+    /// Whether it is in the failure domain of the reporting host.
     pub own_domain: bool,
-    /// What it does: active, draining, vanished or left.
+    /// Its phase: `active`, `draining`, `vanished` (it disappeared from the store without a
+    /// drain) or `left` (it was removed from the store after a drain).
     pub phase: String,
 }
 
-/// What a forwarding host believes, and how old that is.
+/// What a forwarding host knows from the store and its peers, and how old that data is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BeliefReport {
     /// The version of the configuration in force.
     pub version: u64,
-    /// How often the store has come back from a copy of itself, as it tells.
+    /// The era of the store: how often it has been restored from a backup, by its own count.
     #[serde(default)]
     pub store_era: u64,
     /// The revision of the store, in that era, up to which changes are known.
     pub revision: u64,
-    /// The age of the last word of the store, in milliseconds.
+    /// The age of the data in milliseconds: the time since it was current with the store.
     pub view_age_ms: u64,
-    /// Where the host learns from: `store`, or the address of another host.
+    /// The source of the data: `store`, or the address of another host.
     pub source: String,
-    /// Whether what is missing is taken as not there.
+    /// Whether the data is complete, so that a server that is missing from it does not exist.
     pub complete: bool,
-    /// How many routes are in force.
+    /// The number of routes in force.
     pub routes: usize,
-    /// The failure domains, by identifier, whose servers get no new flows because
-    /// operators evacuate them.
+    /// The identifiers of the failure domains whose servers get no new flows because an
+    /// operator evacuates them.
     #[serde(default)]
     pub evacuated_domains: Vec<String>,
-    /// The hosts that it knows, and itself.
+    /// The addresses of all hosts that it knows, including itself.
     pub peers: Vec<net::SocketAddr>,
     /// The backend servers that it knows.
     pub servers: Vec<BelievedServer>,
 }
 
-/// The answer to [`STOP_METHOD`].
+/// The result of [`STOP_METHOD`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StopReport {
-    /// Whether the host now stops; false where it was stopping already.
+    /// Whether the call made the host stop; false if it was already stopping.
     pub accepted: bool,
 }
--- a/crates/cardamomwinch_protocol/src/authentication.rs
+++ b/crates/cardamomwinch_protocol/src/authentication.rs
@@ -1,5 +1,5 @@
-//! Authentication among hosts: a keyed BLAKE3 code over every datagram. Two
-//! keys are accepted so that a key can be changed without an interruption.
+//! Authentication among hosts by a keyed BLAKE3 hash of each datagram. A host can accept two
+//! keys, so that a key can be changed without an interruption.
 
 use std::fmt;
 use std::str;
@@ -12,16 +12,16 @@
 /// Length of an authentication code in bytes.
 pub const CODE_LENGTH: usize = 16;
 
-/// Text that is not 64 hexadecimal digits.
+/// A text is not a key of 64 hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("expected a key of 64 hexadecimal digits, found {length} characters"))]
 pub struct KeyParseError {
-    /// The length of the rejected text; the text itself stays secret.
+    /// The length of the rejected text in bytes. The text itself stays secret.
     pub length: usize,
 }
 
-/// A secret shared by all hosts. Neither `Debug` nor `Display` shows it.
+/// A secret that all hosts share. Neither `Debug` nor `Display` shows it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SecretKey([u8; 32]);
 
@@ -31,7 +31,8 @@
         Self(bytes)
     }
 
-    /// The authentication code of `bytes` within `context`.
+    /// The authentication code of `bytes`. `context` is the kind of message: a code of one
+    /// context is not valid in another.
     pub fn code(&self, context: u8, bytes: &[u8]) -> AuthenticationCode {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(&[context]);
@@ -70,14 +71,14 @@
 pub struct AuthenticationCode([u8; CODE_LENGTH]);
 
 impl AuthenticationCode {
-    /// Compares without revealing through time where the codes differ.
+    /// Compares in constant time, so that the time taken doesn't reveal where the codes differ.
     fn matches(self, other: Self) -> bool {
         let difference = self.0.iter().zip(other.0);
         difference.fold(0, |sum, (left, right)| sum | (left ^ right)) == 0
     }
 }
 
-/// The keys that a host accepts; it signs with the first.
+/// The key that a host signs with, and a second key that it may accept besides.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AuthenticationKeys {
     signing: SecretKey,
@@ -85,17 +86,17 @@
 }
 
 impl AuthenticationKeys {
-    /// Signs with `signing` and accepts `accepted` besides.
+    /// Creates keys that sign with `signing` and accept both keys.
     pub const fn new(signing: SecretKey, accepted: Option<SecretKey>) -> Self {
         Self { signing, accepted }
     }
 
-    /// The code that this host puts on `bytes`.
+    /// The code of `bytes` under the signing key.
     pub fn code(&self, context: u8, bytes: &[u8]) -> AuthenticationCode {
         self.signing.code(context, bytes)
     }
 
-    /// Whether `code` was made over `bytes` with one of the accepted keys.
+    /// Whether `code` is the code of `bytes` under one of the accepted keys.
     pub fn verify(&self, context: u8, bytes: &[u8], code: AuthenticationCode) -> bool {
         let keys = [Some(&self.signing), self.accepted.as_ref()];
         keys.into_iter()
@@ -103,10 +104,11 @@
             .any(|key| key.code(context, bytes).matches(code))
     }
 
-    /// Encodes `value` into `buffer` behind its authentication code.
+    /// Writes the authentication code of `value` and then its encoding into `buffer`, and
+    /// returns the part that was written.
     ///
     /// # Errors
-    /// Fails where the value does not fit.
+    /// Fails if the value does not fit.
     pub fn seal<'b, T: Serialize>(
         &self,
         context: u8,
@@ -127,10 +129,10 @@
         Ok(&buffer[..length])
     }
 
-    /// Decodes what [`Self::seal`] encoded.
+    /// Verifies and decodes what [`Self::seal`] wrote.
     ///
     /// # Errors
-    /// Fails on bytes that no accepted key has signed, or that are malformed.
+    /// Fails if no accepted key signed the bytes, or if they are malformed.
     pub fn open<'b, T: Deserialize<'b>>(
         &self,
         context: u8,
--- a/crates/cardamomwinch_protocol/src/backend.rs
+++ b/crates/cardamomwinch_protocol/src/backend.rs
@@ -1,11 +1,11 @@
-//! Datagrams between entry hosts and backend servers, and the load report.
+//! Datagrams between hosts and backend servers, and the load report.
 
 use cardamomwinch_state::prelude::{BackendId, FlowKey, HostId, RequestId, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::caller::{AttemptNumber, PartNumber};
 
-/// What a datagram asks of a backend server.
+/// The purpose of a datagram to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum BackendKind {
@@ -15,11 +15,11 @@
     Carry,
     /// Closes the flow.
     Close,
-    /// Cancels the request that it names.
+    /// Cancels the request in [`BackendDatagram::request`].
     Cancel,
 }
 
-/// What a backend server is told about a request.
+/// The header of a request to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct BackendRequest {
@@ -27,9 +27,9 @@
     pub id: RequestId,
     /// Copied into each reply about the request.
     pub attempt: AttemptNumber,
-    /// The server must not begin to run the request after this point.
+    /// The server must not start to run the request after this point.
     pub start_before: Timestamp,
-    /// When nobody waits for the answer any more.
+    /// When the caller stops waiting for the answer.
     pub deadline: Timestamp,
 }
 
@@ -37,13 +37,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BackendDatagram<'a> {
-    /// The flow it belongs to. A server refuses a service that is not its own.
+    /// The flow it belongs to. A server refuses flows of services other than its own.
     pub flow: FlowKey,
-    /// The server it is meant for; copied into each reply.
+    /// The destination; copied into each reply.
     pub backend: BackendId,
     /// The host that sent it; copied into each reply.
     pub via: HostId,
-    /// What it asks.
+    /// Its purpose.
     pub kind: BackendKind,
     /// The request that it carries or cancels, if any.
     pub request: Option<BackendRequest>,
@@ -51,7 +51,7 @@
     pub payload: &'a [u8],
 }
 
-/// What a backend server says.
+/// The content of a reply from a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum BackendReplyKind<'a> {
@@ -63,30 +63,29 @@
         request: RequestId,
         /// The attempt that the server was given.
         attempt: AttemptNumber,
-        /// Which part it is.
+        /// The position of the part.
         part: PartNumber,
         /// Opaque bytes for the caller.
         payload: &'a [u8],
     },
-    /// The request, or the opening where it names none, was shed: it did not
-    /// run and will not.
+    /// The server is overloaded and shed the request, which did not run and will not.
     Shed {
-        /// The request that was shed.
+        /// The request; `None` if the opening of a flow without a request was shed.
         request: Option<RequestId>,
         /// The attempt that the server was given.
         attempt: AttemptNumber,
     },
-    /// Something sent unasked.
+    /// A message that is not the answer to a request.
     Notice {
         /// Counts the notices of the flow from one.
         sequence: u64,
         /// Opaque bytes for the caller.
         payload: &'a [u8],
     },
-    /// The server holds no such flow, so that the request that came with the
-    /// datagram, if any, did not run and will not.
+    /// The server does not know the flow, so the request in the datagram, if any, did not run
+    /// and will not.
     UnknownFlow {
-        /// The request that it is about.
+        /// The request in the datagram, if any.
         request: Option<RequestId>,
         /// The attempt that the server was given.
         attempt: AttemptNumber,
@@ -95,8 +94,8 @@
     Closed,
 }
 
-/// A datagram from a backend server. The server sends it to the fabric, which
-/// hands it to any entry host.
+/// A datagram from a backend server. The server sends it to the fabric, which delivers it to
+/// any host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BackendReply<'a> {
@@ -104,27 +103,28 @@
     pub flow: FlowKey,
     /// The server that sent it.
     pub backend: BackendId,
-    /// The host that forwarded what it replies to.
+    /// The host that sent the datagram to which this replies.
     pub via: HostId,
-    /// What it says.
+    /// Its content.
     #[serde(borrow)]
     pub kind: BackendReplyKind<'a>,
 }
 
-/// What the load endpoint of a backend server answers (HTTP `GET /load`, JSON).
-/// It may lag or mislead.
+/// The answer of the load endpoint of a backend server (HTTP `GET /load`, JSON). It may be out
+/// of date or wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests running now.
+    /// The number of requests that are running.
     pub busy_slots: u32,
-    /// Flows open now.
+    /// The number of open flows.
     pub connections: u32,
-    /// Whether the server calls itself healthy.
+    /// Whether the server reports that it is healthy.
     pub healthy: bool,
-    /// Whether the server calls itself draining.
+    /// Whether the server reports that it is draining.
     pub draining: bool,
-    /// Requests whose whole answer it has sent since it started, where it counts them.
+    /// The number of requests that it has fully answered since it started; `None` if it does
+    /// not count them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answers: Option<u64>,
 }
--- a/crates/cardamomwinch_protocol/src/caller.rs
+++ b/crates/cardamomwinch_protocol/src/caller.rs
@@ -1,4 +1,4 @@
-//! Datagrams between callers and entry hosts.
+//! Datagrams between callers and hosts.
 
 use std::fmt;
 use std::time;
@@ -8,7 +8,7 @@
 
 use crate::token::RoutingToken;
 
-/// What a datagram does to its flow.
+/// What a caller's datagram does to its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum CallerKind {
@@ -20,16 +20,16 @@
     Close,
 }
 
-/// What a datagram that carries a request says about it.
+/// The header of a request from a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestHeader {
-    /// The request, unique within its flow. After an answer that says "not
-    /// run" a caller that tries again uses a new identifier.
+    /// The request, unique within its flow. A caller that retries after a reply of
+    /// [`CallerReplyKind::NotRun`] must use a new identifier.
     pub id: RequestId,
     /// Whether running it twice is harmless.
     pub idempotent: bool,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     pub deadline: Timestamp,
 }
 
@@ -41,9 +41,9 @@
     pub flow: FlowKey,
     /// What it does to the flow.
     pub kind: CallerKind,
-    /// Whether the caller will echo the routing token it is given.
+    /// Whether the caller will echo the routing token that it receives.
     pub echoes_token: bool,
-    /// The token from the answer that opened the flow, echoed.
+    /// The token that the caller received when the flow was opened, if it echoes it.
     pub token: Option<RoutingToken>,
     /// The request that it carries, if any.
     pub request: Option<RequestHeader>,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A datagram on the open flow `flow`.
+    /// A datagram of the open flow `flow`, without a request.
     pub const fn carry(flow: FlowKey, token: Option<RoutingToken>, payload: &'a [u8]) -> Self {
         Self {
             flow,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The same datagram, carrying `request`.
+    /// The same datagram with `request`.
     #[must_use]
     pub const fn with_request(mut self, request: RequestHeader) -> Self {
         self.request = Some(request);
@@ -84,23 +84,23 @@
     }
 }
 
-/// Which part of an answer a datagram carries.
+/// The position of a part within an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct PartNumber {
-    /// The position of this part, from zero.
+    /// The index of this part, from zero.
     pub index: u32,
-    /// The number of parts that make the whole answer.
+    /// The number of parts in the whole answer.
     pub total: u32,
 }
 
 impl PartNumber {
-    /// The only part of an answer.
+    /// The only part of an answer that is not split.
     pub const WHOLE: Self = Self { index: 0, total: 1 };
 }
 
-/// Counts the runs of one request, from zero. Only an idempotent request, or
-/// one that provably did not run, is sent to a backend server again.
+/// The number of an attempt to run a request, from zero. A request is sent to a backend server
+/// again only if it is idempotent or certainly did not run.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct AttemptNumber(pub u8);
@@ -112,17 +112,17 @@
 pub enum RefusalReason {
     /// No slot or connection is free.
     Full,
-    /// No backend server of the service takes new flows.
+    /// No backend server of the service accepts new flows.
     NoBackend,
     /// The address belongs to no service.
     UnknownService,
-    /// The deadline has passed, or is further away than is allowed.
+    /// The deadline has passed, or is further in the future than allowed.
     Deadline,
-    /// This host is stopping, or does not serve yet.
+    /// The host is stopping, or has not started to serve.
     NotServing,
     /// The host that decides about the flow cannot be reached.
     HomeUnreachable,
-    /// A table of this host holds its limit.
+    /// A table of the host is full.
     TableFull,
     /// Every backend server that was tried shed the request.
     Shed,
@@ -143,22 +143,22 @@
     }
 }
 
-/// Why a flow ended without its caller asking.
+/// Why the load balancer ended a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResetReason {
     /// No host knows which backend server the flow belongs to.
     UnknownFlow,
-    /// The backend server of the flow is gone.
+    /// The backend server of the flow no longer exists.
     BackendGone,
 }
 
-/// What an entry host tells a caller.
+/// The content of a reply to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum CallerReplyKind<'a> {
-    /// The flow is open. A caller keeps the first token of a flow and echoes it.
+    /// The flow is open. If a caller receives several tokens for a flow, it echoes the first.
     Opened {
         /// The token to echo.
         token: RoutingToken,
@@ -167,14 +167,15 @@
     Answer {
         /// The request that it answers.
         request: RequestId,
-        /// Which run of the request gave it; parts of different runs are never mixed.
+        /// The attempt that was answered. A caller must not combine parts of different
+        /// attempts.
         attempt: AttemptNumber,
-        /// Which part it is.
+        /// The position of the part.
         part: PartNumber,
         /// Opaque bytes from the backend server.
         payload: &'a [u8],
     },
-    /// Something the backend server sent unasked.
+    /// A message from the backend server that is not the answer to a request.
     Notice {
         /// Counts the notices of the flow from one.
         sequence: u64,
@@ -183,21 +184,21 @@
     },
     /// The request was not run and never will be.
     NotRun {
-        /// The request that was refused; absent where an opening without a request was.
+        /// The request; `None` if the opening of a flow without a request was refused.
         request: Option<RequestId>,
         /// Why.
         reason: RefusalReason,
         /// How long the caller should wait before it tries again.
         retry_after: time::Duration,
     },
-    /// Whether the request ran is not known.
+    /// It is not known whether the request ran.
     OutcomeUnknown {
         /// The request.
         request: RequestId,
         /// How long the caller should wait before it asks about the outcome.
         retry_after: time::Duration,
     },
-    /// The flow is not open any more.
+    /// The flow is no longer open.
     Reset {
         /// Why.
         reason: ResetReason,
@@ -210,7 +211,7 @@
 pub struct CallerReply<'a> {
     /// The flow it belongs to.
     pub flow: FlowKey,
-    /// What it says.
+    /// Its content.
     #[serde(borrow)]
     pub kind: CallerReplyKind<'a>,
 }
--- a/crates/cardamomwinch_protocol/src/codec.rs
+++ b/crates/cardamomwinch_protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of datagrams with `postcard`, into buffers that the caller owns.
+//! Encodes datagrams with `postcard` into buffers of the calling code, and decodes them.
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
@@ -16,7 +16,7 @@
     Overflow {
         /// The size of the buffer in bytes.
         capacity: usize,
-        /// What the codec said.
+        /// The error of the codec.
         source: postcard::Error,
     },
     /// The bytes are not a value of the expected type.
@@ -24,22 +24,22 @@
     Malformed {
         /// The number of bytes received.
         length: usize,
-        /// What the codec said.
+        /// The error of the codec.
         source: postcard::Error,
     },
-    /// Bytes are left over behind the value.
-    #[snafu(display("{excess} bytes left over behind the value"))]
+    /// There are bytes after the value.
+    #[snafu(display("{excess} unexpected bytes after the value"))]
     Trailing {
-        /// The number of bytes left over.
+        /// The number of bytes after the value.
         excess: usize,
     },
-    /// The datagram is larger than any that is sent.
+    /// The datagram is longer than [`DATAGRAM_LIMIT`].
     #[snafu(display("{length} bytes exceed the limit of {DATAGRAM_LIMIT}"))]
     Oversized {
         /// The number of bytes received.
         length: usize,
     },
-    /// The sender is not known or the bytes were altered.
+    /// No accepted key signed the bytes, or they were altered.
     #[snafu(display("the authentication code does not match"))]
     Unauthenticated,
 }
@@ -47,7 +47,7 @@
 /// Encodes `value` into `buffer` and returns the part that was written.
 ///
 /// # Errors
-/// Fails where the value does not fit.
+/// Fails if the value does not fit.
 pub fn encode<'b, T: Serialize>(
     value: &T,
     buffer: &'b mut [u8],
@@ -59,7 +59,8 @@
 /// Decodes a value that may borrow from `bytes`.
 ///
 /// # Errors
-/// Fails on bytes that are too many, malformed, or left over.
+/// Fails if there are more than [`DATAGRAM_LIMIT`] bytes, if they are malformed, or if there
+/// are bytes after the value.
 pub fn decode<'b, T: Deserialize<'b>>(bytes: &'b [u8]) -> Result<T, CodecError> {
     let length = bytes.len();
     snafu::ensure!(length <= DATAGRAM_LIMIT, OversizedSnafu { length });
--- a/crates/cardamomwinch_protocol/src/fabric.rs
+++ b/crates/cardamomwinch_protocol/src/fabric.rs
@@ -1,11 +1,11 @@
-//! What the fabric hands to an entry host.
+//! Datagrams that the fabric delivers to a host.
 
 use serde::{Deserialize, Serialize};
 
 use crate::backend::BackendReply;
 use crate::caller::CallerDatagram;
 
-/// A datagram on the traffic address of an entry host.
+/// A datagram to the traffic address of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum FabricDatagram<'a> {
--- a/crates/cardamomwinch_protocol/src/lib.rs
+++ b/crates/cardamomwinch_protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Wire types and codecs between callers, entry hosts and backend servers, and
-//! among the entry hosts themselves.
+//! Wire types and codecs for messages between callers, hosts and backend servers, and among
+//! the hosts themselves.
 //!
 //! Datagrams are encoded with `postcard`. Those among hosts are authenticated.
 //!
@@ -27,7 +27,7 @@
 pub mod relay;
 pub mod token;
 
-/// What users of the wire types need most often.
+/// The wire types that are needed most often.
 pub mod prelude {
     pub use crate::authentication::{AuthenticationKeys, SecretKey};
     pub use crate::backend::{
--- a/crates/cardamomwinch_protocol/src/peer/configuration.rs
+++ b/crates/cardamomwinch_protocol/src/peer/configuration.rs
@@ -1,5 +1,5 @@
-//! Messages about what is in force. A host tells others a digest of what it
-//! has accepted; who is behind asks for the difference and gets the documents
+//! Messages about the configuration. A host sends others a digest of the documents that it has
+//! accepted. A host that lacks some of them requests the difference and receives the documents
 //! as they were published.
 
 use std::net;
@@ -11,8 +11,8 @@
 
 use crate::peer::earlier_tables::EarlierTables;
 
-/// What a host says of the configuration it has accepted. Equal digests mean
-/// equal accepted state.
+/// Summarizes the documents that a host has accepted. Equal digests mean that the accepted
+/// documents are equal.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigurationDigest {
@@ -20,19 +20,18 @@
     pub version: ConfigurationVersion,
     /// The version of the list of hosts.
     pub host_list: HostListVersion,
-    /// A hash over everything accepted.
+    /// A hash of everything accepted.
     pub hash: u64,
 }
 
-/// Names one published document of a key. Ordered by revision; the hash only
-/// decides between two documents that were published under one revision, so
-/// that all hosts settle on the same one.
+/// Identifies one published document of a key. The order is by revision. If two documents were
+/// published under one revision, the hash decides, so that all hosts choose the same one.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct DocumentStamp {
-    /// The revision under which the platform holds the document.
+    /// The revision under which the platform published the document.
     pub revision: u64,
-    /// A hash over its content.
+    /// A hash of its content.
     pub hash: u64,
 }
 
@@ -40,25 +39,25 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PublishedText {
-    /// The revision under which the platform holds it.
+    /// The revision under which the platform published it.
     pub revision: u64,
-    /// The document.
+    /// The content of the document.
     pub text: String,
 }
 
-/// The fragments of one team that a host holds.
+/// The fragments of one team that a host has.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KnownTeam {
     /// The name of the team.
     pub team: String,
-    /// The newest fragment seen, whether or not it can be in force.
+    /// The newest fragment received, whether it is valid or not.
     pub newest: DocumentStamp,
     /// The last fragments that were in force, newest first.
     pub accepted: Vec<DocumentStamp>,
 }
 
-/// Everything that a host holds, by name.
+/// The stamps of all documents that a host has.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KnownDocuments {
@@ -70,7 +69,7 @@
     pub teams: Vec<KnownTeam>,
 }
 
-/// One fragment of an offer.
+/// A fragment in a [`ConfigurationOffer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FragmentOffer {
@@ -78,7 +77,7 @@
     pub team: String,
     /// The fragment.
     pub document: PublishedText,
-    /// Whether it was in force on some host.
+    /// Whether it has been in force on some host.
     pub accepted: bool,
 }
 
@@ -86,63 +85,63 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostListOffer {
-    /// The list that the changes apply to; `None` where `changed` is the whole list.
+    /// The list to which the changes apply; `None` if `changed` is the whole list.
     pub base: Option<DocumentStamp>,
-    /// The list that results.
+    /// The resulting list.
     pub stamp: DocumentStamp,
     /// Hosts that are new or changed.
     pub changed: Vec<HostEntry>,
-    /// Hosts that are gone.
+    /// Hosts that were removed.
     pub removed: Vec<HostId>,
 }
 
-/// What the asker lacks.
+/// Documents that the requesting host lacks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigurationOffer {
-    /// When the asker asked, by its own clock: an answer that it finds after
-    /// it slept is old.
+    /// When the requesting host sent its request, by its own clock. It shows whether an offer
+    /// is out of date, for example after a pause of the process.
     pub asked: Timestamp,
-    /// What the sender has accepted.
+    /// The digest of what the sender has accepted.
     pub digest: ConfigurationDigest,
-    /// Whether this is all that the asker lacks. What is left is handed over
-    /// when it asks again.
+    /// Whether the offer holds everything that the requesting host lacks. The rest is sent on
+    /// its next request.
     pub complete: bool,
-    /// Whether the sender has compared its state with others since it started
-    /// or last slept.
+    /// Whether the sender has compared its state with other hosts since it started or was last
+    /// paused.
     pub confirmed: bool,
-    /// The root document, where the asker's is older.
+    /// The root document, if that of the requesting host is older.
     pub root: Option<PublishedText>,
-    /// Fragments that the asker lacks.
+    /// Fragments that the requesting host lacks.
     pub fragments: Vec<FragmentOffer>,
-    /// The list of hosts, where the asker's is older.
+    /// The list of hosts, if that of the requesting host is older.
     pub hosts: Option<HostListOffer>,
 }
 
-/// Asks for, and hands over, what another host has accepted.
+/// Announces, requests and transfers the documents that a host has accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ConfigurationMessage {
-    /// The sender has accepted something new, or greets a host that starts.
+    /// The sender has accepted a new document, or announces its state to a host that starts.
     Announce {
-        /// What the sender has accepted.
+        /// The digest of what the sender has accepted.
         digest: ConfigurationDigest,
-        /// Where the sender takes control messages: a host that starts holds
-        /// no list of hosts to look it up in.
+        /// Where the sender receives control messages. A host that starts has no list of hosts
+        /// in which to look it up.
         reply_to: net::SocketAddr,
     },
-    /// Asks for whatever the sender lacks. Always answered by an offer, if
-    /// only an empty one.
+    /// Requests everything that the sender lacks. The answer is always an offer, which may be
+    /// empty.
     Want {
-        /// When the sender asks, by its own clock.
+        /// When the request is sent, by the clock of the sender.
         asked: Timestamp,
-        /// What the sender holds.
+        /// The documents that the sender has.
         known: KnownDocuments,
-        /// Whether the sender started and has no earlier lookup tables yet.
+        /// Whether the sender has just started and needs the earlier lookup tables.
         wants_earlier: bool,
     },
-    /// Hands over what the asker lacks.
+    /// The answer to a request.
     Offer(ConfigurationOffer),
-    /// Hands over what earlier lookup tables derive from, to a host that started.
+    /// The data of earlier lookup tables, for a host that has just started.
     Earlier(EarlierTables),
 }
--- a/crates/cardamomwinch_protocol/src/peer/earlier_tables.rs
+++ b/crates/cardamomwinch_protocol/src/peer/earlier_tables.rs
@@ -1,56 +1,56 @@
-//! What lookup tables of earlier versions derive from. A host that starts holds
-//! only the version in force, while flows without token still lie where earlier
-//! tables placed them, so it gets these from a peer.
+//! The data from which lookup tables of earlier versions are built. Flows without a token may
+//! still be on the servers on which earlier tables placed them. A host that starts has only the
+//! version in force, so it gets the earlier ones from a peer.
 
 use cardamomwinch_state::prelude::{
     BackendEntry, BackendId, ConfigurationVersion, ServiceId, Timestamp, Weight,
 };
 use serde::{Deserialize, Serialize};
 
-/// Servers listed in one message at most, so that it passes as one call.
+/// The most servers in one message, so that it fits into one call.
 pub const LISTED_LIMIT: usize = 64 * 1024;
 
-/// A server that took new flows.
+/// A server that accepted new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ListedServer {
     /// The server.
     pub backend: BackendId,
-    /// Its share of new flows.
+    /// Its relative share of new flows.
     pub weight: Weight,
 }
 
-/// The servers of one service that took new flows, by identifier.
+/// The servers of one service that accepted new flows, in the order of their identifiers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ListedService {
     /// The service.
     pub service: ServiceId,
-    /// Its servers; none where the generation has no table of the service.
+    /// Its servers; `None` if the generation has no table of the service.
     pub servers: Option<Vec<ListedServer>>,
 }
 
-/// One generation of lookup tables.
+/// One generation of lookup tables: those of one version of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EarlierGeneration {
-    /// The version that it was in force at.
+    /// The version of the configuration.
     pub version: ConfigurationVersion,
-    /// When a newer one came into force at the sender; `None` for the newest.
+    /// When a newer generation came into force at the sender; `None` for the newest.
     pub superseded: Option<Timestamp>,
-    /// Whether no host places new flows by it any more.
+    /// Whether all hosts have stopped placing new flows by it.
     pub settled: bool,
-    /// The services whose tables differ from those of the generation listed
-    /// before this one; all services where there is none before.
+    /// The services whose tables differ from those of the generation before this one in the
+    /// list; all services for the first in the list.
     pub services: Vec<ListedService>,
 }
 
-/// The generations that the sender keeps.
+/// All generations that the sender has.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EarlierTables {
-    /// Newest first.
+    /// The generations, newest first.
     pub generations: Vec<EarlierGeneration>,
-    /// Servers that these name and the sender's configuration no longer has.
+    /// The servers in these generations that are no longer in the sender's configuration.
     pub retained: Vec<BackendEntry>,
 }
--- a/crates/cardamomwinch_protocol/src/peer/hand_over.rs
+++ b/crates/cardamomwinch_protocol/src/peer/hand_over.rs
@@ -1,6 +1,6 @@
-//! What only the home of a shard knows, in the form in which it goes to the
-//! next home. The types are plain: a receiver checks every index and bound when
-//! it turns them into its own.
+//! The state that only the home of a shard has, in the form in which it is sent to the next
+//! home. These types are not validated: the receiver checks every index and bound when it
+//! converts them.
 
 use cardamomwinch_state::prelude::{BackendId, FlowKey, RequestId, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -9,41 +9,41 @@
 use crate::peer::homes::HandOverId;
 use crate::token::TokenClaim;
 
-/// The most bytes that the contents of one chunk take, as encoded.
+/// The most bytes that the items of one chunk take when encoded.
 pub const CHUNK_BYTES: usize = 30 * 1024;
 /// The most chunks of one hand-over.
 pub const CHUNK_LIMIT: u16 = 64;
 
-/// A part of a hand-over; one message, at most 32 KiB.
+/// A part of a hand-over, sent as one message of at most 32 KiB.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HandOverChunk {
     /// The hand-over.
     pub hand_over: HandOverId,
-    /// The position of this chunk, from zero.
+    /// The index of this chunk, from zero.
     pub position: u16,
     /// The number of chunks.
     pub total: u16,
-    /// Set where not every record fitted: what may have been sent before this
-    /// point is not fully known.
+    /// Set if not all request records fitted. Requests that were sent before this point may
+    /// then be missing.
     pub records_since: Option<Timestamp>,
-    /// What it carries.
+    /// The items of this chunk.
     pub items: Vec<HandOverItem>,
 }
 
-/// One thing that the home knows.
+/// One entry of the state of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum HandOverItem {
-    /// The server of a flow.
+    /// The pin of a flow.
     Pin(PinItem),
-    /// A remembered request.
+    /// The record of a request.
     Record(RecordItem),
-    /// Open flows of a server for which no pin is handed over.
+    /// The number of a server's open flows whose pins are not handed over.
     Connections(ConnectionsItem),
 }
 
-/// The server of a flow.
+/// The pin of a flow, which fixes its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PinItem {
@@ -53,17 +53,17 @@
     pub claim: TokenClaim,
     /// When the flow was placed.
     pub since: Timestamp,
-    /// When the last datagram of the flow was seen.
+    /// When the last datagram of the flow was received.
     pub last_seen: Timestamp,
     /// Whether the caller echoes the token of the flow.
     pub echoes_token: bool,
     /// Whether another home may have placed the flow as well.
     pub disputed: bool,
-    /// Whether the receiver is to count it as a connection of the server.
+    /// Whether the receiver must count it as a connection of the server.
     pub counted: bool,
 }
 
-/// Open flows of a server for which no pin is handed over.
+/// The number of a server's open flows whose pins are not handed over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConnectionsItem {
@@ -73,7 +73,7 @@
     pub connections: u32,
 }
 
-/// A remembered request.
+/// The record of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordItem {
@@ -81,23 +81,24 @@
     pub flow: FlowKey,
     /// The request.
     pub id: RequestId,
-    /// The server that it was or is to be sent to.
+    /// The server to which it was or will be sent.
     pub backend: BackendId,
-    /// When no copy of the request can be accepted any more.
+    /// From when on every copy of the request is refused.
     pub expires: Timestamp,
     /// Whether running it twice is harmless.
     pub idempotent: bool,
-    /// Whether it may have run before, so that "not run" must not be said.
+    /// Whether an earlier attempt may have run, so that the caller must not get the reply "not
+    /// run".
     pub may_have_run: bool,
-    /// Where it stands.
+    /// The state of the request.
     pub state: RecordState,
 }
 
-/// A request that may have to be sent (again).
+/// A request that may have to be sent, possibly again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HeldItem {
-    /// What the caller said about the request.
+    /// The caller's header of the request.
     pub header: RequestHeader,
     /// What the caller's datagram did to its flow.
     pub kind: CallerKind,
@@ -109,51 +110,51 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PartItem {
-    /// Which part.
+    /// The position of the part.
     pub part: PartNumber,
     /// Opaque bytes from the backend server.
     pub payload: Vec<u8>,
 }
 
-/// Which parts of an answer have come, one bit each.
+/// The parts of an answer that have arrived, as a bitmap.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PartsItem {
-    /// The number of parts; zero before the first has come.
+    /// The number of parts of the answer; zero until the first arrives.
     pub total: u32,
-    /// A bit for each part, in order.
+    /// One bit per part, in order.
     pub bits: Vec<u64>,
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RecordState {
     /// It waits for a slot.
     Queued {
-        /// The attempt that it waits to make.
+        /// The attempt that is waiting.
         attempt: AttemptNumber,
-        /// What is to be sent.
+        /// The request to send.
         held: HeldItem,
     },
-    /// It was sent.
+    /// It was sent to the server.
     Running {
         /// The last attempt sent.
         attempt: AttemptNumber,
-        /// When that was.
+        /// When that attempt was sent.
         sent: Timestamp,
-        /// What would be sent again.
+        /// The request, in case it is sent again.
         held: HeldItem,
-        /// Which parts of the answer have come.
+        /// The parts of the answer that have arrived.
         seen: PartsItem,
-        /// The parts, where every one that came was kept.
+        /// The content of these parts; `None` if not all of them were kept.
         kept: Option<Vec<PartItem>>,
     },
     /// It was answered.
     Answered {
         /// The attempt that was answered.
         attempt: AttemptNumber,
-        /// All parts, unless they were not kept.
+        /// All parts of the answer; `None` if they were not kept.
         kept: Option<Vec<PartItem>>,
     },
     /// It was refused and must never run.
@@ -161,6 +162,6 @@
         /// Why.
         reason: RefusalReason,
     },
-    /// Its outcome is not known.
+    /// It is not known whether it ran.
     Unknown,
 }
--- a/crates/cardamomwinch_protocol/src/peer/homes.rs
+++ b/crates/cardamomwinch_protocol/src/peer/homes.rs
@@ -1,6 +1,8 @@
-//! Messages about who is home of which shard. All of them but
-//! [`HolderNotice`] concern shards of the candidate's own failure domain, so
-//! that a shard is named by its position alone.
+//! Messages about the homes of shards. The home of a shard is the host that holds its lease. A
+//! candidate asks voters, which are hosts of its failure domain, to grant it the lease.
+//!
+//! All messages except [`HolderNotice`] are about shards of the sender's own failure domain, so
+//! they name a shard by its index alone.
 
 use cardamomwinch_state::prelude::{
     DomainId, HostId, HostListVersion, Incarnation, ShardId, Timestamp,
@@ -9,8 +11,8 @@
 
 use crate::peer::hand_over::HandOverChunk;
 
-/// Positions of shards within one failure domain, as a bitmap without trailing
-/// zero bytes: the shards 0 to 31 take at most four bytes.
+/// Indices of shards within one failure domain, as a bitmap without trailing zero bytes: the
+/// shards 0 to 31 take at most four bytes.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ShardSet(Vec<u8>);
@@ -36,8 +38,8 @@
         self.0.iter().all(|byte| *byte == 0)
     }
 
-    /// The positions in the set below `count`, in order. A set from outside
-    /// may name any position, so the reader says how many there are.
+    /// The indices in the set that are less than `count`, in order. A set that was received may
+    /// contain any index, so the caller gives the number of shards.
     pub fn iter(&self, count: u16) -> impl Iterator<Item = u16> {
         (0..count).filter(|index| self.contains(*index))
     }
@@ -53,136 +55,136 @@
     }
 }
 
-/// Numbers the requests and releases of one life of a host, from one, so that
-/// a voter can tell which of two about one shard was sent later.
+/// The number of a request or release within one incarnation of a host, from one. It shows a
+/// voter which of two messages about a shard was sent later.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRound(pub u32);
 
-/// Asks a voter to grant, or to renew, leases.
+/// Requests a voter to grant or renew leases.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The round of the sender.
     pub round: LeaseRound,
-    /// How long a grant is to run, in milliseconds.
+    /// The duration of the lease in milliseconds.
     pub lease_millis: u32,
-    /// The list of hosts that the sender goes by.
+    /// The version of the list of hosts that the sender uses.
     pub host_list: HostListVersion,
-    /// Shards into which the sender divides its failure domain.
+    /// The number of shards into which the sender divides its failure domain.
     pub shard_count: u16,
-    /// Whether the sender stops, and is to get no shard that it does not have.
+    /// Whether the sender is stopping. It must then get no shard that it does not hold.
     pub stopping: bool,
     /// The shards that the sender holds or wants.
     pub wanted: ShardSet,
     /// The shards of `wanted` that it holds.
     pub held: ShardSet,
-    /// Shards of `wanted` for which an earlier set of voters, known to the
-    /// sender or not, may still be relied on.
+    /// The shards of `wanted` for which grants of an earlier set of voters, which the sender may
+    /// not know, may still be valid.
     pub unsettled: ShardSet,
 }
 
-/// A voter's answer: shards that are not named were refused.
+/// A voter's answer to a [`LeaseRequest`]. Shards that are not in `granted` were refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The round that it answers.
+    /// The round of the request.
     pub round: LeaseRound,
-    /// The list of hosts that the voter goes by.
+    /// The version of the list of hosts that the voter uses.
     pub host_list: HostListVersion,
     /// The shards that were granted.
     pub granted: ShardSet,
-    /// Earlier hosts of the candidate's failure domain, for a candidate that
-    /// may never have heard of them.
+    /// The hosts of the candidate's failure domain by earlier lists, which the candidate may
+    /// not have received.
     pub earlier: Vec<EarlierHosts>,
 }
 
-/// The hosts of a failure domain by a list that a later one has replaced.
+/// The hosts of a failure domain by a list that has been replaced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EarlierHosts {
     /// The hosts.
     pub hosts: Vec<HostId>,
-    /// The list that replaced them.
+    /// The version of the list that replaced them.
     pub replaced_in: HostListVersion,
 }
 
-/// The one life of a host that a lease is given up to.
+/// The incarnation of a host in whose favour a lease is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseSuccessor {
     /// The host.
     pub host: HostId,
-    /// The life that has acknowledged the hand-over.
+    /// The incarnation that has acknowledged the hand-over.
     pub incarnation: Incarnation,
-    /// The round it had come to then: releases of it up to this one are of
-    /// leases that it held before.
+    /// Its last round at that time. Its releases up to this round concern leases that it held
+    /// before the hand-over.
     pub round: LeaseRound,
 }
 
-/// Gives up leases after a hand-over, to the successor alone.
+/// Releases leases after a hand-over, in favour of the successor only.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRelease {
     /// The round of the sender.
     pub round: LeaseRound,
-    /// Who may be granted the shards before the grants of the sender run out.
+    /// The host that may be granted the shards before the leases of the sender expire.
     pub successor: LeaseSuccessor,
-    /// The shards.
+    /// The released shards.
     pub shards: ShardSet,
 }
 
-/// What the sender holds, for hosts of other failure domains.
+/// The shards that the sender holds, sent to hosts of other failure domains.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HolderNotice {
     /// The failure domain of the shards.
     pub domain: DomainId,
-    /// Shards into which the domain is divided.
+    /// The number of shards into which the domain is divided.
     pub shard_count: u16,
     /// The shards that the sender holds.
     pub held: ShardSet,
-    /// Whether the sender has stopped, and is to be expected as home of nothing.
+    /// Whether the sender has stopped and must not be assumed to be the home of any shard.
     pub stopped: bool,
 }
 
-/// Names one hand-over of one shard.
+/// Identifies a hand-over of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct HandOverId {
     /// The shard.
     pub shard: ShardId,
-    /// When the holder began; it begins at most one per shard at a time.
+    /// When the holder began it. A shard has at most one hand-over at a time.
     pub begun: Timestamp,
 }
 
-/// The successor has put a chunk by.
+/// The successor has received and buffered a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ChunkReceipt {
     /// The hand-over.
     pub hand_over: HandOverId,
-    /// The position of the chunk.
+    /// The index of the chunk.
     pub position: u16,
     /// The last round of the successor.
     pub round: LeaseRound,
 }
 
-/// The holder has given up its lease; what the successor has put by is now
-/// everything that is known of the shard.
+/// The holder has released its lease. The chunks that the successor has buffered are now the
+/// whole state of the shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HandOverCommit {
     /// The hand-over.
     pub hand_over: HandOverId,
-    /// When the holder gave up its lease.
+    /// When the holder released its lease.
     pub released: Timestamp,
-    /// Requests that may have been sent before this point may be known to an
-    /// earlier home only.
+    /// Requests that were sent before this point may be missing, because only an earlier home
+    /// knew them.
     pub records_since: Timestamp,
 }
 
-/// Asks for, grants and hands over the lease on shards.
+/// Requests, grants, releases and hands over the leases of shards.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum HomeMessage {
--- a/crates/cardamomwinch_protocol/src/peer/membership.rs
+++ b/crates/cardamomwinch_protocol/src/peer/membership.rs
@@ -1,7 +1,7 @@
-//! Messages about who is reachable.
+//! Messages about which hosts are reachable.
 //!
-//! Hosts are named by their position in a version of the published list that
-//! the message names too: two bytes instead of the ten of an identifier.
+//! A message names hosts by their position in the published list, and the version of that list.
+//! A position takes two bytes, an identifier ten.
 
 use cardamomwinch_state::prelude::{HostId, HostListVersion, Incarnation, RefutationCount};
 use serde::{Deserialize, Serialize};
@@ -25,100 +25,101 @@
     }
 }
 
-/// What is claimed of a host. Of two claims the greater one holds: that about
-/// the later life, then the one refuted later, then the one that says dead.
+/// A claim about the state of a host. Of two claims the greater one is valid: the one about the
+/// later incarnation, then the one with more refutations, then the one that the host is dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct HostStanding {
-    /// The life that the claim is about.
+    /// The incarnation that the claim is about.
     pub incarnation: Incarnation,
-    /// How often the host had refuted its death in that life.
+    /// How often the host had refuted, in that incarnation, the claim that it is dead.
     pub refutation: RefutationCount,
     /// Whether it is claimed to be dead.
     pub dead: bool,
 }
 
-/// A claim on its way through the fleet.
+/// A claim that hosts pass on to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostRumour {
-    /// The host that it is about.
+    /// The host that the claim is about.
     pub position: HostPosition,
     /// The claim.
     pub standing: HostStanding,
 }
 
-/// Claims about hosts of one version of the list.
+/// Claims about hosts in one version of the published list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RumourBatch {
-    /// The version of the list that positions refer to.
+    /// The version of the list to which the positions refer.
     pub list: HostListVersion,
     /// The claims.
     pub rumours: Vec<HostRumour>,
 }
 
-/// What rides on every message about membership.
+/// The data that every message about membership carries besides its own content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MembershipHeader {
-    /// What the sender has accepted: in each ping, and in its answer where it
-    /// is not the same.
+    /// The digest of what the sender has accepted. Each ping carries it; a pong only if it
+    /// differs from that of the ping.
     pub digest: Option<ConfigurationDigest>,
-    /// How often the sender has refuted its death in this life.
+    /// How often the sender has refuted, in this incarnation, the claim that it is dead.
     pub refutation: RefutationCount,
     /// Claims about other hosts, or about the receiver.
     pub rumours: Option<RumourBatch>,
 }
 
-/// The purpose of a message about membership.
+/// The content of a message about membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum MembershipContent {
-    /// Asks for an answer.
+    /// Requests a [`Self::Pong`].
     Ping,
     /// Answers a ping.
     Pong {
         /// The sequence number of the ping.
         sequence: u64,
     },
-    /// Asks the receiver to ping a host that does not answer the sender.
+    /// Requests the receiver to ping a host that does not answer the sender.
     IndirectPing {
         /// The host to ping.
         target: HostId,
     },
-    /// Says that a host was heard of after an indirect ping was asked for.
+    /// Reports that a message from a host arrived after an indirect ping was requested.
     IndirectPong {
-        /// The host that was heard of.
+        /// The host that sent the message.
         target: HostId,
-        /// What its message said of itself.
+        /// The incarnation and refutation count in that message.
         standing: HostStanding,
     },
-    /// Carries claims and asks for nothing.
+    /// Carries only the claims in the header and needs no answer.
     Rumours,
-    /// Offers hashes over blocks of the list, to find where two hosts differ.
+    /// Carries hashes of the known claims per block of the list. The receiver uses them to find
+    /// the blocks in which the claims of the two hosts differ.
     Exchange {
-        /// The version of the list that the blocks divide.
+        /// The version of the list that is divided into blocks.
         list: HostListVersion,
         /// One hash per block, in order.
         hashes: Vec<u32>,
     },
-    /// Answers an exchange with the claims of blocks that differ.
+    /// Answers an exchange; the header carries the claims of the blocks that differ.
     Difference,
 }
 
-/// A message about who is reachable.
+/// A message about which hosts are reachable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MembershipMessage {
-    /// What rides on the message.
+    /// The data that every message carries.
     pub header: MembershipHeader,
-    /// Its purpose.
+    /// The content of this message.
     pub content: MembershipContent,
 }
 
 impl MembershipMessage {
-    /// What the sender has accepted, where the message says so.
+    /// The digest of what the sender has accepted, if the message carries it.
     pub const fn digest(&self) -> Option<ConfigurationDigest> {
         self.header.digest
     }
--- a/crates/cardamomwinch_protocol/src/peer/mod.rs
+++ b/crates/cardamomwinch_protocol/src/peer/mod.rs
@@ -1,6 +1,6 @@
-//! Control messages among entry hosts. Each part of control has messages of
-//! its own; one envelope carries them all. Small ones travel as datagrams, and
-//! those that do not fit into one by an authenticated call over TCP.
+//! Control messages among hosts. Each part of control has its own messages, and one envelope
+//! carries them all. A message is sent as a datagram if it fits into one, otherwise by an
+//! authenticated call over TCP.
 
 pub mod configuration;
 pub mod earlier_tables;
@@ -22,11 +22,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who is reachable.
+    /// Which hosts are reachable.
     Membership(MembershipMessage),
-    /// Who is home of which shard.
+    /// Which host is the home of which shard.
     Home(HomeMessage),
-    /// What is in force.
+    /// The configuration in force.
     Configuration(ConfigurationMessage),
 }
 
@@ -34,12 +34,12 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PeerEnvelope {
-    /// The host that sends.
+    /// The sending host.
     pub sender: HostId,
-    /// The life of the sender.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Rises with every message of one life, so that a replay is recognised.
+    /// Increases with every message of one incarnation, so that replays are recognised.
     pub sequence: u64,
-    /// What it says.
+    /// The message.
     pub message: PeerMessage,
 }
--- a/crates/cardamomwinch_protocol/src/relay.rs
+++ b/crates/cardamomwinch_protocol/src/relay.rs
@@ -1,4 +1,4 @@
-//! Datagrams that one entry host relays to another as data.
+//! Datagrams that hosts relay to each other.
 
 use cardamomwinch_state::prelude::{BackendId, ConfigurationVersion, FlowKey, HostId, ShardId};
 use serde::{Deserialize, Serialize};
@@ -10,15 +10,15 @@
 /// The authentication context of relayed datagrams.
 pub const RELAY_CONTEXT: u8 = b'r';
 
-/// The most servers that one search may ask.
+/// The most servers that one search tries.
 pub const SEARCH_LIMIT: usize = 8;
 
-/// The servers that a search has asked, bounded in number.
+/// The servers that a search has tried, at most [`SEARCH_LIMIT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TriedServers([BackendId; SEARCH_LIMIT]);
 
-/// Stands for no server; as an identifier it is never derived in practice.
+/// Marks an unused entry. A hash never produces this identifier in practice.
 const NO_SERVER: BackendId = BackendId::new(0);
 
 impl Default for TriedServers {
@@ -28,7 +28,7 @@
 }
 
 impl TriedServers {
-    /// Notes `backend`; `false` where no more can be noted.
+    /// Adds `backend`; returns false if there is no room for it.
     pub fn note(&mut self, backend: BackendId) -> bool {
         if self.contains(backend) {
             return true;
@@ -38,56 +38,57 @@
         noted.is_some()
     }
 
-    /// Whether `backend` was asked.
+    /// Whether `backend` was tried.
     pub fn contains(&self, backend: BackendId) -> bool {
         self.0.contains(&backend)
     }
 
-    /// The servers that were asked.
+    /// The servers that were tried.
     pub fn iter(&self) -> impl Iterator<Item = BackendId> {
         self.0.iter().copied().filter(|tried| *tried != NO_SERVER)
     }
 
-    /// Whether no server was asked yet.
+    /// Whether no server was tried yet.
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|tried| *tried == NO_SERVER)
     }
 }
 
-/// What a search asks at present.
+/// The stage of a search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum SearchStage {
-    /// The homes of the candidates, in turn: does one of them hold a pin?
+    /// Queries the homes of the candidates one after the other for a pin of the flow.
     Homes,
-    /// The candidates themselves, in turn: does one of them hold the flow?
+    /// Sends the datagram to the candidates themselves one after the other, until one of them
+    /// knows the flow.
     Servers,
 }
 
-/// How far the search for the server of a flow has come whose datagram carries
-/// no token and whose pin the host that got it does not hold.
+/// The state of a search for the server of a flow. A host starts a search if a datagram has no
+/// token and the host has no pin for its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FlowSearch {
-    /// The host that got the datagram from the fabric, to be told the result.
+    /// The host that received the datagram from the fabric. It is sent the result.
     pub origin: HostId,
-    /// The traffic thread of that host.
+    /// The traffic thread of that host that handles the flow.
     pub thread: u16,
-    /// What is being asked.
+    /// The stage of the search.
     pub stage: SearchStage,
-    /// The server whose home, or which itself, is being asked.
+    /// The server that is being tried, depending on `stage` through its home or directly.
     pub candidate: TokenClaim,
-    /// Those that were asked before.
+    /// The servers that were tried before.
     pub tried: TriedServers,
-    /// A home that an opening should have asked could not be reached, so that
-    /// another host may have placed the flow as well.
+    /// Whether the search for an opening skipped a home that could not be reached. The flow
+    /// may then have been placed by another host as well.
     pub skipped: bool,
-    /// No host on the way so far has known which servers hosts that are behind
-    /// in their configuration would choose.
+    /// Whether every host that handled the search so far had started so recently that other
+    /// hosts may still place new flows by lookup tables that it does not know.
     pub unsettled: bool,
 }
 
-/// What is relayed.
+/// The content of a relayed datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[expect(
@@ -95,46 +96,46 @@
     reason = "a frame is made on the stack, encoded at once and never stored"
 )]
 pub enum RelayFrame<'a> {
-    /// A caller's datagram, to the home of the shard that decides about it.
+    /// A caller's datagram, sent to the home that decides about it.
     Caller {
-        /// The datagram as it came.
+        /// The datagram as it was received.
         #[serde(borrow)]
         datagram: CallerDatagram<'a>,
-        /// The backend server that the sender has found the flow to belong to,
-        /// or has placed it on; absent where the receiver is to decide. It is
-        /// named in full, since the receiver may never have known the server.
+        /// The backend server of the flow, which the sender found or chose; `None` if the
+        /// receiver decides. The full claim is sent because the server may be unknown to the
+        /// receiver.
         decided: Option<TokenClaim>,
-        /// How far the search has come, where nothing is decided yet.
+        /// The state of the search, if the server is not decided yet.
         search: Option<FlowSearch>,
-        /// The shard that the sender takes the receiver to be the home of.
+        /// The shard whose home the receiver is, as far as the sender knows.
         shard: ShardId,
-        /// How often it was relayed before; bounded so that it cannot circle.
+        /// How often it was relayed before. The number is limited, which prevents loops.
         hops: u8,
     },
-    /// Tells the host that got a datagram without a token from the fabric which
-    /// backend server the flow belongs to, so that the next one goes straight.
+    /// The result of a search, sent to the host that received the datagram from the fabric, so
+    /// that the next datagram of the flow needs no search.
     Learned {
         /// The flow.
         flow: FlowKey,
         /// Its server.
         claim: TokenClaim,
-        /// The traffic thread that wants to know.
+        /// The traffic thread that started the search.
         thread: u16,
     },
-    /// Tells the home that the newest lookup table leads to where a flow without
-    /// token lives, which was placed under an earlier table.
+    /// The server of a flow without a token that was placed under an earlier lookup table, sent
+    /// to the home to which the newest table leads.
     Announced {
         /// The flow.
         flow: FlowKey,
         /// Its server.
         claim: TokenClaim,
-        /// The shard whose home is told.
+        /// The shard of the home that receives this.
         shard: ShardId,
     },
-    /// A backend server's reply, to the home that accounts for it. The caller
-    /// has already been sent what concerns it.
+    /// A backend server's reply, sent to the home that accounts for the request. The caller has
+    /// already been sent its part of it.
     Backend {
-        /// The reply; the payload is left out where the answer is too long to be kept.
+        /// The reply, without its payload if the answer is too long to be kept.
         #[serde(borrow)]
         reply: BackendReply<'a>,
         /// The shard of the server.
@@ -148,11 +149,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RelayEnvelope<'a> {
-    /// The host that relays.
+    /// The host that relays the datagram.
     pub sender: HostId,
-    /// The configuration version that the sender decided under.
+    /// The version of the configuration in force at the sender.
     pub version: ConfigurationVersion,
-    /// What is relayed.
+    /// The content.
     #[serde(borrow)]
     pub frame: RelayFrame<'a>,
 }
--- a/crates/cardamomwinch_protocol/src/token.rs
+++ b/crates/cardamomwinch_protocol/src/token.rs
@@ -1,5 +1,5 @@
-//! The routing token: given to a caller when its flow opens and echoed on each
-//! datagram, so that any host knows the backend server without asking.
+//! The routing token. A caller receives it when its flow is opened and echoes it in each
+//! datagram, so that every host knows the backend server of the flow without asking others.
 
 use std::net;
 
@@ -12,7 +12,7 @@
 const TOKEN_CONTEXT: u8 = b't';
 const SIGNED_LENGTH: usize = 160;
 
-/// What a token says about its flow.
+/// The backend server that a token names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct TokenClaim {
@@ -20,8 +20,8 @@
     pub backend: BackendId,
     /// The failure domain of the server.
     pub domain: DomainId,
-    /// The address of the server, so that a host that never knew a server
-    /// which has since left the configuration can still serve its flows.
+    /// The address of the server. With it, a host can send datagrams to a server that was
+    /// removed from the configuration before the host started.
     pub address: net::SocketAddr,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Names the backend server of one flow; authenticated.
+/// An authenticated statement of the backend server of one flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RoutingToken {
@@ -44,14 +44,14 @@
 }
 
 impl RoutingToken {
-    /// What the token says. Verify the token before trusting it.
+    /// The claim of the token. Don't use it before the token is verified.
     pub const fn unverified_claim(&self) -> &TokenClaim {
         &self.claim
     }
 }
 
-/// Issues and verifies [`RoutingToken`]s. A token covers flow and claim, so it
-/// is worth nothing on another flow.
+/// Issues and verifies [`RoutingToken`]s. The authentication code covers both flow and claim,
+/// so a token is not valid for another flow.
 #[derive(Debug, Clone)]
 pub struct TokenIssuer {
     keys: AuthenticationKeys,
@@ -71,7 +71,7 @@
         RoutingToken { claim, code }
     }
 
-    /// The claim of `token`, where a host issued it for `flow`.
+    /// The claim of `token`, or `None` if no host issued it for `flow`.
     pub fn verify(&self, flow: &FlowKey, token: &RoutingToken) -> Option<TokenClaim> {
         let mut buffer = [0; SIGNED_LENGTH];
         let signed = signed_bytes(flow, &token.claim, &mut buffer);
