--- a/crates/cardamomwinch_daemon/src/administration/explain.rs
+++ b/crates/cardamomwinch_daemon/src/administration/explain.rs
@@ -1,4 +1,4 @@
-//! Tells where a datagram of a flow would go now, and why.
+//! Explains where a datagram of a flow would be sent now, and why.
 
 use cardamomwinch_coordination::prelude::{DecisionReason, RoutingSnapshot};
 use cardamomwinch_protocol::administration as api;
@@ -8,35 +8,35 @@
 
 use crate::administration::CallError;
 
-/// The reason where only the home can tell: it may hold a pin that this host
-/// does not know, or place a new flow by load. The backend server that is named
-/// with it is the one that the lookup table names.
+/// The reason if only the home can decide: it may have a pin that this host does not know, or
+/// place a new flow by load. The report then names the backend server that the lookup table
+/// selects.
 const HOME_DECIDES: &str = "home_decides";
 
-/// A flow, with the claim of its token where that is genuine.
+/// The flow that an operator asks about, with its routing token if one was given.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowQuestion {
     /// The flow.
     pub flow: FlowKey,
+    /// `None` if no token was given, `Some(None)` if the token is not genuine.
     token: Option<Option<TokenClaim>>,
 }
 
 impl FlowQuestion {
-    /// Reads what the operator asked.
+    /// Parses the parameters of the call and verifies the token.
     ///
     /// # Errors
-    /// Fails on a flow or token that cannot be understood.
-    pub fn parse(asked: &api::ExplainParameters, tokens: &TokenIssuer) -> Result<Self, CallError> {
-        let flow: FlowKey =
-            asked
-                .flow
-                .parse()
-                .map_err(
-                    |error: cardamomwinch_state::flow::FlowParseError| CallError::Flow {
-                        message: error.to_string(),
-                    },
-                )?;
-        let token = match &asked.token {
+    /// Fails if the flow or the token is malformed.
+    pub fn parse(
+        parameters: &api::ExplainParameters,
+        tokens: &TokenIssuer,
+    ) -> Result<Self, CallError> {
+        let flow: FlowKey = parameters.flow.parse().map_err(
+            |error: cardamomwinch_state::flow::FlowParseError| CallError::Flow {
+                message: error.to_string(),
+            },
+        )?;
+        let token = match &parameters.token {
             None => None,
             Some(digits) => {
                 let token = parse_token(digits).ok_or(CallError::Token)?;
@@ -46,8 +46,8 @@
         Ok(Self { flow, token })
     }
 
-    /// Where the flow goes according to `snapshot`; `pinned` is the server that
-    /// a traffic thread of this host has pinned it to.
+    /// Where the flow goes according to `snapshot`. `pinned` is the server to which a traffic
+    /// thread of this host has pinned it.
     pub fn explain(
         &self,
         snapshot: &RoutingSnapshot,
@@ -68,7 +68,7 @@
         };
         let hasher = FlowHasher::new(snapshot.configuration.limits.flow_hash_seed);
         let tables = snapshot.generations.first();
-        let selected = tables.and_then(|held| held.select(service.id, hasher.hash(&self.flow)));
+        let selected = tables.and_then(|tables| tables.select(service.id, hasher.hash(&self.flow)));
         let backend = match (self.token, pinned) {
             (Some(Some(claim)), _) => Some(claim.backend),
             (_, Some(backend)) => Some(backend),
--- a/crates/cardamomwinch_daemon/src/administration/mod.rs
+++ b/crates/cardamomwinch_daemon/src/administration/mod.rs
@@ -1,4 +1,4 @@
-//! The administration API: JSON-RPC methods over the management endpoint.
+//! The administration API: JSON-RPC methods on the management endpoint.
 
 pub mod explain;
 pub mod reports;
@@ -19,27 +19,27 @@
 use crate::snapshot_cell::SnapshotCell;
 use crate::stopping;
 
-/// The JSON-RPC code of a call that this host cannot answer now.
+/// The JSON-RPC error code of a call that this host cannot answer now.
 const UNAVAILABLE_CODE: i32 = -32_002;
-/// The JSON-RPC code of parameters that cannot be understood.
+/// The JSON-RPC error code of malformed parameters.
 const PARAMETERS_CODE: i32 = -32_602;
-/// The most flows that one call answers.
+/// The most flows that one call returns.
 const FLOWS_LIMIT: u32 = 10_000;
 
 /// Why a call was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum CallError {
-    /// A thread does not answer, because the process is ending.
+    /// A thread does not answer because the process is exiting.
     #[snafu(display("the host is ending"))]
     Ending,
-    /// The flow is not written as it should be.
+    /// The flow is malformed.
     #[snafu(display("{message}"))]
     Flow {
         /// What is wrong.
         message: String,
     },
-    /// The token is not written as it should be.
+    /// The token is malformed.
     #[snafu(display("the token is not a token in hexadecimal digits"))]
     Token,
 }
@@ -54,18 +54,18 @@
     }
 }
 
-/// What the methods work with.
+/// What the methods use.
 #[derive(Debug, Clone)]
 pub struct AdministrationContext {
-    /// Towards the control thread.
+    /// The queue of the control thread.
     pub control: Sender<ControlInput>,
-    /// Towards the traffic threads.
+    /// The queues of the traffic threads.
     pub threads: Vec<Sender<TrafficInput>>,
-    /// Towards whoever stops the process.
+    /// Requests a graceful stop of the process.
     pub stop: Sender<()>,
-    /// What is published.
+    /// The published snapshot.
     pub snapshots: SnapshotCell,
-    /// Verifies tokens.
+    /// Verifies routing tokens.
     pub tokens: TokenIssuer,
 }
 
@@ -109,19 +109,19 @@
 
     async fn explain(
         &self,
-        asked: api::ExplainParameters,
+        parameters: api::ExplainParameters,
     ) -> Result<api::ExplainReport, CallError> {
-        let question = explain::FlowQuestion::parse(&asked, &self.tokens)?;
+        let query = explain::FlowQuestion::parse(&parameters, &self.tokens)?;
         let mut pinned = None;
         for thread in &self.threads {
             let (answer, answers) = async_channel::bounded(1);
-            let flow = question.flow;
+            let flow = query.flow;
             self.ask_thread(thread, TrafficQuery::Pin { flow, answer })
                 .await?;
             let pin = answers.recv().await.map_err(|_| CallError::Ending)?;
             pinned = pinned.or(pin);
         }
-        Ok(question.explain(&self.snapshots.load(), pinned))
+        Ok(query.explain(&self.snapshots.load(), pinned))
     }
 
     fn stop(&self) -> api::StopReport {
@@ -147,7 +147,7 @@
 /// The methods of the API.
 ///
 /// # Errors
-/// Fails where a method is registered twice.
+/// Fails if a method is registered twice.
 pub fn module(context: AdministrationContext) -> Result<RpcModule<()>, RegisterMethodError> {
     let mut module = RpcModule::new(context);
     module.register_async_method(api::STATUS_METHOD, |_, context, _| async move {
@@ -160,13 +160,13 @@
         Ok::<_, ErrorObjectOwned>(context.backends().await)
     })?;
     module.register_async_method(api::FLOWS_METHOD, |params, context, _| async move {
-        let asked: api::FlowsParameters = params.parse()?;
-        let report = context.flows(asked.limit).await;
+        let parameters: api::FlowsParameters = params.parse()?;
+        let report = context.flows(parameters.limit).await;
         report.map_err(ErrorObjectOwned::from)
     })?;
     module.register_async_method(api::EXPLAIN_METHOD, |params, context, _| async move {
-        let asked: api::ExplainParameters = params.parse()?;
-        let report = context.explain(asked).await;
+        let parameters: api::ExplainParameters = params.parse()?;
+        let report = context.explain(parameters).await;
         report.map_err(ErrorObjectOwned::from)
     })?;
     module.register_method(api::STOP_METHOD, |_, context, _| {
@@ -175,10 +175,10 @@
     Ok(module.remove_context())
 }
 
-/// Ready while the published snapshot says that the host serves.
+/// Reports the host as ready while the phase of the published snapshot is serving.
 #[derive(Debug, Clone)]
 pub struct SnapshotReadiness {
-    /// What is published.
+    /// The published snapshot.
     pub snapshots: SnapshotCell,
 }
 
--- a/crates/cardamomwinch_daemon/src/administration/reports.rs
+++ b/crates/cardamomwinch_daemon/src/administration/reports.rs
@@ -1,4 +1,4 @@
-//! Fills in the reports of the administration API.
+//! Creates the reports of the administration API.
 
 use cardamomwinch_configuration::settings::HostSettings;
 use cardamomwinch_coordination::control::membership;
@@ -14,10 +14,10 @@
 
 use crate::messages::TrafficLoad;
 
-/// The whole of a server's slots, in percent.
+/// All slots of a server, in percent.
 const WHOLE_PERCENT: u8 = 100;
 
-/// How the host is doing; what traffic holds is left at zero.
+/// The state of the host. `flows` and `pending_requests` are zero, for the caller to fill in.
 pub fn status(
     engine: &ControlEngine,
     settings: &HostSettings,
@@ -45,7 +45,7 @@
                     shared => shared.to_string(),
                 },
                 revision: FragmentRevision::new(document.revision),
-                // Each error of a document has a line of its own.
+                // Each error of a document is on its own line.
                 reason: document.reason.to_string().replace('\n', "; "),
             })
             .collect(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// What the host believes about others, and about itself.
+/// The hosts of the published list, including this one, as this host sees them.
 pub fn members(
     engine: &ControlEngine,
     settings: &HostSettings,
@@ -115,7 +115,7 @@
     }
 }
 
-/// The backend servers as this host sees them.
+/// The backend servers in the configuration, as this host sees them.
 pub fn backends(snapshot: &RoutingSnapshot, load: &TrafficLoad) -> Vec<api::BackendReport> {
     let backends = snapshot.configuration.backends.values();
     backends
@@ -123,7 +123,8 @@
         .collect()
 }
 
-/// Only the home of a server asks it, so that others know nothing of it.
+/// Only the home of a server probes its load endpoint, so the other hosts report its health as
+/// unknown.
 fn health(known: BackendView) -> api::HealthState {
     match known {
         BackendView { ejected: true, .. } => api::HealthState::Unhealthy,
@@ -150,9 +151,9 @@
         true => BackendPhase::Draining,
         false => entry.phase,
     };
-    let held = |held: Option<&u32>| held.copied().unwrap_or_default();
+    let count = |count: Option<&u32>| count.copied().unwrap_or_default();
     api::BackendReport {
-        service: service.map_or_else(|| entry.service.to_string(), |held| held.name.clone()),
+        service: service.map_or_else(|| entry.service.to_string(), |service| service.name.clone()),
         backend: entry.name.clone(),
         id: entry.id.to_string(),
         domain: snapshot.domain_name(entry.domain),
@@ -160,9 +161,9 @@
         phase,
         weight: entry.weight,
         health: health(known),
-        busy_slots: SlotCount::new(held(load.busy_slots.get(&entry.id))),
+        busy_slots: SlotCount::new(count(load.busy_slots.get(&entry.id))),
         slots: entry.slots,
-        connections: ConnectionCount::new(held(load.connections.get(&entry.id))),
+        connections: ConnectionCount::new(count(load.connections.get(&entry.id))),
         shard: shard.index,
         home_host: home.map(|host| host.name.clone()),
         holds_home: view
--- a/crates/cardamomwinch_daemon/src/arguments.rs
+++ b/crates/cardamomwinch_daemon/src/arguments.rs
@@ -1,32 +1,32 @@
-//! The command line of `cardamomwinchd`.
+//! The command line of the daemons.
 
 use std::path;
 
 use getopts::Options;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Why the command line was not understood.
+/// Why the command line is invalid.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ArgumentError {
-    /// An option is unknown or lacks its value.
+    /// An option is unknown, or its value is missing.
     #[snafu(display("{source}"))]
     Option {
-        /// What the parser said.
+        /// The error of the parser.
         source: getopts::Fail,
     },
-    /// The settings file is not named.
+    /// The option for the settings file is missing.
     #[snafu(display("--settings FILE is required"))]
     NoSettings,
-    /// A word that is no option.
+    /// An argument is not an option.
     #[snafu(display("unexpected argument {found:?}"))]
     Unexpected {
-        /// The word.
+        /// The argument.
         found: String,
     },
 }
 
-/// How the daemon is to run.
+/// The arguments of a daemon that serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DaemonArguments {
     /// The settings file.
@@ -38,7 +38,7 @@
 pub enum DaemonCommand {
     /// Serve.
     Serve(DaemonArguments),
-    /// Print how to use the program.
+    /// Print the help text.
     Help,
     /// Print the version.
     Version,
@@ -52,7 +52,7 @@
     options
 }
 
-/// The text of `--help` of `program`.
+/// The help text of `program`.
 pub fn usage(program: &str) -> String {
     let brief = format!(
         "Usage: {program} --settings FILE\n\n\
@@ -65,12 +65,13 @@
 }
 
 impl DaemonCommand {
-    /// Reads the command line without the name of the program.
+    /// Parses the command line, without the name of the program.
     ///
     /// # Errors
-    /// Fails on unknown options, on words that are none, and without settings.
-    pub fn parse(words: &[String]) -> Result<Self, ArgumentError> {
-        let matches = options().parse(words).context(OptionSnafu)?;
+    /// Fails on unknown options, on arguments that are not options, and if the settings file is
+    /// missing.
+    pub fn parse(command_line: &[String]) -> Result<Self, ArgumentError> {
+        let matches = options().parse(command_line).context(OptionSnafu)?;
         if matches.opt_present("help") {
             return Ok(Self::Help);
         }
--- a/crates/cardamomwinch_daemon/src/bin/cardamomwinchd.rs
+++ b/crates/cardamomwinch_daemon/src/bin/cardamomwinchd.rs
@@ -1,4 +1,4 @@
-//! `cardamomwinchd`: serves as an entry host until it is told to stop.
+//! `cardamomwinchd`: serves as an entry host until it is stopped.
 
 use std::process;
 
--- a/crates/cardamomwinch_daemon/src/control_effects.rs
+++ b/crates/cardamomwinch_daemon/src/control_effects.rs
@@ -22,26 +22,26 @@
 use crate::snapshot_cell::SnapshotCell;
 use crate::stopping::DrainedFlag;
 
-/// How long the load endpoint of a backend server may take to answer.
+/// The timeout of a call to the load endpoint of a backend server.
 const LOAD_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Everything that the control engine acts through.
+/// The clients, queues and loggers through which effects of the control engine are carried out.
 pub struct ControlOutlets {
-    /// Runs calls.
+    /// Runs the tasks that make calls.
     pub executor: rc::Rc<LocalExecutor<'static>>,
-    /// Where outcomes of calls go.
+    /// The queue of the control thread, which receives the outcomes of calls.
     pub inputs: Sender<ControlInput>,
-    /// Towards other hosts.
+    /// Sends to other hosts.
     pub peers: PeerSender,
-    /// Towards the platform.
+    /// Calls the platform.
     pub platform: PlatformCalls,
-    /// Towards traffic.
+    /// Publishes snapshots to the traffic threads.
     pub snapshots: SnapshotCell,
-    /// Towards the traffic threads, by position.
+    /// The queues of the traffic threads, by index.
     pub threads: Vec<Sender<TrafficInput>>,
-    /// Set once nothing is held any more.
+    /// Set when the host has been stopped and is no longer home of any shard.
     pub drained: DrainedFlag,
-    /// Counts.
+    /// The metrics of the counters.
     pub counters: CounterHandles,
     /// Logs decisions.
     pub logger: DecisionLogger<DecisionLine>,
@@ -78,8 +78,8 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Brings word of a hand-over to the thread of its shard. Where its queue is
-    /// full the word is lost and the hand-over is broken off.
+    /// Sends a step of a hand-over to the traffic thread of the shard. If the queue of the
+    /// thread is full, the step is lost and the hand-over is aborted.
     fn tell_thread(&self, input: HandOverInput) {
         let place = ThreadPlace {
             index: 0,
@@ -103,9 +103,9 @@
     }
 }
 
-/// The outlets with the time of one event.
+/// Carries out the effects of one event.
 pub struct ControlOutletSink<'o> {
-    /// The outlets.
+    /// Where the effects go.
     pub outlets: &'o mut ControlOutlets,
     /// The time of the event.
     pub now: Timestamp,
--- a/crates/cardamomwinch_daemon/src/control_thread.rs
+++ b/crates/cardamomwinch_daemon/src/control_thread.rs
@@ -1,4 +1,4 @@
-//! The control thread: everything that happens is brought to one engine.
+//! The control thread, which passes all control events to one engine.
 
 use std::rc;
 use std::sync;
@@ -17,10 +17,10 @@
 
 /// The period of the control tick.
 const TICK_PERIOD: time::Duration = time::Duration::from_millis(100);
-/// Ticks are put off by up to this, so that hosts do not act in step.
+/// Ticks are delayed by a random time up to this, so that hosts do not act in step.
 const TICK_JITTER: time::Duration = time::Duration::from_millis(20);
 
-/// The control engine and what it acts through.
+/// Drives the control engine.
 pub struct ControlDriver {
     engine: ControlEngine,
     outlets: ControlOutlets,
@@ -29,7 +29,7 @@
 }
 
 impl ControlDriver {
-    /// Puts the driver together.
+    /// Creates the driver.
     pub const fn new(
         engine: ControlEngine,
         outlets: ControlOutlets,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes inputs until their channel is closed.
+    /// Handles inputs until their channel is closed.
     pub async fn run(mut self, inputs: Receiver<ControlInput>) {
         self.handle(ControlEvent::Start);
         while let Ok(input) = inputs.recv().await {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Sends a tick to the control engine again and again.
+/// Sends ticks to the control engine until its channel is closed.
 pub async fn tick(timers: TimerService<HostClock>, seed: u64, inputs: Sender<ControlInput>) {
     let plan = TickPlan {
         period: TICK_PERIOD,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Brings control messages of other hosts to the engine.
+/// Receives control messages from other hosts and passes them to the engine.
 pub async fn receive_peers(
     socket: sync::Arc<DatagramSocket>,
     peers: PeerSender,
@@ -112,8 +112,8 @@
         let Some(envelope) = peers.open(&buffer[..received.length]) else {
             continue;
         };
-        // A full queue means that control lags: a lost message is repaired by
-        // the next one, whereas an old one would only add to the lag.
+        // A full queue means that control lags. The message is dropped: a later one replaces
+        // it, and a blocking send would only increase the lag.
         let input = ControlInput::Event(ControlEvent::Peer(envelope));
         if inputs.try_send(input).is_err() {
             metrics::counter!("cardamomwinch_control_queue_drops_total").increment(1);
--- a/crates/cardamomwinch_daemon/src/counter_handles.rs
+++ b/crates/cardamomwinch_daemon/src/counter_handles.rs
@@ -1,8 +1,8 @@
-//! Metrics for the counters of the decision logic, looked up once.
+//! The metrics of the counters that the engines increment, each looked up only once.
 
 use cardamomwinch_coordination::prelude::Counter;
 
-/// One metric a counter.
+/// The metric of each counter, by the position of the counter.
 pub struct CounterHandles {
     handles: Vec<metrics::Counter>,
 }
@@ -18,7 +18,7 @@
 }
 
 impl CounterHandles {
-    /// Counts one `counter`.
+    /// Increments the metric of `counter`.
     pub fn count(&self, counter: Counter) {
         self.handles[counter as usize].increment(1);
     }
--- a/crates/cardamomwinch_daemon/src/decision_line.rs
+++ b/crates/cardamomwinch_daemon/src/decision_line.rs
@@ -1,4 +1,4 @@
-//! Decisions as log lines, with names where the configuration has them.
+//! Decisions as log lines, with names instead of identifiers if the configuration has them.
 
 use cardamomwinch_coordination::decision::RunEvidence;
 use cardamomwinch_coordination::prelude::{DecisionReason, DecisionRecord, RoutingSnapshot};
@@ -6,14 +6,14 @@
 use cardamomwinch_transport::prelude as transport;
 use serde::{Serialize, Serializer};
 
-/// One decision as it is logged.
+/// The log line of a decision.
 #[derive(Debug, Serialize)]
 pub struct DecisionLine {
     /// The name of the host that decided.
     pub host: String,
-    /// The configuration version it decided under.
+    /// The version of the configuration in force at the decision.
     pub version: u64,
-    /// Why, as the API writes it too.
+    /// The reason, spelled as in the administration API.
     #[serde(serialize_with = "as_text")]
     pub reason: DecisionReason,
     /// The flow.
@@ -31,13 +31,13 @@
     /// The name of the other host.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peer: Option<String>,
-    /// The name of the failure domain, where the reason concerns a whole one.
+    /// The name of the failure domain, if the reason concerns a whole domain.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub domain: Option<String>,
     /// The shard.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub shard: Option<String>,
-    /// What is known of the run of a request that is given up.
+    /// What is known about the run of a request that was given up.
     #[serde(flatten, skip_serializing_if = "Option::is_none")]
     pub evidence: Option<EvidenceFields>,
 }
@@ -48,12 +48,12 @@
 pub struct EvidenceFields {
     /// How long ago the request was sent, in milliseconds.
     pub sent_ago_ms: u64,
-    /// Requests that the home has sent to the server and not seen end.
+    /// The number of requests that the home has sent to the server and that have not ended.
     pub running: u32,
-    /// How long ago the last load report came, in milliseconds.
+    /// How long ago the last load report arrived, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub report_age_ms: Option<u64>,
-    /// Requests that it said are running.
+    /// The number of running requests in that report.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reported_busy: Option<u32>,
 }
@@ -70,7 +70,7 @@
 }
 
 impl DecisionLine {
-    /// Puts names to the identifiers of `record`.
+    /// Creates the line of `record` with the names of the identifiers in it.
     pub fn new(host: &str, record: &DecisionRecord, snapshot: &RoutingSnapshot) -> Self {
         let entry = record.backend.and_then(|id| snapshot.backend(id));
         let service = record.service.or(entry.map(|entry| entry.service));
--- a/crates/cardamomwinch_daemon/src/launch.rs
+++ b/crates/cardamomwinch_daemon/src/launch.rs
@@ -1,4 +1,4 @@
-//! Starts the threads of a host and waits until it has stopped.
+//! Starts the threads of a host and waits until the host has stopped.
 
 use std::fs;
 use std::io;
@@ -37,11 +37,11 @@
 use crate::traffic_effects::{TrafficOutlets, TrafficSockets};
 use crate::traffic_thread::{self, TrafficThread};
 
-/// The size asked of the system for receive buffers, in bytes.
+/// The size of a socket's receive buffer that is requested from the system, in bytes.
 const RECEIVE_BUFFER: usize = 4 * 1024 * 1024;
-/// Times that the system is asked for another port.
+/// How often binding is retried with another port chosen by the system.
 const PORT_ATTEMPTS: u32 = 32;
-/// Log lines that may wait to be written.
+/// The most log lines that may wait to be written.
 const LOG_QUEUE: usize = 8192;
 
 /// Why the host could not be started.
@@ -53,13 +53,13 @@
     Read {
         /// The file.
         path: path::PathBuf,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
     /// The settings are not valid.
     #[snafu(display("{report}"))]
     Settings {
-        /// Every error of the file.
+        /// All errors in the file.
         report: CheckReport,
     },
     /// A datagram socket cannot be opened.
@@ -104,18 +104,18 @@
         /// Why.
         source: RegisterMethodError,
     },
-    /// Signals cannot be taken.
-    #[snafu(display("cannot take signals"))]
+    /// Signals cannot be subscribed to.
+    #[snafu(display("cannot subscribe to signals"))]
     Signals {
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
 }
 
-/// Reads the settings and serves until the process is told to stop.
+/// Reads the settings and serves until the process is stopped.
 ///
 /// # Errors
-/// Fails where the host cannot be started.
+/// Fails if the host cannot be started.
 pub fn run(arguments: &DaemonArguments) -> Result<StopStatus, LaunchError> {
     let path = &arguments.settings;
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Runs control on the present thread until the host has stopped.
+    /// Runs control on the current thread until the host has stopped.
     fn control(
         self,
         threads: Vec<Sender<TrafficInput>>,
@@ -347,25 +347,25 @@
     }
 }
 
-/// Where traffic sockets are bound; the settings may leave ports to the system.
+/// The addresses to which the traffic sockets are bound. The settings may leave the choice of
+/// ports to the system.
 #[derive(Debug, Clone, Copy)]
 struct BoundAddresses {
     traffic: net::SocketAddr,
     relay: net::SocketAddr,
 }
 
-/// Binds the endpoint and the datagram socket for other hosts to one port.
+/// Binds the endpoint and the datagram socket for other hosts to the same port.
 ///
-/// Guards against a port that the system chose for TCP and that another program
-/// holds for UDP. It shows as a host that sometimes ends at its start. So where
-/// the system chooses, it is asked again.
+/// If the system chooses the port, it chooses a free TCP port, which another program may
+/// already use for UDP. The host would then sometimes fail to start, so another port is tried.
 async fn bind_peers(
     settings: &HostSettings,
     inputs: &Sender<ControlInput>,
 ) -> Result<(PeerServer, DatagramSocket), LaunchError> {
     let address = settings.peer_address;
     let chosen_by_system = address.port() == 0;
-    let mut further = if chosen_by_system { PORT_ATTEMPTS } else { 0 };
+    let mut retries_left = if chosen_by_system { PORT_ATTEMPTS } else { 0 };
     loop {
         let module = peer_delivery::peer_module(inputs.clone()).context(MethodSnafu)?;
         let (keys, limits) = (settings.keys.clone(), PeerLimits::default());
@@ -374,7 +374,7 @@
         let bound = server.local_address().context(PeersSnafu)?;
         match bind(bound, false) {
             Ok(socket) => return Ok((server, socket)),
-            Err(_) if further > 0 => further -= 1,
+            Err(_) if retries_left > 0 => retries_left -= 1,
             Err(source) => return Err(LaunchError::Socket { source }),
         }
     }
@@ -388,7 +388,7 @@
     })
 }
 
-/// Binds one socket a thread to the same address.
+/// Binds one socket per thread, all to the same address.
 fn bind_shared(
     address: net::SocketAddr,
     count: usize,
--- a/crates/cardamomwinch_daemon/src/lib.rs
+++ b/crates/cardamomwinch_daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry host process. One thread decides about control state; others
-//! decide about traffic, each against the snapshot that control published last.
+//! The entry host process. The control thread maintains the control state and publishes
+//! snapshots of it; the traffic threads handle datagrams by the latest snapshot.
 //!
-//! The process does nothing but carry events to the engines of
-//! [`cardamomwinch_coordination`] and their effects to sockets:
+//! All decisions are made by the engines of [`cardamomwinch_coordination`]. The process passes
+//! events to them and carries out their effects:
 //!
 //! ```no_run
 //! use cardamomwinch_daemon::prelude::*;
@@ -30,7 +30,7 @@
 pub mod traffic_effects;
 pub mod traffic_thread;
 
-/// What programs that run a host need.
+/// The items that a program needs to run a host.
 pub mod prelude {
     pub use crate::arguments::{ArgumentError, DaemonArguments, DaemonCommand};
     pub use crate::launch::{self, LaunchError};
--- a/crates/cardamomwinch_daemon/src/log_level.rs
+++ b/crates/cardamomwinch_daemon/src/log_level.rs
@@ -1,9 +1,9 @@
-//! The level of the log library that a setting means.
+//! Converts the log level of the settings to that of the log library.
 
 use cardamomwinch_configuration::settings::LogLevel;
 use log::LevelFilter;
 
-/// The level of the log library for `level`.
+/// The level filter of the log library for `level`.
 pub const fn level_filter(level: LogLevel) -> LevelFilter {
     match level {
         LogLevel::Off => LevelFilter::Off,
--- a/crates/cardamomwinch_daemon/src/messages.rs
+++ b/crates/cardamomwinch_daemon/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the threads of the process tell each other.
+//! The messages between the threads of the process.
 
 use async_channel::Sender;
 use cardamomwinch_coordination::prelude::ControlEvent;
@@ -7,57 +7,58 @@
 use cardamomwinch_protocol::peer::homes::HandOverId;
 use cardamomwinch_state::prelude::{BackendId, FlowKey, ShardId, SortedVector, Timestamp};
 
-/// Something for the control thread.
+/// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlInput {
-    /// For the control engine.
+    /// An event for the control engine.
     Event(ControlEvent),
-    /// An operator asks.
+    /// A query of an operator.
     Query(ControlQuery),
-    /// The process is to stop.
+    /// Begin a graceful stop.
     Stop,
 }
 
-/// What an operator asks of the control thread; the answer goes to the sender.
+/// A query of an operator to the control thread; the answer goes to the channel in it.
 #[derive(Debug)]
 pub enum ControlQuery {
-    /// How the host is doing. Traffic figures are filled in by who asks.
+    /// The state of the host. The receiver of the answer fills in the numbers of flows and
+    /// pending requests.
     Status(Sender<StatusReport>),
-    /// What the host believes about others.
+    /// The hosts as this host sees them.
     Members(Sender<Vec<MemberReport>>),
 }
 
-/// Something for a traffic thread.
+/// A message to a traffic thread.
 #[derive(Debug)]
 pub enum TrafficInput {
-    /// An encoded envelope from another traffic thread of this process.
+    /// An encoded relay envelope from another traffic thread of this process.
     Envelope(Box<[u8]>),
-    /// Control hands a shard over, or has one handed over.
+    /// A step of a hand-over of a shard from or to this host.
     HandOver(HandOverInput),
-    /// An operator asks, or the process wants to stop.
+    /// A query of an operator or of the graceful stop.
     Query(TrafficQuery),
 }
 
-/// What control tells the thread of a shard about its hand-over.
+/// A step of a hand-over, which the control thread sends to the traffic thread of the shard.
 #[derive(Debug)]
 pub enum HandOverInput {
-    /// Freeze the shard and give out what is known of it.
+    /// Freeze the shard and export its state.
     Release {
         /// The hand-over.
         hand_over: HandOverId,
-        /// When the shard thaws.
+        /// When the shard thaws by itself.
         frozen_until: Timestamp,
     },
-    /// The hand-over is broken off.
+    /// The hand-over is aborted: thaw the shard.
     Thaw(ShardId),
-    /// The shard is handed over.
+    /// The hand-over is complete: drop the state of the shard.
     Forget(ShardId),
-    /// Take a chunk in.
+    /// Import a chunk of the state of the shard.
     TakeOver(Box<HandOverChunk>),
 }
 
 impl HandOverInput {
-    /// The shard that it is about.
+    /// The shard that the step is about.
     pub fn shard(&self) -> ShardId {
         match self {
             Self::Release { hand_over, .. } => hand_over.shard,
@@ -67,19 +68,19 @@
     }
 }
 
-/// What is asked of a traffic thread; the answer goes to the sender.
+/// A query to a traffic thread; the answer goes to the channel in it.
 #[derive(Debug)]
 pub enum TrafficQuery {
-    /// How much the thread holds.
+    /// The load of the thread.
     Load(Sender<TrafficLoad>),
-    /// Some of the flows it has pinned.
+    /// Some of the flows that it has pinned.
     Flows {
-        /// The most to answer.
+        /// The most flows to return.
         limit: usize,
         /// Where the answer goes.
         answer: Sender<Vec<FlowReport>>,
     },
-    /// The server that a flow is pinned to.
+    /// The server to which a flow is pinned.
     Pin {
         /// The flow.
         flow: FlowKey,
@@ -88,17 +89,17 @@
     },
 }
 
-/// How much a traffic thread holds.
+/// The load of a traffic thread.
 #[derive(Debug, Default, Clone)]
 pub struct TrafficLoad {
-    /// Flows pinned.
+    /// The number of pinned flows.
     pub flows: u64,
-    /// Requests queued or running.
+    /// The number of requests that are queued or running.
     pub pending_requests: u64,
-    /// When the fabric last handed over a datagram.
+    /// When the last datagram from the fabric arrived.
     pub last_fabric: Timestamp,
-    /// Slots in use by backend server.
+    /// The number of slots in use, by backend server.
     pub busy_slots: SortedVector<BackendId, u32>,
-    /// Flows placed by backend server.
+    /// The number of open flows, by backend server.
     pub connections: SortedVector<BackendId, u32>,
 }
--- a/crates/cardamomwinch_daemon/src/peer_delivery.rs
+++ b/crates/cardamomwinch_daemon/src/peer_delivery.rs
@@ -1,5 +1,5 @@
-//! Control messages among hosts: small ones as datagrams, large ones by an
-//! authenticated call over TCP.
+//! Sends and receives control messages among hosts: small ones as datagrams, large ones by
+//! authenticated calls over TCP.
 
 use std::net;
 use std::sync;
@@ -16,14 +16,14 @@
 
 use crate::messages::ControlInput;
 
-/// Longer messages than this do not travel as datagrams, since fragments of a
-/// datagram are lost together.
+/// The most bytes of a message that is sent as a datagram. A longer datagram could be
+/// fragmented by the network and would be lost with any of its fragments.
 const DATAGRAM_MESSAGE_LIMIT: usize = 1200;
-/// How long the delivery of a large message may take.
+/// The timeout for the delivery of a large message.
 const DELIVERY_TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// The method by which a large message is delivered.
+/// The JSON-RPC method that delivers a large message.
 const DELIVER_METHOD: &str = "deliver";
-/// The JSON-RPC error code of a host that cannot take more messages now.
+/// The JSON-RPC error code of a host whose queue is full.
 const BUSY_CODE: i32 = -32_001;
 
 /// Sends control messages to other hosts.
@@ -34,12 +34,12 @@
 }
 
 impl PeerSender {
-    /// Sends from `socket`, signed with `keys`.
+    /// Creates a sender that sends from `socket` and signs with `keys`.
     pub const fn new(socket: sync::Arc<DatagramSocket>, keys: AuthenticationKeys) -> Self {
         Self { socket, keys }
     }
 
-    /// Sends `envelope` as a datagram; gives it back where it is too large.
+    /// Sends `envelope` as a datagram, or returns it if it is too large.
     pub fn send_small(
         &self,
         address: net::SocketAddr,
@@ -57,8 +57,8 @@
         None
     }
 
-    /// Delivers `envelope` over TCP. A failure is a lost message: whoever needs
-    /// an answer asks again.
+    /// Delivers `envelope` over TCP. If the call fails, the message is lost, and a host that needs
+    /// an answer sends it again.
     pub async fn deliver(self, address: net::SocketAddr, envelope: PeerEnvelope) {
         let client = PeerClient::new(self.keys);
         let params = (envelope,);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes one datagram; `None` where no accepted key has signed it.
+    /// Verifies and decodes a datagram; `None` if no accepted key signed it or it is malformed.
     pub fn open(&self, bytes: &[u8]) -> Option<PeerEnvelope> {
         let opened = self.keys.open(PEER_CONTEXT, bytes);
         if opened.is_err() {
@@ -80,10 +80,10 @@
     }
 }
 
-/// The calls that other hosts may make.
+/// The methods that other hosts may call.
 ///
 /// # Errors
-/// Fails where a method is registered twice.
+/// Fails if a method is registered twice.
 pub fn peer_module(inputs: Sender<ControlInput>) -> Result<RpcModule<()>, RegisterMethodError> {
     let mut module = RpcModule::new(inputs);
     module.register_method(DELIVER_METHOD, |params, inputs, _| {
--- a/crates/cardamomwinch_daemon/src/platform_calls.rs
+++ b/crates/cardamomwinch_daemon/src/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform, each a task of the control thread.
+//! Calls to the platform, which run as tasks on the control thread.
 
 use std::net;
 use std::time;
@@ -10,8 +10,8 @@
 use cardamomwinch_transport::platform_client::PlatformKey;
 use cardamomwinch_transport::prelude::{PlatformClient, PlatformError, WatchOutcome};
 
-/// Makes calls to the platform. Each call has a connection of its own, because
-/// a watch holds its connection for as long as it waits.
+/// Makes calls to the platform. Each call has its own connection, because a watch occupies its
+/// connection while it waits.
 #[derive(Debug, Clone)]
 pub struct PlatformCalls {
     addresses: Vec<net::SocketAddr>,
@@ -28,7 +28,7 @@
 }
 
 impl PlatformCalls {
-    /// Makes the call and tells how it ended.
+    /// Makes the call and returns its outcome.
     pub async fn make(self, request: PlatformRequest) -> PlatformOutcome {
         let result = self.answer(&request).await;
         PlatformOutcome { request, result }
@@ -51,8 +51,8 @@
             }),
             Ok(WatchOutcome::Unchanged) => Ok(PlatformAnswer::Unchanged),
             Err(PlatformError::Missing { .. }) => Ok(PlatformAnswer::Missing),
-            // The platform itself answered, with something old: control is to
-            // see that it is stale, not that it failed.
+            // The platform answered with an old revision. It is passed on as an answer, so that
+            // control detects a stale answer instead of a failed call.
             Err(PlatformError::StaleRevision { found, .. }) => Ok(PlatformAnswer::Value {
                 revision: found,
                 text: String::new(),
--- a/crates/cardamomwinch_daemon/src/program.rs
+++ b/crates/cardamomwinch_daemon/src/program.rs
@@ -1,33 +1,35 @@
-//! What the daemons have in common on the command line: help, version, exit codes.
+//! What the daemons have in common: help, version and exit codes.
 
 use std::env;
 use std::process;
 
 use crate::arguments::{self, DaemonArguments, DaemonCommand};
 
-/// Exit codes; the text of `--help` explains them.
+// The exit codes, which the help text explains.
 const CUT: u8 = 1;
 const USAGE: u8 = 2;
 const SETTINGS: u8 = 3;
 const LAUNCH: u8 = 4;
 
 /// How a daemon ended.
+/// The texts are printed to standard error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProgramEnd {
-    /// Stopped gracefully.
+    /// It stopped gracefully.
     Graceful,
-    /// Cut something off; the text says what.
+    /// It stopped and cut off what the text names.
     Cut(String),
-    /// The settings cannot be read or are not valid; the text says why.
+    /// It did not start, because the settings cannot be read or are not valid; the text holds
+    /// the errors.
     SettingsRefused(String),
-    /// It could not serve; the text says why.
+    /// It did not start for another reason, which the text names.
     LaunchFailed(String),
 }
 
-/// Runs the daemon `program`: reads the command line, and has `serve` serve.
+/// Runs the daemon `program`: parses the command line and, if it asks to serve, calls `serve`.
 pub fn run(program: &str, serve: impl FnOnce(&DaemonArguments) -> ProgramEnd) -> process::ExitCode {
-    let words: Vec<String> = env::args().skip(1).collect();
-    match DaemonCommand::parse(&words) {
+    let command_line: Vec<String> = env::args().skip(1).collect();
+    match DaemonCommand::parse(&command_line) {
         Ok(DaemonCommand::Help) => {
             print!("{}", arguments::usage(program));
             process::ExitCode::SUCCESS
--- a/crates/cardamomwinch_daemon/src/snapshot_cell.rs
+++ b/crates/cardamomwinch_daemon/src/snapshot_cell.rs
@@ -1,12 +1,12 @@
-//! The place through which control gives traffic its snapshots. Neither side
-//! ever waits for the other.
+//! Passes snapshots from the control thread to the traffic threads without locks, so that
+//! neither side waits for the other.
 
 use std::sync;
 
 use arc_swap::ArcSwap;
 use cardamomwinch_coordination::prelude::RoutingSnapshot;
 
-/// Holds the snapshot published last.
+/// Holds the latest published snapshot.
 #[derive(Debug, Clone)]
 pub struct SnapshotCell {
     cell: sync::Arc<ArcSwap<RoutingSnapshot>>,
@@ -26,13 +26,13 @@
         self.cell.store(snapshot);
     }
 
-    /// The snapshot published last.
+    /// The latest published snapshot.
     pub fn load(&self) -> sync::Arc<RoutingSnapshot> {
         self.cell.load_full()
     }
 
-    /// The snapshot published last, without touching its reference count; for
-    /// short use on the request path.
+    /// The latest published snapshot, without a change of its reference count. The guard must be
+    /// held only briefly.
     pub fn borrow(&self) -> arc_swap::Guard<sync::Arc<RoutingSnapshot>> {
         self.cell.load()
     }
--- a/crates/cardamomwinch_daemon/src/start_line.rs
+++ b/crates/cardamomwinch_daemon/src/start_line.rs
@@ -1,11 +1,11 @@
-//! The line with which a process says where it listens.
+//! The line on standard output in which a process reports the addresses that it listens on.
 
 use std::net;
 
 use serde::Serialize;
 
-/// Where a host listens. The settings may leave ports to the system, so that only
-/// the process can tell; programs that start hosts wait for its line.
+/// The addresses that a host listens on. The settings may leave the choice of ports to the
+/// system, so programs that start hosts read them from this line.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize)]
 pub struct StartLine<'a> {
@@ -13,24 +13,24 @@
     pub host: &'a str,
     /// The name of its failure domain.
     pub domain: &'a str,
-    /// For packets of callers.
+    /// Receives packets from callers.
     pub traffic_address: net::SocketAddr,
-    /// For packets that other hosts pass on; only where hosts do.
+    /// Receives datagrams that other hosts relay; `None` for forwarding hosts, which relay none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub relay_address: Option<net::SocketAddr>,
-    /// For questions whether the host is ready; only where it is one of its own.
+    /// Serves readiness checks, if there is a separate address for them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub readiness_address: Option<net::SocketAddr>,
-    /// For other hosts.
+    /// Receives control messages from other hosts.
     pub peer_address: net::SocketAddr,
-    /// For administration and metrics.
+    /// Serves the administration API and metrics.
     pub admin_address: net::SocketAddr,
-    /// True: the sockets are open. A host may still have to learn what is in force.
+    /// Always true: the sockets are open. The host may not have a configuration yet.
     pub ready: bool,
 }
 
 impl StartLine<'_> {
-    /// Writes the line to the standard output, before any log line of a decision.
+    /// Writes the line to standard output. It must precede the log lines of decisions.
     pub fn print(&self) {
         println!("{}", serde_json::json!(self));
     }
--- a/crates/cardamomwinch_daemon/src/stopping.rs
+++ b/crates/cardamomwinch_daemon/src/stopping.rs
@@ -13,15 +13,15 @@
 
 use crate::messages::{ControlInput, TrafficInput, TrafficLoad, TrafficQuery};
 
-/// How often the traffic threads are asked whether they are done.
+/// The interval between checks whether the traffic threads have finished.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
-/// A host that is done stays until the fabric has handed it nothing for this
-/// long. Guards against the lag of the fabric, which sends datagrams to a host
-/// for a while after it began to stop: they would be lost with the host, among
-/// them notices that nobody asks for again. Until then the host hands them on.
+/// A host that has finished exits when no datagram has arrived from the fabric for this long.
+/// The fabric lags and still sends datagrams to a host for a while after it began to stop, and
+/// the host relays them. If it exited earlier they would be lost, among them notices, which are
+/// never sent again.
 const QUIET_PERIOD: time::Duration = time::Duration::from_millis(1500);
 
-/// Tells that the host was told to stop and is home of nothing any more.
+/// Set when the host has been stopped and is no longer home of any shard.
 #[derive(Debug, Default, Clone)]
 pub struct DrainedFlag {
     flag: rc::Rc<cell::Cell<bool>>,
@@ -33,7 +33,7 @@
         self.flag.set(true);
     }
 
-    /// Whether it is set.
+    /// Whether the flag is set.
     pub fn is_set(&self) -> bool {
         self.flag.get()
     }
@@ -46,12 +46,12 @@
     Graceful,
     /// Requests were still pending.
     Cut {
-        /// How many.
+        /// The number of these requests.
         pending_requests: u64,
     },
 }
 
-/// Asks every traffic thread how much it holds.
+/// Queries the load of all traffic threads and returns the sum.
 pub async fn gather_load(threads: &[Sender<TrafficInput>]) -> TrafficLoad {
     let mut total = TrafficLoad::default();
     for thread in threads {
@@ -76,14 +76,15 @@
     total
 }
 
-/// Waits for the first signal or request to stop, then until every home is
-/// handed over and nothing is pending, the deadline has passed, or a second signal came.
+/// Waits for the first signal or stop request. Then stops the control engine and waits until
+/// `drained_flag` is set, no request is pending and the fabric is quiet, or until `deadline` has
+/// passed or a second signal arrives.
 pub async fn wait_until_stopped<C: Clock>(
     signals: &mut Signals,
     stop_requests: &Receiver<()>,
     control: &Sender<ControlInput>,
     threads: &[Sender<TrafficInput>],
-    homes: &DrainedFlag,
+    drained_flag: &DrainedFlag,
     deadline: time::Duration,
     clock: &C,
 ) -> StopStatus {
@@ -96,7 +97,7 @@
         }
     };
     futures_lite::future::or(signalled, requested).await;
-    // Whoever asks from now on is told that the host is stopping already.
+    // Later stop requests are answered with "not accepted".
     stop_requests.close();
     log::info!("stopping gracefully");
     drop(control.send(ControlInput::Stop).await);
@@ -113,13 +114,13 @@
             let load = gather_load(threads).await;
             let pending_requests = load.pending_requests;
             let now = clock.now();
-            let done = pending_requests == 0 && homes.is_set();
-            let begun = load.last_fabric.max(begun);
-            if done && now.since(begun) >= QUIET_PERIOD {
+            let done = pending_requests == 0 && drained_flag.is_set();
+            let quiet_since = load.last_fabric.max(begun);
+            if done && now.since(quiet_since) >= QUIET_PERIOD {
                 return StopStatus::Graceful;
             }
-            // The last host of a domain has nobody to hand its homes to, and
-            // has cut nothing where no request is pending.
+            // The last host of a domain has no successor for its shards, so it is never drained.
+            // It stops gracefully if no request is pending.
             if now >= latest {
                 return match pending_requests {
                     0 => StopStatus::Graceful,
@@ -136,7 +137,7 @@
 /// Subscribes to the signals that stop the process.
 ///
 /// # Errors
-/// Fails where the system refuses.
+/// Fails if the system refuses.
 pub fn stop_signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int])
 }
--- a/crates/cardamomwinch_daemon/src/traffic_effects.rs
+++ b/crates/cardamomwinch_daemon/src/traffic_effects.rs
@@ -18,22 +18,22 @@
 use crate::decision_line::DecisionLine;
 use crate::messages::{ControlInput, TrafficInput};
 
-/// Room for a datagram, its envelope and its authentication code.
+/// The size in bytes of a buffer for a datagram with its envelope and authentication code.
 const SEND_BUFFER: usize = codec::DATAGRAM_LIMIT + 512;
 
 /// The sockets and channels of one traffic thread.
 pub struct TrafficOutlets {
-    /// Towards callers and backend servers.
+    /// Sends to callers and backend servers.
     pub traffic: sync::Arc<DatagramSocket>,
-    /// Towards other hosts.
+    /// Sends to other hosts.
     pub relay: sync::Arc<DatagramSocket>,
-    /// Towards the other traffic threads, by position.
+    /// The queues of all traffic threads, by index.
     pub threads: Vec<Sender<TrafficInput>>,
-    /// Towards control.
+    /// The queue of the control thread.
     pub control: Sender<ControlInput>,
-    /// Signs what goes to other hosts.
+    /// Signs relayed datagrams.
     pub keys: AuthenticationKeys,
-    /// Counts.
+    /// The metrics of the counters.
     pub counters: CounterHandles,
     /// Logs decisions.
     pub logger: DecisionLogger<DecisionLine>,
@@ -43,7 +43,7 @@
 }
 
 impl TrafficOutlets {
-    /// Gathers the outlets of one thread.
+    /// Creates the outlets of one thread.
     pub fn new(
         sockets: TrafficSockets,
         threads: Vec<Sender<TrafficInput>>,
@@ -91,8 +91,8 @@
     }
 
     fn tell_control(&self, event: ControlEvent) {
-        // Where the queue is full the word is lost; what is told again and
-        // again is made up for, and a hand-over is broken off.
+        // If the queue is full, the event is lost. Observations are repeated, and a hand-over is
+        // aborted.
         if self.control.try_send(ControlInput::Event(event)).is_err() {
             metrics::counter!("cardamomwinch_control_queue_drops_total").increment(1);
         }
@@ -110,27 +110,27 @@
 /// The sockets of one traffic thread.
 #[derive(Debug, Clone)]
 pub struct TrafficSockets {
-    /// Towards callers and backend servers.
+    /// Exchanges datagrams with callers and backend servers, through the fabric.
     pub traffic: sync::Arc<DatagramSocket>,
-    /// Towards other hosts.
+    /// Exchanges relayed datagrams with other hosts.
     pub relay: sync::Arc<DatagramSocket>,
 }
 
-/// A datagram that cannot be sent is lost like one that the network loses;
-/// it must not stop the thread.
+/// Sends a datagram. One that cannot be sent is only counted: to the peer it is like one that
+/// the network lost.
 fn send_or_count(socket: &DatagramSocket, bytes: &[u8], destination: net::SocketAddr) {
     if socket.send(bytes, destination).is_err() {
         metrics::counter!("cardamomwinch_send_failures_total").increment(1);
     }
 }
 
-/// The outlets together with what one event is decided against.
+/// Carries out the effects of one event.
 pub struct OutletSink<'o> {
-    /// The outlets.
+    /// Where the effects go.
     pub outlets: &'o mut TrafficOutlets,
     /// The time of the event.
     pub now: Timestamp,
-    /// The snapshot it is decided against, for names.
+    /// The snapshot by which the event is handled; log lines take names from it.
     pub snapshot: &'o RoutingSnapshot,
 }
 
--- a/crates/cardamomwinch_daemon/src/traffic_thread.rs
+++ b/crates/cardamomwinch_daemon/src/traffic_thread.rs
@@ -1,5 +1,5 @@
-//! One traffic thread: its sockets, its channel and its tick, all brought to
-//! one engine.
+//! A traffic thread, which passes the datagrams of its sockets, the messages of other threads and
+//! ticks to one engine.
 
 use std::cell;
 use std::rc;
@@ -20,24 +20,24 @@
 use crate::snapshot_cell::SnapshotCell;
 use crate::traffic_effects::{OutletSink, TrafficOutlets, TrafficSockets};
 
-/// The period of the tick that sweeps tables and notices sleep.
+/// The period of the tick, which sweeps tables and detects a pause of the process.
 const TICK_PERIOD: time::Duration = time::Duration::from_millis(50);
-/// Datagrams taken in a row before other tasks of the thread get their turn.
+/// The most datagrams handled in a row after the first, before other tasks of the thread run.
 const BURST_LIMIT: usize = 64;
-/// One byte more than the longest datagram, so that a longer one is noticed.
+/// One byte more than the longest datagram with its envelope, so that a longer one is detected.
 const RECEIVE_BUFFER: usize = codec::DATAGRAM_LIMIT + 513;
 
-/// Everything that a traffic thread starts with.
+/// The parts of a traffic thread.
 pub struct TrafficThread {
-    /// The decisions.
+    /// The engine that handles the events.
     pub engine: TrafficEngine,
-    /// Where effects go.
+    /// Where the effects go.
     pub outlets: TrafficOutlets,
-    /// Where snapshots come from.
+    /// The published snapshot.
     pub snapshots: SnapshotCell,
-    /// What other threads say.
+    /// Messages from other threads.
     pub inputs: Receiver<TrafficInput>,
-    /// Tells the time.
+    /// The clock and the ticks.
     pub timers: TimerService<HostClock>,
 }
 
@@ -109,7 +109,8 @@
         });
     }
 
-    /// Answers go into channels with room for one; who asked may have left.
+    /// Answers go into channels with a capacity of one, so sending does not block. The receiver
+    /// may no longer exist.
     fn answer(&self, query: TrafficQuery) {
         match query {
             TrafficQuery::Load(answer) => give(&answer, self.load()),
--- a/crates/cardamomwinch_daemon/tests/command_line.rs
+++ b/crates/cardamomwinch_daemon/tests/command_line.rs
@@ -18,7 +18,7 @@
     help = { &["--help"], 0, "Usage: cardamomwinchd" },
     version = { &["--version"], 0, "cardamomwinchd 0." },
 )]
-fn asked_for_text_goes_to_the_output(options: &[&str], code: i32, text: &str) {
+fn help_and_version_are_printed_to_standard_output(options: &[&str], code: i32, text: &str) {
     let output = run(options);
     assert_eq!(output.status.code(), Some(code));
     assert!(String::from_utf8(output.stdout).unwrap().contains(text));
@@ -27,19 +27,19 @@
 #[parameterized(
     no_settings = { &[], "--settings FILE is required" },
     unknown_option = { &["--nothing"], "nothing" },
-    stray_word = { &["--settings", "a", "b"], "unexpected argument \"b\"" },
+    unexpected_argument = { &["--settings", "a", "b"], "unexpected argument \"b\"" },
 )]
-fn a_command_line_that_is_not_understood_is_a_usage_error(options: &[&str], text: &str) {
+fn an_invalid_command_line_is_a_usage_error(options: &[&str], text: &str) {
     let output = run(options);
     assert_eq!(output.status.code(), Some(2));
     let errors = String::from_utf8(output.stderr).unwrap();
     assert!(errors.contains(text), "{errors}");
 }
 
-/// An operator mistypes a key and forgets another. The daemon does not start
-/// and names both with line and column.
+/// An operator mistypes one key of the settings and omits another. The daemon must report both
+/// errors, with line and column, instead of only the first.
 #[test]
-fn every_error_of_the_settings_is_named_with_its_place() {
+fn every_error_of_the_settings_is_reported_with_line_and_column() {
     let name = format!("cardamomwinchd-{}.jsonc", process::id());
     let file = env::temp_dir().join(name);
     fs::write(
--- a/crates/cardamomwinch_daemon/tests/decision_line.rs
+++ b/crates/cardamomwinch_daemon/tests/decision_line.rs
@@ -1,5 +1,5 @@
-//! Decisions as log lines, what `explain` says of a flow, and what `backends` says
-//! of a server.
+//! Decisions as log lines, and the reports of `explain` about a flow and of `backends` about a
+//! server.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::sync;
@@ -99,9 +99,9 @@
     assert_eq!(line(reason, None)["domain"], json!("bud-angyal"));
 }
 
-/// Guards against "outcome unknown" that nobody can explain afterwards.
+/// Guards against a reply of "outcome unknown" whose cause can't be found in the log.
 #[test]
-fn a_line_about_a_request_that_is_given_up_tells_what_was_known_of_it() {
+fn a_line_about_a_request_that_is_given_up_holds_the_evidence() {
     let evidence = RunEvidence {
         sent_ago: time::Duration::from_millis(1003),
         running: 1,
@@ -117,8 +117,8 @@
     assert_eq!(line["reported_busy"], json!(2));
 }
 
-/// Server names are unique only within a service. A line about the health of
-/// `dv-1` without its service leaves the operator to guess which one is meant.
+/// Server names are unique only within a service, so a line about the health of `dv-1` is
+/// ambiguous without the service.
 #[test]
 fn a_line_about_a_server_names_its_service() {
     let backend = backend(&snapshot());
@@ -129,30 +129,30 @@
     );
 }
 
-/// An operator asks a host that neither holds a pin for the flow nor decides
-/// about it. It must not claim that the table places the flow: the home may
-/// hold a pin to another server.
+/// An operator queries a host that neither has a pin of the flow nor decides about it. The host
+/// must not report that the flow is placed by the lookup table, because the home may have
+/// pinned it to another server.
 #[test]
-fn a_host_that_does_not_decide_says_so() {
+fn a_host_that_does_not_decide_reports_that_the_home_decides() {
     let snapshot = snapshot();
-    let asked = ExplainParameters {
+    let parameters = ExplainParameters {
         flow: "127.0.0.1:4->127.0.0.1:7002".to_owned(),
         token: None,
     };
     let keys = AuthenticationKeys::new(SecretKey::new([1; 32]), None);
-    let question = FlowQuestion::parse(&asked, &TokenIssuer::new(keys)).unwrap();
-    assert_eq!(question.explain(&snapshot, None).reason, "home_decides");
-    let pinned = question.explain(&snapshot, Some(backend(&snapshot)));
+    let query = FlowQuestion::parse(&parameters, &TokenIssuer::new(keys)).unwrap();
+    assert_eq!(query.explain(&snapshot, None).reason, "home_decides");
+    let pinned = query.explain(&snapshot, Some(backend(&snapshot)));
     assert_eq!(
         (pinned.reason.as_str(), pinned.backend.as_deref()),
         ("pin", Some("dv-1"))
     );
 }
 
-/// A caller echoes a token that was signed for another flow. `explain` must not
-/// believe it any more than traffic does.
+/// A caller echoes a token that was signed for another flow. `explain` must ignore it, as the
+/// traffic threads do.
 #[test]
-fn a_token_of_another_flow_explains_nothing() {
+fn a_token_of_another_flow_is_ignored() {
     let snapshot = snapshot();
     let entry = snapshot.backend(backend(&snapshot)).unwrap();
     let issuer = TokenIssuer::new(AuthenticationKeys::new(SecretKey::new([1; 32]), None));
@@ -163,12 +163,12 @@
         let token = issuer.issue(&signed_for.parse().unwrap(), TokenClaim::from(entry));
         let mut buffer = [0; 256];
         let bytes = codec::encode(&token, &mut buffer).unwrap();
-        let asked = ExplainParameters {
+        let parameters = ExplainParameters {
             flow: "127.0.0.1:4->127.0.0.1:7002".to_owned(),
             token: Some(bytes.iter().map(|byte| format!("{byte:02x}")).collect()),
         };
-        let question = FlowQuestion::parse(&asked, &issuer).unwrap();
-        assert_eq!(question.explain(&snapshot, None).reason, reason);
+        let query = FlowQuestion::parse(&parameters, &issuer).unwrap();
+        assert_eq!(query.explain(&snapshot, None).reason, reason);
     }
 }
 
