--- a/crates/cardamomwinch_daemon/src/administration/explain.rs
+++ b/crates/cardamomwinch_daemon/src/administration/explain.rs
@@ -15,14 +15,14 @@
 
 /// The flow that an operator asks about, with its routing token if one was given.
 #[derive(Debug, Clone, Copy)]
-pub struct FlowQuestion {
+pub struct FlowQuery {
     /// The flow.
     pub flow: FlowKey,
     /// `None` if no token was given, `Some(None)` if the token is not genuine.
     token: Option<Option<TokenClaim>>,
 }
 
-impl FlowQuestion {
+impl FlowQuery {
     /// Parses the parameters of the call and verifies the token.
     ///
     /// # Errors
--- a/crates/cardamomwinch_daemon/src/administration/mod.rs
+++ b/crates/cardamomwinch_daemon/src/administration/mod.rs
@@ -73,7 +73,7 @@
     async fn status(&self) -> Result<api::StatusReport, CallError> {
         let (answer, answers) = async_channel::bounded(1);
         let query = ControlInput::Query(ControlQuery::Status(answer));
-        self.ask_control(query).await?;
+        self.query_control(query).await?;
         let mut report = answers.recv().await.map_err(|_| CallError::Ending)?;
         let load = stopping::gather_load(&self.threads).await;
         report.flows = load.flows;
@@ -84,7 +84,7 @@
     async fn members(&self) -> Result<Vec<api::MemberReport>, CallError> {
         let (answer, answers) = async_channel::bounded(1);
         let query = ControlInput::Query(ControlQuery::Members(answer));
-        self.ask_control(query).await?;
+        self.query_control(query).await?;
         answers.recv().await.map_err(|_| CallError::Ending)
     }
 
@@ -100,7 +100,7 @@
             let (answer, answers) = async_channel::bounded(1);
             let limit = limit - flows.len();
             let query = TrafficQuery::Flows { limit, answer };
-            self.ask_thread(thread, query).await?;
+            self.query_thread(thread, query).await?;
             flows.extend(answers.recv().await.map_err(|_| CallError::Ending)?);
         }
         let total = stopping::gather_load(&self.threads).await.flows;
@@ -111,12 +111,12 @@
         &self,
         parameters: api::ExplainParameters,
     ) -> Result<api::ExplainReport, CallError> {
-        let query = explain::FlowQuestion::parse(&parameters, &self.tokens)?;
+        let query = explain::FlowQuery::parse(&parameters, &self.tokens)?;
         let mut pinned = None;
         for thread in &self.threads {
             let (answer, answers) = async_channel::bounded(1);
             let flow = query.flow;
-            self.ask_thread(thread, TrafficQuery::Pin { flow, answer })
+            self.query_thread(thread, TrafficQuery::Pin { flow, answer })
                 .await?;
             let pin = answers.recv().await.map_err(|_| CallError::Ending)?;
             pinned = pinned.or(pin);
@@ -129,12 +129,12 @@
         api::StopReport { accepted }
     }
 
-    async fn ask_control(&self, input: ControlInput) -> Result<(), CallError> {
+    async fn query_control(&self, input: ControlInput) -> Result<(), CallError> {
         let sent = self.control.send(input).await;
         sent.map_err(|_| CallError::Ending)
     }
 
-    async fn ask_thread(
+    async fn query_thread(
         &self,
         thread: &Sender<TrafficInput>,
         query: TrafficQuery,
--- a/crates/cardamomwinch_daemon/src/control_effects.rs
+++ b/crates/cardamomwinch_daemon/src/control_effects.rs
@@ -67,7 +67,7 @@
         self.executor.spawn(task).detach();
     }
 
-    fn ask_load(&self, backend: BackendId, address: net::SocketAddr) {
+    fn probe_load(&self, backend: BackendId, address: net::SocketAddr) {
         let inputs = self.inputs.clone();
         let task = async move {
             let mut client = LoadClient::new(address, LOAD_TIMEOUT);
@@ -80,7 +80,7 @@
 
     /// Sends a step of a hand-over to the traffic thread of the shard. If the queue of the
     /// thread is full, the step is lost and the hand-over is aborted.
-    fn tell_thread(&self, input: HandOverInput) {
+    fn send_to_thread(&self, input: HandOverInput) {
         let place = ThreadPlace {
             index: 0,
             count: self.threads.len() as u16,
@@ -119,25 +119,25 @@
             } => self.outlets.send_peer(address, envelope),
             ControlEffect::Platform(request) => self.outlets.call_platform(request),
             ControlEffect::AskLoad { backend, address } => {
-                self.outlets.ask_load(backend, address);
+                self.outlets.probe_load(backend, address);
             }
             ControlEffect::Publish(snapshot) => self.outlets.snapshots.publish(snapshot),
             ControlEffect::ReleaseShard {
                 hand_over,
                 frozen_until,
-            } => self.outlets.tell_thread(HandOverInput::Release {
+            } => self.outlets.send_to_thread(HandOverInput::Release {
                 hand_over,
                 frozen_until,
             }),
             ControlEffect::ThawShard { shard } => {
-                self.outlets.tell_thread(HandOverInput::Thaw(shard));
+                self.outlets.send_to_thread(HandOverInput::Thaw(shard));
             }
             ControlEffect::ForgetShard { shard } => {
-                self.outlets.tell_thread(HandOverInput::Forget(shard));
+                self.outlets.send_to_thread(HandOverInput::Forget(shard));
             }
             ControlEffect::TakeOver { chunk } => {
                 let chunk = Box::new(chunk);
-                self.outlets.tell_thread(HandOverInput::TakeOver(chunk));
+                self.outlets.send_to_thread(HandOverInput::TakeOver(chunk));
             }
             ControlEffect::Drained => self.outlets.drained.set(),
             ControlEffect::Decide(record) => self.outlets.log(self.now, &record),
--- a/crates/cardamomwinch_daemon/src/launch.rs
+++ b/crates/cardamomwinch_daemon/src/launch.rs
@@ -40,7 +40,7 @@
 /// The size of a socket's receive buffer that is requested from the system, in bytes.
 const RECEIVE_BUFFER: usize = 4 * 1024 * 1024;
 /// How often binding is retried with another port chosen by the system.
-const PORT_ATTEMPTS: u32 = 32;
+const MAX_PORT_RETRIES: u32 = 32;
 /// The most log lines that may wait to be written.
 const LOG_QUEUE: usize = 8192;
 
@@ -365,7 +365,11 @@
 ) -> Result<(PeerServer, DatagramSocket), LaunchError> {
     let address = settings.peer_address;
     let chosen_by_system = address.port() == 0;
-    let mut retries_left = if chosen_by_system { PORT_ATTEMPTS } else { 0 };
+    let mut retries_left = if chosen_by_system {
+        MAX_PORT_RETRIES
+    } else {
+        0
+    };
     loop {
         let module = peer_delivery::peer_module(inputs.clone()).context(MethodSnafu)?;
         let (keys, limits) = (settings.keys.clone(), PeerLimits::default());
--- a/crates/cardamomwinch_daemon/src/traffic_effects.rs
+++ b/crates/cardamomwinch_daemon/src/traffic_effects.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    fn pass(&mut self, thread: u16, envelope: &RelayEnvelope<'_>) {
+    fn send_to_thread(&mut self, thread: u16, envelope: &RelayEnvelope<'_>) {
         let Ok(bytes) = codec::encode(envelope, &mut self.buffer) else {
             return metrics::counter!("cardamomwinch_oversized_sends_total").increment(1);
         };
@@ -90,7 +90,7 @@
         }
     }
 
-    fn tell_control(&self, event: ControlEvent) {
+    fn send_to_control(&self, event: ControlEvent) {
         // If the queue is full, the event is lost. Observations are repeated, and a hand-over is
         // aborted.
         if self.control.try_send(ControlInput::Event(event)).is_err() {
@@ -125,7 +125,7 @@
 }
 
 /// Carries out the effects of one event.
-pub struct OutletSink<'o> {
+pub struct TrafficOutletSink<'o> {
     /// Where the effects go.
     pub outlets: &'o mut TrafficOutlets,
     /// The time of the event.
@@ -134,7 +134,7 @@
     pub snapshot: &'o RoutingSnapshot,
 }
 
-impl TrafficSink for OutletSink<'_> {
+impl TrafficSink for TrafficOutletSink<'_> {
     fn emit(&mut self, effect: TrafficEffect<'_>) {
         match effect {
             TrafficEffect::ToCaller(reply) => self.outlets.send(&reply, reply.flow.caller),
@@ -144,16 +144,18 @@
             TrafficEffect::Relay {
                 address, envelope, ..
             } => self.outlets.relay(&envelope, address),
-            TrafficEffect::ToThread { thread, envelope } => self.outlets.pass(thread, &envelope),
+            TrafficEffect::ToThread { thread, envelope } => {
+                self.outlets.send_to_thread(thread, &envelope);
+            }
             TrafficEffect::Observe(observations) => {
                 self.outlets
-                    .tell_control(ControlEvent::Observed(observations));
+                    .send_to_control(ControlEvent::Observed(observations));
             }
             TrafficEffect::HandOver { chunk } => {
-                self.outlets.tell_control(ControlEvent::HandOver(chunk));
+                self.outlets.send_to_control(ControlEvent::HandOver(chunk));
             }
             TrafficEffect::TookOver(report) => {
-                self.outlets.tell_control(ControlEvent::TookOver(report));
+                self.outlets.send_to_control(ControlEvent::TookOver(report));
             }
             TrafficEffect::Decide(record) => self.outlets.log(self.now, &record, self.snapshot),
             TrafficEffect::Count(counter) => self.outlets.counters.count(counter),
--- a/crates/cardamomwinch_daemon/src/traffic_thread.rs
+++ b/crates/cardamomwinch_daemon/src/traffic_thread.rs
@@ -18,7 +18,7 @@
 
 use crate::messages::{HandOverInput, TrafficInput, TrafficLoad, TrafficQuery};
 use crate::snapshot_cell::SnapshotCell;
-use crate::traffic_effects::{OutletSink, TrafficOutlets, TrafficSockets};
+use crate::traffic_effects::{TrafficOutletSink, TrafficOutlets, TrafficSockets};
 
 /// The period of the tick, which sweeps tables and detects a pause of the process.
 const TICK_PERIOD: time::Duration = time::Duration::from_millis(50);
@@ -53,7 +53,7 @@
     fn handle(&mut self, event: TrafficEvent<'_>) {
         let snapshot = self.snapshots.borrow();
         let now = self.clock.now();
-        let mut sink = OutletSink {
+        let mut sink = TrafficOutletSink {
             outlets: &mut self.outlets,
             now,
             snapshot: &snapshot,
@@ -113,9 +113,9 @@
     /// may no longer exist.
     fn answer(&self, query: TrafficQuery) {
         match query {
-            TrafficQuery::Load(answer) => give(&answer, self.load()),
-            TrafficQuery::Flows { limit, answer } => give(&answer, self.flows(limit)),
-            TrafficQuery::Pin { flow, answer } => give(&answer, self.pin(&flow)),
+            TrafficQuery::Load(answer) => send_answer(&answer, self.load()),
+            TrafficQuery::Flows { limit, answer } => send_answer(&answer, self.flows(limit)),
+            TrafficQuery::Pin { flow, answer } => send_answer(&answer, self.pin(&flow)),
         }
     }
 
@@ -167,7 +167,7 @@
     }
 }
 
-fn give<T>(answer: &Sender<T>, value: T) {
+fn send_answer<T>(answer: &Sender<T>, value: T) {
     drop(answer.try_send(value));
 }
 
--- a/crates/cardamomwinch_daemon/tests/decision_line.rs
+++ b/crates/cardamomwinch_daemon/tests/decision_line.rs
@@ -9,7 +9,7 @@
 use cardamomwinch_coordination::decision::{GivingUpCause, RunEvidence};
 use cardamomwinch_coordination::prelude::{DecisionReason, DecisionRecord, RoutingSnapshot};
 use cardamomwinch_coordination::snapshot::{BackendView, ReportedLoad};
-use cardamomwinch_daemon::administration::explain::FlowQuestion;
+use cardamomwinch_daemon::administration::explain::FlowQuery;
 use cardamomwinch_daemon::administration::reports;
 use cardamomwinch_daemon::decision_line::DecisionLine;
 use cardamomwinch_daemon::messages::TrafficLoad;
@@ -140,7 +140,7 @@
         token: None,
     };
     let keys = AuthenticationKeys::new(SecretKey::new([1; 32]), None);
-    let query = FlowQuestion::parse(&parameters, &TokenIssuer::new(keys)).unwrap();
+    let query = FlowQuery::parse(&parameters, &TokenIssuer::new(keys)).unwrap();
     assert_eq!(query.explain(&snapshot, None).reason, "home_decides");
     let pinned = query.explain(&snapshot, Some(backend(&snapshot)));
     assert_eq!(
@@ -167,7 +167,7 @@
             flow: "127.0.0.1:4->127.0.0.1:7002".to_owned(),
             token: Some(bytes.iter().map(|byte| format!("{byte:02x}")).collect()),
         };
-        let query = FlowQuestion::parse(&parameters, &issuer).unwrap();
+        let query = FlowQuery::parse(&parameters, &issuer).unwrap();
         assert_eq!(query.explain(&snapshot, None).reason, reason);
     }
 }
