--- a/crates/cardamomwinch_daemon/src/administration/reports.rs
+++ b/crates/cardamomwinch_daemon/src/administration/reports.rs
@@ -17,7 +17,8 @@
 /// All slots of a server, in percent.
 const WHOLE_PERCENT: u8 = 100;
 
-/// The state of the host. `flows` and `pending_requests` are zero, for the caller to fill in.
+/// The state of the host. `flows` and `pending_requests` are zero; the administration API fills
+/// them in.
 pub fn status(
     engine: &ControlEngine,
     settings: &HostSettings,
--- a/crates/cardamomwinch_daemon/src/launch.rs
+++ b/crates/cardamomwinch_daemon/src/launch.rs
@@ -37,9 +37,9 @@
 use crate::traffic_effects::{TrafficOutlets, TrafficSockets};
 use crate::traffic_thread::{self, TrafficThread};
 
-/// The size of a socket's receive buffer that is requested from the system, in bytes.
+/// The size of a socket's receive buffer that is requested from the operating system, in bytes.
 const RECEIVE_BUFFER: usize = 4 * 1024 * 1024;
-/// How often binding is retried with another port chosen by the system.
+/// How often binding is retried with another port that the operating system chooses.
 const MAX_PORT_RETRIES: u32 = 32;
 /// The most log lines that may wait to be written.
 const LOG_QUEUE: usize = 8192;
@@ -53,7 +53,7 @@
     Read {
         /// The file.
         path: path::PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The settings are not valid.
@@ -65,49 +65,49 @@
     /// A datagram socket cannot be opened.
     #[snafu(display("{source}"))]
     Socket {
-        /// Why.
+        /// Why the socket cannot be opened.
         source: DatagramError,
     },
     /// The management endpoint cannot be opened.
     #[snafu(display("{source}"))]
     Endpoint {
-        /// Why.
+        /// Why the endpoint cannot be opened.
         source: EndpointError,
     },
     /// The endpoint for other hosts cannot be opened.
     #[snafu(display("{source}"))]
     Peers {
-        /// Why.
+        /// Why the endpoint cannot be opened.
         source: PeerRpcError,
     },
     /// A thread cannot be started.
     #[snafu(display("{source}"))]
     Thread {
-        /// Why.
+        /// Why the thread cannot be started.
         source: ThreadError,
     },
     /// The log cannot be written.
     #[snafu(display("{source}"))]
     Log {
-        /// Why.
+        /// Why the log cannot be written.
         source: LogError,
     },
     /// The metrics cannot be collected.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// Why the metrics cannot be collected.
         source: MetricsError,
     },
     /// A method of an API is registered twice.
     #[snafu(display("{source}"))]
     Method {
-        /// Why.
+        /// Which method it is.
         source: RegisterMethodError,
     },
-    /// Signals cannot be subscribed to.
-    #[snafu(display("cannot subscribe to signals"))]
+    /// Signals cannot be received.
+    #[snafu(display("cannot receive signals"))]
     Signals {
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
@@ -129,7 +129,7 @@
 type ControlChannel = (Sender<ControlInput>, Receiver<ControlInput>);
 
 /// What all threads of the process share.
-struct HostParts {
+struct SharedContext {
     settings: HostSettings,
     builder: HostBuilder,
     incarnation: Incarnation,
@@ -157,7 +157,7 @@
         ..TrafficBounds::default()
     };
     let builder = HostBuilder::new(identity, settings.keys.clone()).with_bounds(bounds);
-    let parts = HostParts {
+    let context = SharedContext {
         settings,
         builder,
         incarnation,
@@ -166,10 +166,10 @@
         metrics,
         snapshots: SnapshotCell::default(),
     };
-    parts.serve()
+    context.serve()
 }
 
-impl HostParts {
+impl SharedContext {
     fn serve(self) -> Result<StopStatus, LaunchError> {
         let count = self.settings.traffic_threads.max(1);
         let queue = self.settings.bounds.datagram_queue;
@@ -348,7 +348,7 @@
 }
 
 /// The addresses to which the traffic sockets are bound. The settings may leave the choice of
-/// ports to the system.
+/// ports to the operating system.
 #[derive(Debug, Clone, Copy)]
 struct BoundAddresses {
     traffic: net::SocketAddr,
@@ -357,8 +357,8 @@
 
 /// Binds the endpoint and the datagram socket for other hosts to the same port.
 ///
-/// If the system chooses the port, it chooses a free TCP port, which another program may
-/// already use for UDP. The host would then sometimes fail to start, so another port is tried.
+/// If the operating system chooses the port, it chooses a free TCP port, which another program
+/// may already use for UDP. The host would then sometimes fail to start, so another port is tried.
 async fn bind_peers(
     settings: &HostSettings,
     inputs: &Sender<ControlInput>,
--- a/crates/cardamomwinch_daemon/src/peer_delivery.rs
+++ b/crates/cardamomwinch_daemon/src/peer_delivery.rs
@@ -1,4 +1,4 @@
-//! Sends and receives control messages among hosts: small ones as datagrams, large ones by
+//! Sends and receives control messages between hosts: small ones as datagrams, large ones by
 //! authenticated calls over TCP.
 
 use std::net;
--- a/crates/cardamomwinch_daemon/src/start_line.rs
+++ b/crates/cardamomwinch_daemon/src/start_line.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 /// The addresses that a host listens on. The settings may leave the choice of ports to the
-/// system, so programs that start hosts read them from this line.
+/// operating system, so programs that start hosts read them from this line.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize)]
 pub struct StartLine<'a> {
@@ -30,7 +30,7 @@
 }
 
 impl StartLine<'_> {
-    /// Writes the line to standard output. It must precede the log lines of decisions.
+    /// Writes the line to standard output, before any log line of a decision.
     pub fn print(&self) {
         println!("{}", serde_json::json!(self));
     }
--- a/crates/cardamomwinch_daemon/src/stopping.rs
+++ b/crates/cardamomwinch_daemon/src/stopping.rs
@@ -77,8 +77,8 @@
 }
 
 /// Waits for the first signal or stop request. Then stops the control engine and waits until
-/// `drained_flag` is set, no request is pending and the fabric is quiet, or until `deadline` has
-/// passed or a second signal arrives.
+/// `drained_flag` is set, no request is pending and no datagram has arrived from the fabric for
+/// `QUIET_PERIOD`, or until `deadline` has passed or a second signal arrives.
 pub async fn wait_until_stopped<C: Clock>(
     signals: &mut Signals,
     stop_requests: &Receiver<()>,
@@ -137,7 +137,7 @@
 /// Subscribes to the signals that stop the process.
 ///
 /// # Errors
-/// Fails if the system refuses.
+/// Fails if the operating system refuses.
 pub fn stop_signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int])
 }
--- a/crates/cardamomwinch_protocol/src/authentication.rs
+++ b/crates/cardamomwinch_protocol/src/authentication.rs
@@ -1,4 +1,4 @@
-//! Authentication among hosts by a keyed BLAKE3 hash of each datagram. A host can accept two
+//! Authentication between hosts by a keyed BLAKE3 hash of each datagram. A host can accept two
 //! keys, so that a key can be changed without an interruption.
 
 use std::fmt;
@@ -12,7 +12,7 @@
 /// Length of an authentication code in bytes.
 pub const CODE_LENGTH: usize = 16;
 
-/// A text is not a key of 64 hexadecimal digits.
+/// The error for a text that is not a key of 64 hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("expected a key of 64 hexadecimal digits, found {length} characters"))]
@@ -78,7 +78,7 @@
     }
 }
 
-/// The key that a host signs with, and a second key that it may accept besides.
+/// The key that a host signs with, and an optional second key that it also accepts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AuthenticationKeys {
     signing: SecretKey,
--- a/crates/cardamomwinch_protocol/src/lib.rs
+++ b/crates/cardamomwinch_protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! Wire types and codecs for messages between callers, hosts and backend servers, and among
+//! Wire types and codecs for messages between callers, hosts and backend servers, and between
 //! the hosts themselves.
 //!
-//! Datagrams are encoded with `postcard`. Those among hosts are authenticated.
+//! Datagrams are encoded with `postcard`. Those between hosts are authenticated.
 //!
 //! ```
 //! use cardamomwinch_protocol::prelude::*;
--- a/crates/cardamomwinch_protocol/src/peer/configuration.rs
+++ b/crates/cardamomwinch_protocol/src/peer/configuration.rs
@@ -85,9 +85,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HostListOffer {
-    /// The list to which the changes apply; `None` if `changed` is the whole list.
+    /// Identifies the list to which the changes apply; `None` if `changed` is the whole list.
     pub base: Option<DocumentStamp>,
-    /// The resulting list.
+    /// Identifies the resulting list.
     pub stamp: DocumentStamp,
     /// Hosts that are new or changed.
     pub changed: Vec<HostEntry>,
--- a/crates/cardamomwinch_protocol/src/peer/hand_over.rs
+++ b/crates/cardamomwinch_protocol/src/peer/hand_over.rs
@@ -159,7 +159,7 @@
     },
     /// It was refused and must never run.
     Refused {
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
     },
     /// It is not known whether it ran.
--- a/crates/cardamomwinch_protocol/src/peer/homes.rs
+++ b/crates/cardamomwinch_protocol/src/peer/homes.rs
@@ -39,7 +39,7 @@
     }
 
     /// The indices in the set that are less than `count`, in order. A set that was received may
-    /// contain any index, so the caller gives the number of shards.
+    /// contain any index, so `count`, the number of shards, limits them.
     pub fn iter(&self, count: u16) -> impl Iterator<Item = u16> {
         (0..count).filter(|index| self.contains(*index))
     }
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The round of the sender.
+    /// The round of this request.
     pub round: LeaseRound,
     /// The duration of the lease in milliseconds.
     pub lease_millis: u32,
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRelease {
-    /// The round of the sender.
+    /// The round of this release.
     pub round: LeaseRound,
     /// The host that may be granted the shards before the leases of the sender expire.
     pub successor: LeaseSuccessor,
--- a/crates/cardamomwinch_protocol/src/peer/mod.rs
+++ b/crates/cardamomwinch_protocol/src/peer/mod.rs
@@ -1,5 +1,5 @@
-//! Control messages among hosts. Each part of control has its own messages, and one envelope
-//! carries them all. A message is sent as a datagram if it fits into one, otherwise by an
+//! Control messages between hosts. Membership, homes and configuration have their own messages,
+//! and one envelope carries them all. A message is sent as a datagram if it fits into one, otherwise by an
 //! authenticated call over TCP.
 
 pub mod configuration;
--- a/crates/cardamomwinch_protocol/src/relay.rs
+++ b/crates/cardamomwinch_protocol/src/relay.rs
@@ -58,7 +58,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum SearchStage {
-    /// Queries the homes of the candidates one after the other for a pin of the flow.
+    /// Queries the homes of the candidates one after the other for a pin of the flow. The
+    /// candidates are the servers that the lookup tables name for the flow.
     Homes,
     /// Sends the datagram to the candidates themselves one after the other, until one of them
     /// knows the flow.
@@ -84,7 +85,7 @@
     /// may then have been placed by another host as well.
     pub skipped: bool,
     /// Whether every host that handled the search so far had started so recently that other
-    /// hosts may still place new flows by lookup tables that it does not know.
+    /// hosts may still place new flows by lookup tables that the started host does not know.
     pub unsettled: bool,
 }
 
@@ -102,8 +103,8 @@
         #[serde(borrow)]
         datagram: CallerDatagram<'a>,
         /// The backend server of the flow, which the sender found or chose; `None` if the
-        /// receiver decides. The full claim is sent because the server may be unknown to the
-        /// receiver.
+        /// receiver decides. The full [`TokenClaim`] is sent because the server may be
+        /// unknown to the receiver.
         decided: Option<TokenClaim>,
         /// The state of the search, if the server is not decided yet.
         search: Option<FlowSearch>,
--- a/crates/cardamomwinch_state/src/flow.rs
+++ b/crates/cardamomwinch_state/src/flow.rs
@@ -19,7 +19,7 @@
     pub service: net::SocketAddr,
 }
 
-/// A text is not a flow in the form `CALLER->SERVICE`.
+/// The error for a text that is not a flow in the form `CALLER->SERVICE`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("expected CALLER->SERVICE as two addresses with ports, found {found:?}"))]
@@ -65,14 +65,14 @@
         self.0
     }
 
-    /// Mixes the hash with `salt` by the finalizer of SplitMix64. The results are evenly
+    /// Mixes the hash with `salt` using the finalizer of SplitMix64. The results are evenly
     /// distributed and independent for different salts.
     pub const fn mixed_with(self, salt: u64) -> u64 {
         mix(self.0 ^ salt.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     }
 }
 
-/// Distributes `number` evenly over all 64-bit numbers by the finalizer of SplitMix64.
+/// Distributes `number` evenly over all 64-bit numbers with the finalizer of SplitMix64.
 pub const fn mix(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/cardamomwinch_state/src/identifiers.rs
+++ b/crates/cardamomwinch_state/src/identifiers.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A text is not an identifier of sixteen hexadecimal digits.
+/// The error for a text that is not an identifier of sixteen hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display("expected sixteen hexadecimal digits, found {found:?}"))]
@@ -88,9 +88,9 @@
     ServiceId
 }
 hashed_identifier! {
-    /// A backend server of one service. The same address has another identifier under
-    /// another service, so that a flow of one service can't be sent to a server of another
-    /// after the address is reassigned.
+    /// A backend server of one service. The same address has a different identifier in each
+    /// service, so that a flow of one service can't be sent to a server of another after the
+    /// address is reassigned.
     BackendId
 }
 hashed_identifier! {
@@ -154,7 +154,7 @@
 pub struct ShardId {
     /// The failure domain that the shard belongs to.
     pub domain: DomainId,
-    /// The position of the shard within its domain.
+    /// The index of the shard within its domain, from zero.
     pub index: u16,
 }
 
--- a/crates/cardamomwinch_state/src/parted_table.rs
+++ b/crates/cardamomwinch_state/src/parted_table.rs
@@ -6,7 +6,7 @@
 
 const PART_COUNT: usize = 1024;
 
-/// The table is full.
+/// The error of an insertion into a full table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(snafu::Snafu)]
 #[snafu(display("the table holds its limit of {limit} entries"))]
--- a/crates/cardamomwinch_state/src/quantities.rs
+++ b/crates/cardamomwinch_state/src/quantities.rs
@@ -68,7 +68,7 @@
     ConnectionCount(u32)
 }
 quantity! {
-    /// New flows per thousand seconds.
+    /// A rate of new flows, per thousand seconds.
     OpeningRate(u64)
 }
 quantity! {
