--- a/crates/cardamomwinch_protocol/src/administration.rs
+++ b/crates/cardamomwinch_protocol/src/administration.rs
@@ -288,8 +288,9 @@
     pub service: String,
     /// Whether it is in the failure domain of the reporting host.
     pub own_domain: bool,
-    /// Its phase: `active`, `draining`, `vanished` (it disappeared from the store without a
-    /// drain) or `left` (it was removed from the store after a drain).
+    /// Its phase: `active`, `draining`, `unreadable` (its entry in the store is malformed),
+    /// `vanished` (it disappeared from the store without a drain) or `left` (it was removed
+    /// from the store for good).
     pub phase: String,
 }
 
