--- a/crates/cardamomwinch_daemon/src/launch.rs
+++ b/crates/cardamomwinch_daemon/src/launch.rs
@@ -1,4 +1,4 @@
-//! Starts the threads of a host and waits until it has stopped.
+//! Starts the threads of a host and waits until the host has stopped.
 
 use std::fs;
 use std::io;
@@ -37,11 +37,11 @@
 use crate::traffic_effects::{TrafficOutlets, TrafficSockets};
 use crate::traffic_thread::{self, TrafficThread};
 
-/// The size asked of the system for receive buffers, in bytes.
+/// The size of a socket's receive buffer that is requested from the operating system, in bytes.
 const RECEIVE_BUFFER: usize = 4 * 1024 * 1024;
-/// Times that the system is asked for another port.
-const PORT_ATTEMPTS: u32 = 32;
-/// Log lines that may wait to be written.
+/// How often binding is retried with another port that the operating system chooses.
+const MAX_PORT_RETRIES: u32 = 32;
+/// The most log lines that may wait to be written.
 const LOG_QUEUE: usize = 8192;
 
 /// Why the host could not be started.
@@ -53,69 +53,69 @@
     Read {
         /// The file.
         path: path::PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The settings are not valid.
     #[snafu(display("{report}"))]
     Settings {
-        /// Every error of the file.
+        /// All errors in the file.
         report: CheckReport,
     },
     /// A datagram socket cannot be opened.
     #[snafu(display("{source}"))]
     Socket {
-        /// Why.
+        /// Why the socket cannot be opened.
         source: DatagramError,
     },
     /// The management endpoint cannot be opened.
     #[snafu(display("{source}"))]
     Endpoint {
-        /// Why.
+        /// Why the endpoint cannot be opened.
         source: EndpointError,
     },
     /// The endpoint for other hosts cannot be opened.
     #[snafu(display("{source}"))]
     Peers {
-        /// Why.
+        /// Why the endpoint cannot be opened.
         source: PeerRpcError,
     },
     /// A thread cannot be started.
     #[snafu(display("{source}"))]
     Thread {
-        /// Why.
+        /// Why the thread cannot be started.
         source: ThreadError,
     },
     /// The log cannot be written.
     #[snafu(display("{source}"))]
     Log {
-        /// Why.
+        /// Why the log cannot be written.
         source: LogError,
     },
     /// The metrics cannot be collected.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// Why the metrics cannot be collected.
         source: MetricsError,
     },
     /// A method of an API is registered twice.
     #[snafu(display("{source}"))]
     Method {
-        /// Why.
+        /// Which method it is.
         source: RegisterMethodError,
     },
-    /// Signals cannot be taken.
-    #[snafu(display("cannot take signals"))]
+    /// Signals cannot be received.
+    #[snafu(display("cannot receive signals"))]
     Signals {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Reads the settings and serves until the process is told to stop.
+/// Reads the settings and serves until the process is stopped.
 ///
 /// # Errors
-/// Fails where the host cannot be started.
+/// Fails if the host cannot be started.
 pub fn run(arguments: &DaemonArguments) -> Result<StopStatus, LaunchError> {
     let path = &arguments.settings;
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
@@ -129,7 +129,7 @@
 type ControlChannel = (Sender<ControlInput>, Receiver<ControlInput>);
 
 /// What all threads of the process share.
-struct HostParts {
+struct SharedContext {
     settings: HostSettings,
     builder: HostBuilder,
     incarnation: Incarnation,
@@ -157,7 +157,7 @@
         ..TrafficBounds::default()
     };
     let builder = HostBuilder::new(identity, settings.keys.clone()).with_bounds(bounds);
-    let parts = HostParts {
+    let context = SharedContext {
         settings,
         builder,
         incarnation,
@@ -166,10 +166,10 @@
         metrics,
         snapshots: SnapshotCell::default(),
     };
-    parts.serve()
+    context.serve()
 }
 
-impl HostParts {
+impl SharedContext {
     fn serve(self) -> Result<StopStatus, LaunchError> {
         let count = self.settings.traffic_threads.max(1);
         let queue = self.settings.bounds.datagram_queue;
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Runs control on the present thread until the host has stopped.
+    /// Runs control on the current thread until the host has stopped.
     fn control(
         self,
         threads: Vec<Sender<TrafficInput>>,
@@ -347,25 +347,29 @@
     }
 }
 
-/// Where traffic sockets are bound; the settings may leave ports to the system.
+/// The addresses to which the traffic sockets are bound. The settings may leave the choice of
+/// ports to the operating system.
 #[derive(Debug, Clone, Copy)]
 struct BoundAddresses {
     traffic: net::SocketAddr,
     relay: net::SocketAddr,
 }
 
-/// Binds the endpoint and the datagram socket for other hosts to one port.
+/// Binds the endpoint and the datagram socket for other hosts to the same port.
 ///
-/// Guards against a port that the system chose for TCP and that another program
-/// holds for UDP. It shows as a host that sometimes ends at its start. So where
-/// the system chooses, it is asked again.
+/// If the operating system chooses the port, it chooses a free TCP port, which another program
+/// may already use for UDP. The host would then sometimes fail to start, so another port is tried.
 async fn bind_peers(
     settings: &HostSettings,
     inputs: &Sender<ControlInput>,
 ) -> Result<(PeerServer, DatagramSocket), LaunchError> {
     let address = settings.peer_address;
     let chosen_by_system = address.port() == 0;
-    let mut further = if chosen_by_system { PORT_ATTEMPTS } else { 0 };
+    let mut retries_left = if chosen_by_system {
+        MAX_PORT_RETRIES
+    } else {
+        0
+    };
     loop {
         let module = peer_delivery::peer_module(inputs.clone()).context(MethodSnafu)?;
         let (keys, limits) = (settings.keys.clone(), PeerLimits::default());
@@ -374,7 +378,7 @@
         let bound = server.local_address().context(PeersSnafu)?;
         match bind(bound, false) {
             Ok(socket) => return Ok((server, socket)),
-            Err(_) if further > 0 => further -= 1,
+            Err(_) if retries_left > 0 => retries_left -= 1,
             Err(source) => return Err(LaunchError::Socket { source }),
         }
     }
@@ -388,7 +392,7 @@
     })
 }
 
-/// Binds one socket a thread to the same address.
+/// Binds one socket per thread, all to the same address.
 fn bind_shared(
     address: net::SocketAddr,
     count: usize,
--- a/crates/cardamomwinch_daemon/src/traffic_effects.rs
+++ b/crates/cardamomwinch_daemon/src/traffic_effects.rs
@@ -18,22 +18,22 @@
 use crate::decision_line::DecisionLine;
 use crate::messages::{ControlInput, TrafficInput};
 
-/// Room for a datagram, its envelope and its authentication code.
+/// The size in bytes of a buffer for a datagram with its envelope and authentication code.
 const SEND_BUFFER: usize = codec::DATAGRAM_LIMIT + 512;
 
 /// The sockets and channels of one traffic thread.
 pub struct TrafficOutlets {
-    /// Towards callers and backend servers.
+    /// Sends to callers and backend servers.
     pub traffic: sync::Arc<DatagramSocket>,
-    /// Towards other hosts.
+    /// Sends to other hosts.
     pub relay: sync::Arc<DatagramSocket>,
-    /// Towards the other traffic threads, by position.
+    /// The queues of all traffic threads, by index.
     pub threads: Vec<Sender<TrafficInput>>,
-    /// Towards control.
+    /// The queue of the control thread.
     pub control: Sender<ControlInput>,
-    /// Signs what goes to other hosts.
+    /// Signs relayed datagrams.
     pub keys: AuthenticationKeys,
-    /// Counts.
+    /// The metrics of the counters.
     pub counters: CounterHandles,
     /// Logs decisions.
     pub logger: DecisionLogger<DecisionLine>,
@@ -43,7 +43,7 @@
 }
 
 impl TrafficOutlets {
-    /// Gathers the outlets of one thread.
+    /// Creates the outlets of one thread.
     pub fn new(
         sockets: TrafficSockets,
         threads: Vec<Sender<TrafficInput>>,
@@ -79,7 +79,7 @@
         }
     }
 
-    fn pass(&mut self, thread: u16, envelope: &RelayEnvelope<'_>) {
+    fn send_to_thread(&mut self, thread: u16, envelope: &RelayEnvelope<'_>) {
         let Ok(bytes) = codec::encode(envelope, &mut self.buffer) else {
             return metrics::counter!("cardamomwinch_oversized_sends_total").increment(1);
         };
@@ -90,9 +90,9 @@
         }
     }
 
-    fn tell_control(&self, event: ControlEvent) {
-        // Where the queue is full the word is lost; what is told again and
-        // again is made up for, and a hand-over is broken off.
+    fn send_to_control(&self, event: ControlEvent) {
+        // If the queue is full, the event is lost. Observations are repeated, and a hand-over is
+        // aborted.
         if self.control.try_send(ControlInput::Event(event)).is_err() {
             metrics::counter!("cardamomwinch_control_queue_drops_total").increment(1);
         }
@@ -110,31 +110,31 @@
 /// The sockets of one traffic thread.
 #[derive(Debug, Clone)]
 pub struct TrafficSockets {
-    /// Towards callers and backend servers.
+    /// Exchanges datagrams with callers and backend servers, through the fabric.
     pub traffic: sync::Arc<DatagramSocket>,
-    /// Towards other hosts.
+    /// Exchanges relayed datagrams with other hosts.
     pub relay: sync::Arc<DatagramSocket>,
 }
 
-/// A datagram that cannot be sent is lost like one that the network loses;
-/// it must not stop the thread.
+/// Sends a datagram. One that cannot be sent is only counted: to the peer it is like one that
+/// the network lost.
 fn send_or_count(socket: &DatagramSocket, bytes: &[u8], destination: net::SocketAddr) {
     if socket.send(bytes, destination).is_err() {
         metrics::counter!("cardamomwinch_send_failures_total").increment(1);
     }
 }
 
-/// The outlets together with what one event is decided against.
-pub struct OutletSink<'o> {
-    /// The outlets.
+/// Carries out the effects of one event.
+pub struct TrafficOutletSink<'o> {
+    /// Where the effects go.
     pub outlets: &'o mut TrafficOutlets,
     /// The time of the event.
     pub now: Timestamp,
-    /// The snapshot it is decided against, for names.
+    /// The snapshot by which the event is handled; log lines take names from it.
     pub snapshot: &'o RoutingSnapshot,
 }
 
-impl TrafficSink for OutletSink<'_> {
+impl TrafficSink for TrafficOutletSink<'_> {
     fn emit(&mut self, effect: TrafficEffect<'_>) {
         match effect {
             TrafficEffect::ToCaller(reply) => self.outlets.send(&reply, reply.flow.caller),
@@ -144,16 +144,18 @@
             TrafficEffect::Relay {
                 address, envelope, ..
             } => self.outlets.relay(&envelope, address),
-            TrafficEffect::ToThread { thread, envelope } => self.outlets.pass(thread, &envelope),
+            TrafficEffect::ToThread { thread, envelope } => {
+                self.outlets.send_to_thread(thread, &envelope);
+            }
             TrafficEffect::Observe(observations) => {
                 self.outlets
-                    .tell_control(ControlEvent::Observed(observations));
+                    .send_to_control(ControlEvent::Observed(observations));
             }
             TrafficEffect::HandOver { chunk } => {
-                self.outlets.tell_control(ControlEvent::HandOver(chunk));
+                self.outlets.send_to_control(ControlEvent::HandOver(chunk));
             }
             TrafficEffect::TookOver(report) => {
-                self.outlets.tell_control(ControlEvent::TookOver(report));
+                self.outlets.send_to_control(ControlEvent::TookOver(report));
             }
             TrafficEffect::Decide(record) => self.outlets.log(self.now, &record, self.snapshot),
             TrafficEffect::Count(counter) => self.outlets.counters.count(counter),
