--- a/crates/cardamomwinch_transport/src/clock.rs
+++ b/crates/cardamomwinch_transport/src/clock.rs
@@ -5,18 +5,19 @@
 use cardamomwinch_state::prelude::Timestamp;
 use rustix::time::{self as system_time, ClockId};
 
-/// Gives the present point in time.
+/// A source of the current time.
 pub trait Clock {
-    /// The present; never earlier than what an earlier call returned.
+    /// Returns the current time, which is never earlier than that of a previous call.
     fn now(&self) -> Timestamp;
 }
 
 /// The clock of this process: the wall time at its start plus the time elapsed
-/// since, counted by `CLOCK_BOOTTIME`.
+/// since then, measured by `CLOCK_BOOTTIME`.
 ///
-/// A wall clock that is set back would make leases and deadlines live again.
-/// The elapsed time never falls, and unlike `CLOCK_MONOTONIC` it counts the time
-/// during which the machine was suspended, so that an old state looks old.
+/// If the wall clock itself were used and set back, expired leases and deadlines
+/// would become valid again. The elapsed time never decreases, and unlike
+/// `CLOCK_MONOTONIC` it includes the time during which the machine was suspended, so
+/// that data from before a suspension is recognised as outdated.
 #[derive(Debug, Clone, Copy)]
 pub struct HostClock {
     wall_at_start: time::Duration,
@@ -24,8 +25,8 @@
 }
 
 impl HostClock {
-    /// Reads the wall time once. Copies of one clock agree; a process should
-    /// create a single one.
+    /// Starts a clock; the wall time is read only here. Copies of one clock agree, so
+    /// a process should create a single clock and copy it.
     pub fn start() -> Self {
         // A wall clock set before 1970 counts as 1970.
         let wall_at_start = time::SystemTime::now()
--- a/crates/cardamomwinch_transport/src/connection_limit.rs
+++ b/crates/cardamomwinch_transport/src/connection_limit.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to a bound.
+//! Accepts connections up to a limit.
 
 use std::cell;
 use std::rc;
@@ -9,8 +9,8 @@
 use async_net::{TcpListener, TcpStream};
 
 /// How long to wait after a failure to accept. When the process has no file
-/// descriptor left, accepting fails at once and again; the pause keeps that from
-/// occupying the thread until some connection ends.
+/// descriptor left, each attempt fails at once; without the pause the thread would
+/// be busy with attempts until a connection ends.
 const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(100);
 
 #[derive(Debug, Clone)]
@@ -35,7 +35,7 @@
     }
 }
 
-/// The right to hold one connection; dropping it gives the right back.
+/// The permission to hold one connection. Dropping it frees the slot.
 #[derive(Debug)]
 struct ConnectionPermit {
     open: rc::Rc<cell::Cell<usize>>,
@@ -47,9 +47,9 @@
     }
 }
 
-/// Hands each connection to `handle`, at most `limit` at the same time; further
-/// ones are closed and counted under `endpoint`. Never returns; dropping the
-/// future closes all connections.
+/// Passes each connection to `handle`, at most `limit` at the same time. Further
+/// connections are closed and counted with the label `endpoint`. Never returns;
+/// dropping the future closes all connections.
 pub(crate) async fn accept_connections<F: Future<Output = ()>>(
     listener: &TcpListener,
     limit: usize,
--- a/crates/cardamomwinch_transport/src/datagram.rs
+++ b/crates/cardamomwinch_transport/src/datagram.rs
@@ -1,5 +1,5 @@
-//! UDP sockets that several threads can share an address with, and that never
-//! wait when they send.
+//! UDP sockets. Sockets of several threads can share one address, and sending
+//! never waits.
 
 use std::io;
 use std::net;
@@ -18,29 +18,29 @@
     /// The socket could not be opened.
     #[snafu(display("cannot bind a datagram socket to {address}"))]
     Bind {
-        /// The address asked for.
+        /// The requested address.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// Nothing could be received.
     #[snafu(display("cannot receive a datagram"))]
     Receive {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The send buffer is full; the datagram was dropped and counted.
     #[snafu(display("the send buffer is full, a datagram to {destination} was dropped"))]
     Dropped {
-        /// Where the datagram was to go.
+        /// The destination of the datagram.
         destination: net::SocketAddr,
     },
     /// The datagram could not be sent.
     #[snafu(display("cannot send a datagram to {destination}"))]
     Send {
-        /// Where the datagram was to go.
+        /// The destination of the datagram.
         destination: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
@@ -48,13 +48,13 @@
 /// How a socket is opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DatagramOptions {
-    /// The address to bind; port 0 lets the system choose.
+    /// The address to bind; with port 0 the operating system chooses the port.
     pub address: net::SocketAddr,
-    /// The size asked of the system for the receive buffer, in bytes. The
-    /// system may give less.
+    /// The requested size of the receive buffer in bytes. The operating system may
+    /// grant less.
     pub receive_buffer: usize,
-    /// Whether other sockets of this user may bind the same address; the system
-    /// then spreads the senders over them.
+    /// Whether other sockets of this user may bind the same address. The operating
+    /// system then distributes the senders among the sockets.
     pub shared: bool,
 }
 
@@ -62,13 +62,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReceivedDatagram {
     /// The number of bytes written to the buffer. A datagram that is longer than
-    /// the buffer is cut, so give one byte more than the longest accepted.
+    /// the buffer is truncated; use a buffer of one byte more than the longest
+    /// accepted datagram to detect this.
     pub length: usize,
-    /// Who sent it.
+    /// The address of the sender.
     pub source: net::SocketAddr,
 }
 
-/// A UDP socket.
+/// A UDP socket for asynchronous tasks.
 #[derive(Debug)]
 pub struct DatagramSocket {
     socket: Async<net::UdpSocket>,
@@ -79,7 +80,7 @@
     /// Opens a socket.
     ///
     /// # Errors
-    /// Fails where the system refuses the address or an option.
+    /// Fails if the operating system refuses the address or an option.
     pub fn bind(options: DatagramOptions) -> Result<Self, DatagramError> {
         let address = options.address;
         let socket = open_socket(options).context(BindSnafu { address })?;
@@ -92,7 +93,7 @@
     /// The address that the socket is bound to.
     ///
     /// # Errors
-    /// Fails where the system does not tell.
+    /// Fails if the operating system does not return the address.
     pub fn local_address(&self) -> Result<net::SocketAddr, DatagramError> {
         self.socket.get_ref().local_addr().context(ReceiveSnafu)
     }
@@ -105,7 +106,7 @@
     /// Waits for a datagram.
     ///
     /// # Errors
-    /// Fails where the system does.
+    /// Fails if the operating system reports an error.
     pub async fn receive(&self, buffer: &mut [u8]) -> Result<ReceivedDatagram, DatagramError> {
         loop {
             match self.socket.recv_from(buffer).await {
@@ -116,11 +117,12 @@
         }
     }
 
-    /// Takes a datagram that has already arrived, or returns `None`. After one
-    /// [`Self::receive`] it drains a burst without asking the reactor again.
+    /// Returns a datagram that has already arrived, or `None` if there is none.
+    /// After one [`Self::receive`], calls of this read the rest of a burst without
+    /// going through the reactor again.
     ///
     /// # Errors
-    /// Fails where the system does.
+    /// Fails if the operating system reports an error.
     pub fn try_receive(
         &self,
         buffer: &mut [u8],
@@ -128,10 +130,10 @@
         receive_one(self.socket.get_ref(), buffer)
     }
 
-    /// Sends `bytes` at once or not at all; it never waits.
+    /// Sends `bytes` without waiting, or drops the datagram.
     ///
     /// # Errors
-    /// Fails with [`DatagramError::Dropped`] where the send buffer is full.
+    /// Fails with [`DatagramError::Dropped`] if the send buffer is full.
     pub fn send(&self, bytes: &[u8], destination: net::SocketAddr) -> Result<(), DatagramError> {
         match send_one(self.socket.get_ref(), bytes, destination) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -143,59 +145,61 @@
     }
 }
 
-/// A UDP socket for a thread that does nothing else than wait for datagrams.
+/// A UDP socket for a thread that only waits for datagrams, in blocking calls.
 ///
-/// Waiting in the system costs one call for each datagram. With a reactor, which
-/// other threads drive too, a datagram often wakes one of them first, which then
-/// wakes this one: 2.3 times the processor time where datagrams come one by one.
+/// A blocking receive costs one system call per datagram. With a reactor, which
+/// other threads drive as well, a datagram often wakes one of those threads first,
+/// which then wakes this one: 2.3 times the processor time if datagrams arrive one
+/// by one.
 #[derive(Debug)]
 pub struct WaitingSocket {
     socket: net::UdpSocket,
-    patience: Option<time::Duration>,
+    timeout: Option<time::Duration>,
 }
 
 impl WaitingSocket {
     /// Opens a socket.
     ///
     /// # Errors
-    /// Fails where the system refuses the address or an option.
+    /// Fails if the operating system refuses the address or an option.
     pub fn bind(options: DatagramOptions) -> Result<Self, DatagramError> {
         let address = options.address;
         let bound = bind_socket(options).context(BindSnafu { address })?;
         let socket = net::UdpSocket::from(bound);
-        let patience = None;
-        Ok(Self { socket, patience })
+        let timeout = None;
+        Ok(Self { socket, timeout })
     }
 
     /// The address that the socket is bound to.
     ///
     /// # Errors
-    /// Fails where the system does not tell.
+    /// Fails if the operating system does not return the address.
     pub fn local_address(&self) -> Result<net::SocketAddr, DatagramError> {
         self.socket.local_addr().context(ReceiveSnafu)
     }
 
-    /// Waits for a datagram for about `patience`, which must not be zero.
+    /// Waits for a datagram until about `timeout`, which must not be zero, has passed.
+    /// Returns `None` if none has arrived by then.
     ///
     /// # Errors
-    /// Fails where the system does.
+    /// Fails if the operating system reports an error.
     pub fn receive(
         &mut self,
         buffer: &mut [u8],
-        patience: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Option<ReceivedDatagram>, DatagramError> {
-        if self.patience != Some(patience) {
-            let set = self.socket.set_read_timeout(Some(patience));
+        if self.timeout != Some(timeout) {
+            let set = self.socket.set_read_timeout(Some(timeout));
             set.context(ReceiveSnafu)?;
-            self.patience = Some(patience);
+            self.timeout = Some(timeout);
         }
         receive_one(&self.socket, buffer)
     }
 
-    /// Sends `bytes` at once or not at all.
+    /// Sends `bytes` without waiting, or drops the datagram.
     ///
     /// # Errors
-    /// Fails with [`DatagramError::Dropped`] where the send buffer is full.
+    /// Fails with [`DatagramError::Dropped`] if the send buffer is full.
     pub fn send(&self, bytes: &[u8], destination: net::SocketAddr) -> Result<(), DatagramError> {
         match send_one(&self.socket, bytes, destination) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -206,7 +210,8 @@
     }
 }
 
-/// Takes a datagram; `None` where there is none, or none in time.
+/// Receives a datagram. Returns `None` if there is none, or none within the read
+/// timeout of the socket.
 fn receive_one(
     socket: &net::UdpSocket,
     buffer: &mut [u8],
@@ -231,10 +236,11 @@
     }
 }
 
-/// Some systems report an earlier datagram to a closed port as a refused or reset
-/// connection at the next receive; Linux does so on connected sockets only. It
-/// concerns one destination and must not stop the socket. Each such report is
-/// taken off the socket, so that trying again comes to an end.
+/// Whether receiving can be retried at once. Some systems report an earlier
+/// datagram to a closed port as a refused or reset connection at the next receive;
+/// Linux does so on connected sockets only. Such an error concerns one destination
+/// and must not stop the socket. Each receive removes one such error from the
+/// socket, so the retries end.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/cardamomwinch_transport/src/decision_logger.rs
+++ b/crates/cardamomwinch_transport/src/decision_logger.rs
@@ -1,4 +1,4 @@
-//! Logs the decisions of a host, bounded in number by second.
+//! Logs the decisions of a host, up to a number of records per second.
 
 use std::marker;
 
@@ -9,18 +9,18 @@
 use crate::log_sink::{LineSender, LogLine, LogSink, NoFields};
 
 const DECISION_TARGET: &str = "decision";
-/// The event of a line that only tells how many records were left out.
+/// The event of a line that only reports how many records were left out.
 const LEFT_OUT_EVENT: &str = "decisions_left_out";
 const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
-/// A record with the name of its event.
+/// A record that can be logged, with the name of its event.
 pub trait DecisionRecord: Serialize {
     /// What happened, in snake case, such as `flow_placed`.
     fn event(&self) -> &'static str;
 }
 
-/// Logs records of one kind, at most a number a second. Each thread holds its
-/// own, so that logging takes no lock that traffic could wait for.
+/// Logs records of one type, up to a limit per second. Each thread has its own
+/// logger, so that logging takes no lock that traffic would have to wait for.
 #[derive(Debug)]
 pub struct DecisionLogger<R> {
     sender: LineSender,
@@ -33,7 +33,7 @@
 }
 
 impl<R: DecisionRecord> DecisionLogger<R> {
-    /// Creates a logger of at most `limit` records a second.
+    /// Creates a logger of at most `limit` records per second.
     pub fn new(sink: &LogSink, limit: u32) -> Self {
         Self {
             sender: sink.line_sender(),
@@ -46,23 +46,23 @@
         }
     }
 
-    /// The same logger, which logs and counts nothing where `level` leaves out
-    /// messages of the level info, at which decisions are logged.
+    /// The same logger for the log level `level` of the process. Decisions have the
+    /// level info; if `level` excludes it, the logger logs and counts nothing.
     #[must_use]
     pub fn with_level(mut self, level: LevelFilter) -> Self {
         self.enabled = level >= LevelFilter::Info;
         self
     }
 
-    /// Whether records are logged at all. Who asks first need not make a record
-    /// that nobody will read.
+    /// Whether records are logged at all. Callers check this first to avoid
+    /// building a record that will not be logged.
     pub const fn is_enabled(&self) -> bool {
         self.enabled
     }
 
-    /// Logs `record`, or counts it as left out where this second has its number,
-    /// the queue is full, or the record is not a JSON object. The first line of
-    /// a later second carries the count.
+    /// Logs `record`, or counts it as left out if the limit of this second is
+    /// reached, the queue is full, or the record is not a JSON object. The next
+    /// line that is written carries the count.
     pub fn log(&mut self, now: Timestamp, record: &R) {
         if !self.enabled {
             return;
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Like [`Self::log`], for a record of something that went well, of which at
-    /// most half of the second's number are logged. Under load these are many,
-    /// and must leave room for the lines that explain a failure.
+    /// Like [`Self::log`], for a record of a success. Such records are logged only
+    /// while less than half of the limit of this second is used, because under load
+    /// there are many and they must leave room for the lines that explain a failure.
     pub fn log_routine(&mut self, now: Timestamp, record: &R) {
         if !self.enabled {
             return;
@@ -88,9 +88,10 @@
         }
     }
 
-    /// Logs how many records were left out where this second has room for a line.
-    /// Without it, the number left out of the last busy second would show only
-    /// when the next decision is taken, which on a quiet host may be hours later.
+    /// Logs how many records were left out, if there are any and the limit of this
+    /// second allows a line. Otherwise the number left out in the last busy second
+    /// would be logged only with the next decision, on a quiet host perhaps hours
+    /// later.
     pub fn report_left_out(&mut self, now: Timestamp) {
         self.begin_second(now);
         if self.left_out > 0 && self.written < self.limit {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// How many records were left out since the last line.
+    /// How many records were left out since the last written line.
     pub const fn left_out(&self) -> u64 {
         self.left_out
     }
@@ -132,8 +133,8 @@
 }
 
 impl<R> Drop for DecisionLogger<R> {
-    /// Logs how many records were left out in the last second: whoever reads why
-    /// a process ended must see that lines are missing.
+    /// Logs how many records were left out in the last second: whoever looks for
+    /// the reason why a process ended must see that lines are missing.
     fn drop(&mut self) {
         if self.left_out > 0 {
             let now = Timestamp::new(self.second * MICROSECONDS_PER_SECOND);
--- a/crates/cardamomwinch_transport/src/executor.rs
+++ b/crates/cardamomwinch_transport/src/executor.rs
@@ -1,4 +1,4 @@
-//! Runs tasks on a thread of its own, by name.
+//! Named threads that run asynchronous tasks.
 
 use std::io;
 use std::thread;
@@ -6,19 +6,19 @@
 use async_executor::LocalExecutor;
 use snafu::{ResultExt, Snafu};
 
-/// Why a thread could not be used.
+/// Why a thread could not be started, or ended without a result.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ThreadError {
-    /// The system gave no thread.
+    /// The operating system could not start the thread.
     #[snafu(display("cannot start the thread {name}"))]
     Start {
         /// The name of the thread.
         name: String,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The thread panicked; the message went to the standard error stream.
+    /// The thread panicked. The message was written to the standard error stream.
     #[snafu(display("the thread {name} panicked"))]
     Panicked {
         /// The name of the thread.
@@ -26,8 +26,8 @@
     },
 }
 
-/// Runs `main` on the current thread until it ends, together with the tasks that
-/// it spawns. Tasks still running then are dropped.
+/// Runs `main` and the tasks that it spawns on the current thread until `main` ends.
+/// Tasks that are still running then are dropped.
 pub fn run_on_current_thread<T>(main: impl AsyncFnOnce(&LocalExecutor<'static>) -> T) -> T {
     let executor = LocalExecutor::new();
     async_io::block_on(executor.run(main(&executor)))
@@ -41,11 +41,11 @@
 }
 
 impl<T: Send + 'static> ExecutorThread<T> {
-    /// Starts a thread named `name` that runs `main` and what it spawns. Linux
-    /// shows the first 15 bytes of the name.
+    /// Starts a thread named `name` that runs `main` and the tasks that it spawns.
+    /// Linux shows the first 15 bytes of the name.
     ///
     /// # Errors
-    /// Fails where the system gives no thread.
+    /// Fails if the operating system cannot start the thread.
     pub fn start<F>(name: &str, main: F) -> Result<Self, ThreadError>
     where
         F: AsyncFnOnce(&LocalExecutor<'static>) -> T + Send + 'static,
@@ -58,10 +58,10 @@
         Ok(Self { name, handle })
     }
 
-    /// Waits until the thread ends.
+    /// Waits until the thread ends and returns the result of its `main`.
     ///
     /// # Errors
-    /// Fails where it panicked.
+    /// Fails if the thread panicked.
     pub fn join(self) -> Result<T, ThreadError> {
         let name = self.name;
         self.handle
--- a/crates/cardamomwinch_transport/src/http_client.rs
+++ b/crates/cardamomwinch_transport/src/http_client.rs
@@ -1,5 +1,5 @@
-//! A small HTTP client that only reads: one kept-alive connection to one
-//! address, bounded in time and size.
+//! A small HTTP client that only reads: one kept-alive connection to one address,
+//! with limits of time and size.
 
 use std::fmt;
 use std::io;
@@ -19,16 +19,16 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use socket2::{SockRef, TcpKeepalive};
 
-/// How long the opening of a connection may take: many round trips between
-/// regions, and short enough to be tried again soon after a partition has healed.
+/// The time to open a connection: enough for many round trips between regions, and
+/// short enough that a retry follows soon after a partition has healed.
 pub const CONNECT_LIMIT: time::Duration = time::Duration::from_secs(1);
-/// The time between two probes of a connection that is waiting; the system counts
-/// in whole seconds.
+/// The idle time before the first keep-alive probe of a connection, and the time
+/// between two probes; the operating system counts in whole seconds.
 const PROBE_PERIOD: time::Duration = time::Duration::from_secs(1);
-/// A connection ends after so many probes without an answer.
+/// The number of unanswered probes after which a connection is closed.
 const PROBE_LIMIT: u32 = 2;
-/// A connection ends where what was sent is not acknowledged for so long: as long
-/// as the probes take.
+/// The time without an acknowledgement of sent data after which a connection is
+/// closed; the same time as the probes take.
 const SILENCE_LIMIT: time::Duration = time::Duration::from_secs(2);
 
 /// Why an HTTP exchange failed.
@@ -39,84 +39,84 @@
     /// No connection could be opened.
     #[snafu(display("cannot connect to {address}"))]
     Connect {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The path or the address cannot be put into a request.
+    /// The path or the address is not valid in an HTTP request.
     #[snafu(display("cannot form a request to {address}"))]
     Request {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// What the library said.
+        /// The error of the library.
         source: hyper::http::Error,
     },
-    /// The exchange broke off or was not HTTP.
+    /// The connection broke during the exchange, or the peer did not send HTTP.
     #[snafu(display("the exchange with {address} failed"))]
     Exchange {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// What the library said.
+        /// The error of the library.
         source: hyper::Error,
     },
     /// The peer closed the connection before it answered.
     #[snafu(display("{address} closed the connection"))]
     Closed {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
     },
     /// The whole exchange did not end in time.
     #[snafu(display("{address} did not answer within {limit:?}"))]
     TimedOut {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// The time allowed.
+        /// The timeout that expired.
         limit: time::Duration,
     },
     /// The body is longer than allowed; the connection was closed.
     #[snafu(display("the answer of {address} exceeds {limit} bytes"))]
     Oversized {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// The bytes allowed.
+        /// The longest allowed body, in bytes.
         limit: usize,
     },
 }
 
-/// An answer.
+/// The answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpAnswer {
     /// The status of the answer.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers of the answer.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body of the answer.
     pub body: Vec<u8>,
-    /// How long the body took to come after the head.
+    /// The time from the end of the head to the end of the body.
     pub body_time: time::Duration,
 }
 
-/// What a single exchange may cost.
+/// The limits of a single exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExchangeLimits {
     /// The time from opening the connection to the end of the body.
     pub timeout: time::Duration,
-    /// The length of the body in bytes.
+    /// The longest allowed body, in bytes.
     pub body: usize,
 }
 
 type ClientConnection = http1::Connection<FuturesIo<TcpStream>, Empty<Bytes>>;
 
-/// A connection that makes progress only while an exchange polls it, so that it
+/// A connection that makes progress only while an exchange polls it, and therefore
 /// needs no executor.
 struct OpenConnection {
     sender: http1::SendRequest<Empty<Bytes>>,
     driver: pin::Pin<Box<ClientConnection>>,
 }
 
-/// Reads from one address over one kept-alive connection. It can send nothing
-/// but `GET`.
+/// Reads from one address over one kept-alive connection. It sends only `GET`
+/// requests.
 pub struct HttpClient {
     address: net::SocketAddr,
     connection: Option<OpenConnection>,
@@ -147,13 +147,14 @@
         self.address
     }
 
-    /// Reads `path`, which may hold a query.
+    /// Reads `path`, which may include a query string.
     ///
-    /// A dropped future closes the connection, so that the rest of an unread
-    /// answer is never taken for the next one.
+    /// Dropping the future closes the connection, so that the rest of an unread
+    /// answer is never read as the next answer.
     ///
     /// # Errors
-    /// Fails where the peer cannot be reached, breaks off, or passes a limit.
+    /// Fails if the peer cannot be reached, the connection breaks, or a limit is
+    /// exceeded.
     pub async fn get(
         &mut self,
         path: &str,
@@ -172,8 +173,8 @@
     }
 
     async fn get_unhurried(&mut self, path: &str, limit: usize) -> Result<HttpAnswer, HttpError> {
-        // A peer may close an idle connection at any time, which shows only at
-        // the next request. Reading twice is harmless, so that request is
+        // A peer may close an idle connection at any time, and the client notices
+        // only at its next request. Reading twice is harmless, so that request is
         // repeated once on a new connection.
         if let Some(connection) = self.connection.take() {
             match self.exchange(connection, path, limit).await {
@@ -185,8 +186,8 @@
         self.exchange(connection, path, limit).await
     }
 
-    /// Opens a connection within [`CONNECT_LIMIT`], however long the exchange may
-    /// take: an address behind a network partition answers nothing at all.
+    /// Opens a connection within [`CONNECT_LIMIT`], even if the whole exchange may
+    /// take longer: an address behind a network partition answers nothing at all.
     async fn open_stream(&self) -> Result<TcpStream, HttpError> {
         let address = self.address;
         let opened = async {
@@ -205,7 +206,7 @@
     async fn connect(&self) -> Result<OpenConnection, HttpError> {
         let address = self.address;
         let stream = self.open_stream().await?;
-        // Without this, small requests may wait for an acknowledgement.
+        // Otherwise small requests may wait for an acknowledgement.
         stream.set_nodelay(true).context(ConnectSnafu { address })?;
         watch_over(&stream).context(ConnectSnafu { address })?;
         let (sender, driver) = http1::handshake(FuturesIo::new(stream))
@@ -244,12 +245,12 @@
     }
 }
 
-/// Has the system end a connection whose other end has gone silent.
+/// Lets the operating system close a connection whose other end no longer responds.
 ///
-/// Guards against a network partition that closes nothing. It shows as a watch
-/// that waits on after the partition has healed, while the host acts on what
-/// was true before. Probes are answered by the other end's system even where
-/// its program has nothing to say.
+/// Guards against a network partition, which closes no connection: a watch would
+/// keep waiting after the partition has healed, and the host would use outdated data
+/// meanwhile. Probes are answered by the operating system of the other end, so a peer
+/// that simply has nothing to send keeps its connection.
 fn watch_over(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -260,15 +261,15 @@
     socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))
 }
 
-/// Polls the exchange and the connection that carries it. Returns `None` where
-/// the connection ends and the exchange cannot.
+/// Polls the exchange and the connection that carries it. Returns `None` if the
+/// connection ends before the exchange has a result.
 async fn drive<T>(
     exchange: impl Future<Output = T>,
     driver: pin::Pin<&mut ClientConnection>,
 ) -> Option<T> {
     let mut exchange = pin::pin!(exchange);
     let ended = future::or(async { Some(exchange.as_mut().await) }, async {
-        // An error of the connection also reaches the exchange, with its cause.
+        // The exchange also receives an error of the connection, with its cause.
         let _ = driver.await;
         None
     });
--- a/crates/cardamomwinch_transport/src/lib.rs
+++ b/crates/cardamomwinch_transport/src/lib.rs
@@ -1,6 +1,6 @@
 //! Sockets, timers, the platform client, endpoints, logs and metrics on
-//! async-io. Nothing here decides anything: this crate moves bytes and time
-//! between the outside and the layers that decide.
+//! async-io. This crate only moves bytes and timer events between the outside and
+//! the layers above it, which make all decisions.
 //!
 //! ```
 //! use std::time;
--- a/crates/cardamomwinch_transport/src/load_client.rs
+++ b/crates/cardamomwinch_transport/src/load_client.rs
@@ -1,4 +1,4 @@
-//! Reads the load that a backend server reports.
+//! Reads load reports of backend servers.
 
 use std::net;
 use std::time;
@@ -14,30 +14,30 @@
 /// The longest report that is read, in bytes.
 const REPORT_LIMIT: usize = 4 * 1024;
 
-/// Why no load could be read.
+/// Why no load report could be read.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum LoadError {
     /// The exchange failed.
     #[snafu(display("cannot read the load of a backend server"))]
     Exchange {
-        /// Why.
+        /// Why the exchange failed.
         source: HttpError,
     },
     /// The server answered with something other than a report.
     #[snafu(display("unexpected status {status} from the load endpoint at {address}"))]
     UnexpectedStatus {
-        /// The endpoint asked.
+        /// The address of the load endpoint.
         address: net::SocketAddr,
-        /// What it answered.
+        /// The status of the answer.
         status: StatusCode,
     },
     /// The answer is not a report.
     #[snafu(display("malformed load report from {address}"))]
     Malformed {
-        /// The endpoint asked.
+        /// The address of the load endpoint.
         address: net::SocketAddr,
-        /// What the parser said.
+        /// The error of the parser.
         source: serde_json::Error,
     },
 }
@@ -50,16 +50,16 @@
 }
 
 impl LoadClient {
-    /// Creates a client of the endpoint at `address`.
+    /// Creates a client of the load endpoint at `address`. `timeout` limits one exchange.
     pub const fn new(address: net::SocketAddr, timeout: time::Duration) -> Self {
         let client = HttpClient::new(address);
         Self { client, timeout }
     }
 
-    /// Reads the present report, which may lag or mislead.
+    /// Reads the current report. Its figures may be outdated or wrong.
     ///
     /// # Errors
-    /// Fails where the server does not give a report in time.
+    /// Fails if the server does not return a report in time.
     pub async fn read(&mut self) -> Result<LoadReport, LoadError> {
         let limits = ExchangeLimits {
             timeout: self.timeout,
--- a/crates/cardamomwinch_transport/src/log_sink.rs
+++ b/crates/cardamomwinch_transport/src/log_sink.rs
@@ -1,9 +1,9 @@
-//! Logs as JSON lines: one object a line, from the `log` macros and from the
+//! Logs as JSON lines, one object per line, from the `log` macros and from the
 //! decisions of the host.
 //!
 //! Lines go through a bounded queue to one thread that writes them. Writing
-//! directly would be simpler, but a standard output that nobody reads for a while
-//! would then stop the traffic threads. A line that finds the queue full is left
+//! directly would be simpler, but then a standard output that nobody reads for a
+//! while would block the traffic threads. While the queue is full, lines are left
 //! out and counted, and the count is logged.
 
 use std::io;
@@ -24,7 +24,7 @@
 use crate::clock::Clock;
 
 const THREAD_NAME: &str = "log-writer";
-/// How long the end of a process waits for the queue to be written.
+/// How long a process that ends waits for the queue to be written.
 const DRAIN_LIMIT: time::Duration = time::Duration::from_secs(2);
 
 const SINK_TARGET: &str = "cardamomwinch_transport::log_sink";
@@ -33,21 +33,21 @@
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum LogError {
-    /// The system gave no thread to write on.
+    /// The operating system could not start the thread that writes.
     #[snafu(display("cannot start the thread that writes logs"))]
     Start {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The process has a logger already.
+    /// The process already has a logger.
     #[snafu(display("cannot install the logger"))]
     Install {
-        /// What the library said.
+        /// The error of the library.
         source: log::SetLoggerError,
     },
 }
 
-/// One line. The fields of `R` stand beside the others.
+/// One line. The fields of `R` are on the same level as the others.
 #[derive(Serialize)]
 pub(crate) struct LogLine<'a, R> {
     /// Microseconds since the Unix epoch.
@@ -64,7 +64,7 @@
 
 #[expect(
     clippy::trivially_copy_pass_by_ref,
-    reason = "the attribute hands a reference over"
+    reason = "the serde attribute passes a reference"
 )]
 const fn is_zero(count: &u64) -> bool {
     *count == 0
@@ -78,7 +78,7 @@
 #[derive(Serialize)]
 pub(crate) struct NoFields {}
 
-/// Takes lines without ever waiting.
+/// Sends lines to the queue without waiting.
 #[derive(Debug, Clone)]
 pub(crate) struct LineSender {
     queue: Sender<Vec<u8>>,
@@ -86,26 +86,29 @@
 }
 
 impl LineSender {
-    /// Queues a line. Returns false where the queue is full; the caller counts.
+    /// Queues a line. Returns false if the queue is full; the caller counts the line as
+    /// left out.
     pub(crate) fn send(&self, mut line: Vec<u8>) -> bool {
         line.push(b'\n');
         self.queue.try_send(line).is_ok()
     }
 }
 
-/// The thread that writes logs. Dropping it writes what is queued and ends it.
+/// The thread that writes logs. Dropping this writes the queued lines and ends the
+/// thread.
 #[derive(Debug)]
 pub struct LogSink {
     sender: LineSender,
-    /// Disconnected when the thread has ended. Nothing is ever sent.
+    /// Disconnected when the thread has ended. Nothing is sent over it.
     ended: mpsc::Receiver<()>,
 }
 
 impl LogSink {
-    /// Starts to write to `output`, with room for `capacity` lines in the queue.
+    /// Starts the thread, which writes to `output`. The queue holds `capacity` lines, at
+    /// least one.
     ///
     /// # Errors
-    /// Fails where the system gives no thread.
+    /// Fails if the operating system cannot start the thread.
     pub fn start<W, C>(output: W, capacity: usize, clock: C) -> Result<Self, LogError>
     where
         W: Write + Send + 'static,
@@ -126,10 +129,10 @@
         Ok(Self { sender, ended })
     }
 
-    /// Makes this the logger of the process, for records up to `level`.
+    /// Installs this as the logger of the process, for records up to `level`.
     ///
     /// # Errors
-    /// Fails where there is a logger already.
+    /// Fails if the process already has a logger.
     pub fn install<C>(&self, level: LevelFilter, clock: C) -> Result<(), LogError>
     where
         C: Clock + Send + Sync + 'static,
@@ -140,7 +143,7 @@
         Ok(())
     }
 
-    /// A logger of JSON lines for records up to `level`.
+    /// Returns a logger that writes records up to `level` to this sink as JSON lines.
     pub fn logger<C: Clock + Send + Sync>(&self, level: LevelFilter, clock: C) -> JsonLogger<C> {
         let config = ConfigBuilder::new()
             .set_time_level(LevelFilter::Off)
@@ -164,15 +167,15 @@
 
 impl Drop for LogSink {
     fn drop(&mut self) {
-        // A closed queue is still emptied: the lines before the end of a process
-        // are those that tell why it ended. An output that nobody reads must not
-        // keep the process from ending, hence the limit.
+        // The thread still writes the lines in a closed queue: the last lines of a
+        // process show why it ended. The timeout ensures that an output that nobody
+        // reads does not keep the process from ending.
         self.sender.queue.close();
         let _ = self.ended.recv_timeout(DRAIN_LIMIT);
     }
 }
 
-/// Turns records of the `log` macros into JSON lines.
+/// Converts records of the `log` macros to JSON lines.
 pub struct JsonLogger<C> {
     inner: Box<WriteLogger<LineWriter>>,
     clock: C,
@@ -197,7 +200,7 @@
                 message: record.args().to_string(),
             },
         };
-        // A line of numbers and text always has a JSON form.
+        // A line of numbers and text can always be encoded as JSON.
         if let Ok(text) = serde_json::to_string(&line) {
             let metadata = record.metadata().clone();
             let mut builder = Record::builder();
@@ -212,7 +215,7 @@
     }
 }
 
-/// Puts together the pieces that `simplelog` writes into whole lines.
+/// Joins the pieces that `simplelog` writes to whole lines.
 struct LineWriter {
     sender: LineSender,
     partial: Vec<u8>,
@@ -236,8 +239,9 @@
     }
 }
 
-/// Writes until the queue is closed and empty. An output that fails, such as a closed pipe, loses
-/// its lines; the queue is still emptied, so that nobody notices but the reader.
+/// Writes until the queue is closed and empty. If the output fails, such as a closed
+/// pipe, the lines are lost, but the queue is still emptied, so that the rest of the
+/// process is not affected.
 fn write_lines(
     mut output: impl Write,
     receiver: &Receiver<Vec<u8>>,
--- a/crates/cardamomwinch_transport/src/metrics_recorder.rs
+++ b/crates/cardamomwinch_transport/src/metrics_recorder.rs
@@ -1,9 +1,9 @@
-//! Keeps what the process counts and measures, and renders it as text in the
-//! exposition format of Prometheus.
+//! Stores the metrics of the process and renders them as text in the exposition
+//! format of Prometheus.
 //!
-//! Storage and formatting are those of the libraries. Their own recorder is not used:
-//! it calibrates a clock for 200 ms when it is made, which no metric here needs, and
-//! a host that starts would forward nothing meanwhile.
+//! Storage and formatting come from libraries. Their own recorder is not used: when it
+//! is created, it calibrates a clock for 200 ms, which no metric here needs, and a
+//! starting host would forward nothing during that time.
 
 use std::sync;
 use std::sync::atomic::Ordering;
@@ -18,7 +18,7 @@
 /// trip within a failure domain to the longest time that callers wait.
 const TIME_BUCKETS: [f64; 11] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// One series: its name and its labels as text.
+/// The key of a series: its name and its labels as text.
 type SeriesKey = (String, Vec<String>);
 
 /// The metrics of the process.
@@ -26,12 +26,12 @@
 pub(crate) struct MetricsRecorder {
     registry: Registry<Key, AtomicStorage>,
     descriptions: sync::Mutex<SortedVector<String, SharedString>>,
-    /// The samples of histograms that were folded together.
+    /// The histograms, up to the samples that are not yet added to their buckets.
     distributions: sync::Mutex<SortedVector<SeriesKey, storage::Histogram>>,
 }
 
 fn locked<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
-    // What is kept stays whole if a thread panics between two changes.
+    // Each change leaves the data consistent, so a panic of another thread does no harm.
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
 
@@ -46,13 +46,14 @@
 }
 
 impl MetricsRecorder {
-    /// Units stand in the names, so that nothing is made of `_unit`.
+    /// Stores the help text of a metric. `_unit` is ignored, because the names of
+    /// metrics contain their units.
     fn describe(&self, name: &KeyName, _unit: Option<Unit>, help: SharedString) {
         let name = formatting::sanitize_metric_name(name.as_str());
         locked(&self.descriptions).insert(name, help);
     }
 
-    /// Folds the samples of histograms together. Until then each takes memory.
+    /// Adds the samples of histograms to their buckets. Until then each takes memory.
     pub(crate) fn fold_samples(&self) {
         let mut distributions = locked(&self.distributions);
         self.registry.visit_histograms(|key, samples| {
@@ -65,7 +66,7 @@
         });
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text.
     pub(crate) fn render(&self) -> String {
         self.fold_samples();
         let mut text = MetricsText {
@@ -89,14 +90,14 @@
     }
 }
 
-/// The text as far as it is written.
+/// The text of the metrics written so far.
 struct MetricsText<'a> {
     descriptions: sync::MutexGuard<'a, SortedVector<String, SharedString>>,
     output: String,
 }
 
 impl MetricsText<'_> {
-    /// Begins the metric `name`.
+    /// Writes the help and type lines of the metric `name`.
     fn write_head(&mut self, name: &str, kind: &str) {
         if let Some(help) = self.descriptions.get(&name.to_owned()) {
             formatting::write_help_line(&mut self.output, name, help);
--- a/crates/cardamomwinch_transport/src/metrics_sink.rs
+++ b/crates/cardamomwinch_transport/src/metrics_sink.rs
@@ -1,4 +1,4 @@
-//! Collects the metrics of the process without listening anywhere itself.
+//! Collects the metrics of the process. It opens no port; the endpoint serves them.
 
 use std::sync;
 use std::time;
@@ -10,30 +10,30 @@
 use crate::rpc_endpoint::MetricsSource;
 use crate::timer::{TickPlan, TimerService};
 
-/// How often the samples of histograms are folded together. Until then they take
-/// memory for each sample.
+/// How often the samples of histograms are added to their buckets. Until then each
+/// sample takes memory.
 const UPKEEP_PERIOD: time::Duration = time::Duration::from_secs(5);
 
 /// Why metrics cannot be collected.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum MetricsError {
-    /// A recorder is installed already.
-    #[snafu(display("a recorder of metrics is installed already"))]
+    /// The process already has a recorder of metrics.
+    #[snafu(display("a recorder of metrics is already installed"))]
     Taken,
 }
 
-/// Collects what the process counts and measures.
+/// The metrics of the process.
 #[derive(Debug, Clone)]
 pub struct MetricsSink {
     recorder: sync::Arc<MetricsRecorder>,
 }
 
 impl MetricsSink {
-    /// Makes this the recorder of the process. A process can do so once.
+    /// Installs a recorder of metrics for the process. A process can have only one.
     ///
     /// # Errors
-    /// Fails where there is a recorder already.
+    /// Fails if the process already has a recorder.
     pub fn install() -> Result<Self, MetricsError> {
         let recorder = sync::Arc::<MetricsRecorder>::default();
         let installed = metrics::set_global_recorder(sync::Arc::clone(&recorder));
@@ -41,7 +41,8 @@
         Ok(Self { recorder })
     }
 
-    /// Does the upkeep of the recorder until the future is dropped.
+    /// Regularly adds the samples of histograms to their buckets, until the future is
+    /// dropped.
     pub async fn run_upkeep<C: Clock + Clone>(&self, service: &TimerService<C>) {
         let plan = TickPlan {
             period: UPKEEP_PERIOD,
--- a/crates/cardamomwinch_transport/src/peer_frame.rs
+++ b/crates/cardamomwinch_transport/src/peer_frame.rs
@@ -1,10 +1,11 @@
 //! Authenticated frames over a byte stream between hosts.
 //!
 //! A frame is a length of four bytes in network order, an authentication code of
-//! 16 bytes, and a body. The code covers more than the body: what the frame is
-//! for, the nonces that both sides chose for this connection, and the position
-//! of the exchange. A frame recorded on one connection is therefore refused on
-//! any other, at any other position, and in the other direction.
+//! 16 bytes, and a body. The length counts the code and the body. The code covers
+//! more than the body: the purpose of the frame, the nonces that both sides chose for
+//! this connection, and the position of the exchange in it. A frame recorded on one
+//! connection is therefore refused on any other connection, at any other position,
+//! and in the other direction.
 
 use std::io;
 
@@ -18,13 +19,14 @@
 /// The authentication context of frames.
 pub const BULK_CONTEXT: u8 = b'b';
 
-/// The longest frame in bytes, its code included and its length excluded.
+/// The longest frame in bytes, including its code but not its length field.
 pub const FRAME_LIMIT: usize = 4 * 1024 * 1024;
 
 const NONCE_LENGTH: usize = 32;
 const LENGTH_LENGTH: usize = 4;
 
-/// What is signed before the body: purpose, two nonces, and the position.
+/// The length of what is signed before the body: the purpose, two nonces and the
+/// position.
 const PREFIX_LENGTH: usize = 1 + 2 * NONCE_LENGTH + 8;
 
 /// Why frames could not be exchanged.
@@ -32,38 +34,38 @@
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum FrameError {
-    /// The connection broke off.
-    #[snafu(display("the connection with the peer broke off"))]
+    /// The connection broke.
+    #[snafu(display("the connection with the peer broke"))]
     Broken {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The peer left between two frames.
-    #[snafu(display("the peer left"))]
+    /// The peer closed the connection between two frames.
+    #[snafu(display("the peer closed the connection"))]
     Ended,
-    /// The peer left before a whole frame had arrived.
-    #[snafu(display("the peer left within a frame"))]
+    /// The peer closed the connection before a whole frame had arrived.
+    #[snafu(display("the peer closed the connection within a frame"))]
     Truncated,
     /// A frame is longer than allowed, or too short to hold a code.
     #[snafu(display("a frame of {length} bytes is outside {CODE_LENGTH} to {limit}"))]
     Length {
-        /// The length announced or to be sent, in bytes.
+        /// The length in bytes that was received in the length field, or was to be sent.
         length: usize,
-        /// The length allowed in bytes.
+        /// The longest allowed length in bytes.
         limit: usize,
     },
-    /// No accepted key has signed the frame for this place in this connection.
+    /// The frame is not signed by an accepted key for this position of this connection.
     #[snafu(display("the authentication code of the peer does not match"))]
     Unauthenticated,
-    /// The system gave no random bytes for a nonce.
+    /// The operating system provided no random bytes for a nonce.
     #[snafu(display("no random bytes for a nonce"))]
     Random {
-        /// What the system said.
+        /// The error of the operating system.
         source: rand_core::OsError,
     },
 }
 
-/// What a frame is for.
+/// The purpose of a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FramePurpose {
     ClientHello,
@@ -96,7 +98,7 @@
 }
 
 impl<'k> PeerSession<'k> {
-    /// Begins a session as the side that asks.
+    /// Begins a session as the side that sends requests.
     pub(crate) async fn open(
         stream: TcpStream,
         keys: &'k AuthenticationKeys,
@@ -109,9 +111,9 @@
         Ok(session)
     }
 
-    /// Begins a session as the side that answers. Nothing is sent to a peer
-    /// that has not signed its greeting. A recorded greeting passes here; the
-    /// request that follows then fails, because it must cover the new nonce.
+    /// Begins a session as the side that responds. Nothing is sent to a peer
+    /// that has not signed its hello. A recorded hello is accepted here, but the
+    /// request that follows it fails, because its code must cover the new nonce.
     pub(crate) async fn accept(
         stream: TcpStream,
         keys: &'k AuthenticationKeys,
@@ -197,7 +199,7 @@
         let begun = self.stream.read(first).await.context(BrokenSnafu)?;
         snafu::ensure!(begun > 0, EndedSnafu);
         self.read_exactly(rest).await?;
-        // A length that no `usize` can hold is longer than any limit.
+        // A length that doesn't fit into a `usize` is longer than any limit.
         let length = usize::try_from(u32::from_be_bytes(announced)).unwrap_or(usize::MAX);
         let allowed = (CODE_LENGTH..=limit).contains(&length);
         snafu::ensure!(allowed, LengthSnafu { length, limit });
@@ -219,7 +221,8 @@
         }
     }
 
-    /// Memory grows with what has arrived, not with what a peer announces.
+    /// Reads a body of `length` bytes. Memory is allocated for the bytes that arrive, not
+    /// for the length that a peer announces.
     async fn read_body(&mut self, length: usize, signed: &mut Vec<u8>) -> Result<(), FrameError> {
         let limit = u64::try_from(length).unwrap_or(u64::MAX);
         let mut body = (&mut self.stream).take(limit);
@@ -237,7 +240,8 @@
 
 fn code_bytes(code: AuthenticationCode) -> [u8; CODE_LENGTH] {
     let mut bytes = [0; CODE_LENGTH];
-    postcard::to_slice(&code, &mut bytes).expect("a code is encoded as its own bytes");
+    postcard::to_slice(&code, &mut bytes)
+        .expect("an authentication code is encoded as its own bytes");
     bytes
 }
 
--- a/crates/cardamomwinch_transport/src/peer_rpc.rs
+++ b/crates/cardamomwinch_transport/src/peer_rpc.rs
@@ -1,7 +1,7 @@
-//! Bulk exchange among hosts: JSON-RPC in authenticated frames over TCP.
+//! Bulk exchange between hosts: JSON-RPC in authenticated frames over TCP.
 //!
-//! Each call opens a connection. Bulk exchange is rare, and a connection that
-//! nobody holds needs no supervision.
+//! Each call opens its own connection. Bulk exchange is rare, and without idle
+//! connections there is nothing to keep alive or to check.
 
 use std::io;
 use std::net;
@@ -32,64 +32,64 @@
     /// The address cannot be listened on.
     #[snafu(display("cannot listen for peers on {address}"))]
     Listen {
-        /// The address asked for.
+        /// The requested address.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system does not tell the address.
-    #[snafu(display("cannot tell the address that peers are served on"))]
+    /// The operating system does not return the local address.
+    #[snafu(display("cannot determine the address that peers are served on"))]
     Address {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The peer cannot be reached.
     #[snafu(display("cannot connect to the peer {address}"))]
     Connect {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The exchange failed. A peer that holds none of the keys shows as a
-    /// connection that breaks off.
+    /// The exchange failed. This is also the error if the peer accepts none of the
+    /// keys: it closes the connection without an answer.
     #[snafu(display("the exchange with the peer {address} failed"))]
     Exchange {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// Why.
+        /// Why the exchange failed.
         source: FrameError,
     },
-    /// The call did not end in time. Whether the peer ran it is not known.
+    /// The call did not end in time. It is unknown whether the peer ran it.
     #[snafu(display("the peer {address} did not answer within {limit:?}"))]
     TimedOut {
-        /// The address tried.
+        /// The address of the peer.
         address: net::SocketAddr,
-        /// The time allowed.
+        /// The timeout that expired.
         limit: time::Duration,
     },
-    /// The parameters have no JSON form.
+    /// The parameters can't be encoded as JSON.
     #[snafu(display("cannot encode the parameters of {method}"))]
     Encode {
-        /// The method called.
+        /// The called method.
         method: &'static str,
-        /// What the encoder said.
+        /// The error of the encoder.
         source: serde_json::Error,
     },
-    /// The response is not what the method returns.
+    /// The response is not a JSON-RPC response, or its result has the wrong type.
     #[snafu(display("malformed response to {method}"))]
     Malformed {
-        /// The method called.
+        /// The called method.
         method: &'static str,
-        /// What the parser said.
+        /// The error of the parser.
         source: serde_json::Error,
     },
     /// The peer answered with an error.
     #[snafu(display("the peer refused {method}: {error}"))]
     Refused {
-        /// The method called.
+        /// The called method.
         method: &'static str,
-        /// What the peer said.
+        /// The error that the peer returned.
         error: ErrorObjectOwned,
     },
 }
@@ -112,15 +112,16 @@
 /// How long a call to a peer may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallLimits {
-    /// The time in which the peer must take the connection. A host without power, or
-    /// behind a partition, answers nothing, and the system would go on trying for long.
+    /// The time in which the connection must be established. A host that is powered
+    /// off or behind a partition answers nothing, and without this limit the operating
+    /// system would keep trying for far longer.
     pub connect: time::Duration,
-    /// The time for the whole call.
+    /// The time for the whole call, connecting included.
     pub whole: time::Duration,
 }
 
 impl CallLimits {
-    /// Limits the whole call alone.
+    /// Limits the whole call only, without a shorter limit for connecting.
     pub const fn whole(limit: time::Duration) -> Self {
         Self {
             connect: limit,
@@ -141,11 +142,11 @@
         Self { keys }
     }
 
-    /// Calls `method` of the peer at `address`. `params` must become a JSON array
-    /// or object; `timeout` bounds the whole call.
+    /// Calls `method` of the peer at `address`. `params` must serialize to a JSON
+    /// array or object; `timeout` limits the whole call.
     ///
     /// # Errors
-    /// Like [`Self::call_within`].
+    /// Fails like [`Self::call_within`].
     pub async fn call<T: DeserializeOwned, P: Serialize>(
         &self,
         address: net::SocketAddr,
@@ -157,12 +158,12 @@
         self.call_within(address, method, params, limits).await
     }
 
-    /// Calls `method` of the peer at `address` within `limits`. `params` must become a
-    /// JSON array or object.
+    /// Calls `method` of the peer at `address` within `limits`. `params` must serialize
+    /// to a JSON array or object.
     ///
     /// # Errors
-    /// Fails where the peer cannot be reached, holds none of the keys, does not
-    /// answer in time, or refuses the call.
+    /// Fails if the peer cannot be reached, accepts none of the keys, does not answer
+    /// in time, or refuses the call.
     pub async fn call_within<T: DeserializeOwned, P: Serialize>(
         &self,
         address: net::SocketAddr,
@@ -201,7 +202,8 @@
     }
 }
 
-/// What `step` of a call to the peer at `address` yields, if it does within `limit`.
+/// Returns the result of `step` of a call to the peer at `address`, or times out after
+/// `limit`.
 async fn within<T>(
     limit: time::Duration,
     address: net::SocketAddr,
@@ -227,14 +229,14 @@
     serde_json::from_str(result).context(MalformedSnafu { method })
 }
 
-/// What peers, and those who pretend to be, may use.
+/// The limits for connections of peers, also before they are authenticated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerLimits {
-    /// Connections held at the same time.
+    /// The number of connections held at the same time.
     pub connections: usize,
-    /// The time in which a connection must have proved its key.
+    /// The time in which a peer must prove that it holds an accepted key.
     pub greeting_timeout: time::Duration,
-    /// The time for each request to arrive, and for each response to leave.
+    /// The time to receive one request, and the time to send one response.
     pub frame_timeout: time::Duration,
 }
 
@@ -259,7 +261,7 @@
 }
 
 impl ServeError {
-    /// The label under which the error is counted.
+    /// The value of the label `reason` under which the error is counted.
     const fn reason(&self) -> &'static str {
         match self {
             Self::Slow => "slow",
@@ -281,17 +283,17 @@
     limits: PeerLimits,
 }
 
-/// Answers calls of peers.
+/// Serves calls of peers.
 pub struct PeerServer {
     listener: TcpListener,
     service: rc::Rc<PeerService>,
 }
 
 impl PeerServer {
-    /// Listens on `address`; port 0 lets the system choose.
+    /// Listens on `address`; with port 0 the operating system chooses the port.
     ///
     /// # Errors
-    /// Fails where the system refuses the address.
+    /// Fails if the operating system refuses the address.
     pub async fn bind(
         address: net::SocketAddr,
         module: RpcModule<()>,
@@ -312,13 +314,14 @@
     /// The address that peers are served on.
     ///
     /// # Errors
-    /// Fails where the system does not tell.
+    /// Fails if the operating system does not return the address.
     pub fn local_address(&self) -> Result<net::SocketAddr, PeerRpcError> {
         self.listener.local_addr().context(AddressSnafu)
     }
 
-    /// Serves until the future is dropped, which closes all connections. What
-    /// is dropped is counted in `cardamomwinch_peer_rpc_errors_total` by reason.
+    /// Serves until the future is dropped, which closes all connections.
+    /// Connections that are closed because of an error are counted by reason in
+    /// `cardamomwinch_peer_rpc_errors_total`.
     pub async fn serve(self) {
         let service = &self.service;
         let handle = |stream| {
@@ -339,7 +342,7 @@
 }
 
 impl PeerService {
-    /// Serves one connection until the peer leaves between two requests.
+    /// Serves one connection until the peer closes it between two requests.
     async fn serve_peer(&self, stream: TcpStream) -> Result<(), ServeError> {
         let limits = self.limits;
         let greeting = PeerSession::accept(stream, &self.keys);
--- a/crates/cardamomwinch_transport/src/platform_client.rs
+++ b/crates/cardamomwinch_transport/src/platform_client.rs
@@ -1,5 +1,5 @@
-//! Reads and watches the keys of the platform's configuration service. It can
-//! only read: no request but `GET` is ever formed.
+//! Reads and watches the keys of the platform's configuration service. The client
+//! can't write: it sends `GET` requests only.
 
 use std::fmt;
 use std::net;
@@ -15,14 +15,14 @@
 /// The longest value that is accepted, in bytes.
 pub const VALUE_LIMIT: usize = 1024 * 1024;
 
-/// The longest answer that is read, in bytes. JSON may spend six bytes on one
-/// byte of a value, and every value within its limit must be readable.
+/// The longest answer that is read, in bytes. JSON may encode one byte of a value
+/// in six bytes, and every value within its limit must be readable.
 const ANSWER_LIMIT: usize = 6 * VALUE_LIMIT + 4096;
 
-/// The longest name of a key in bytes.
+/// The longest name of a key, in bytes.
 const KEY_LIMIT: usize = 256;
 
-/// Text that does not name a key.
+/// The error of text that is not a valid name of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(display(
@@ -62,64 +62,64 @@
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum PlatformError {
-    /// The client was given no address.
+    /// The client has no address of the platform.
     #[snafu(display("no address of the platform is known"))]
     NoAddress,
     /// The exchange failed.
     #[snafu(display("cannot read {key} from the platform"))]
     Exchange {
-        /// The key asked for.
+        /// The requested key.
         key: PlatformKey,
-        /// Why.
+        /// Why the exchange failed.
         source: HttpError,
     },
     /// The platform holds no such key.
     #[snafu(display("the platform holds no key {key}"))]
     Missing {
-        /// The key asked for.
+        /// The requested key.
         key: PlatformKey,
     },
     /// The platform answered with a status that is not part of its interface.
     #[snafu(display("unexpected status {status} for {key}"))]
     UnexpectedStatus {
-        /// The key asked for.
+        /// The requested key.
         key: PlatformKey,
-        /// What it answered.
+        /// The status of the answer.
         status: StatusCode,
     },
     /// The answer is not the expected JSON.
     #[snafu(display("malformed answer for {key}"))]
     Malformed {
-        /// The key asked for.
+        /// The requested key.
         key: PlatformKey,
-        /// What the parser said.
+        /// The error of the parser.
         source: serde_json::Error,
     },
-    /// The answer is about another key.
-    #[snafu(display("asked for {key}, was answered about {found:?}"))]
+    /// The answer is for another key.
+    #[snafu(display("asked for {key}, got an answer for {found:?}"))]
     WrongKey {
-        /// The key asked for.
+        /// The requested key.
         key: PlatformKey,
-        /// The key answered about.
+        /// The key that the answer is for.
         found: String,
     },
-    /// The value is longer than the platform may hold.
+    /// The value is longer than the platform allows.
     #[snafu(display("the value of {key} has {length} bytes, more than {VALUE_LIMIT}"))]
     OversizedValue {
-        /// The key asked for.
+        /// The requested key.
         key: PlatformKey,
         /// The length of the value in bytes.
         length: usize,
     },
-    /// A watch was answered with a revision that it was not waiting for. A part
-    /// of the platform lags; watch again after a pause.
+    /// A watch was answered with a revision that isn't later than the known one:
+    /// the part of the platform that answered lags. Watch again after a pause.
     #[snafu(display("watched {key} after revision {after}, was answered with {found}"))]
     StaleRevision {
-        /// The key asked for.
+        /// The requested key.
         key: PlatformKey,
-        /// The revision already known.
+        /// The known revision.
         after: u64,
-        /// The revision answered with.
+        /// The revision in the answer.
         found: u64,
     },
 }
@@ -127,13 +127,13 @@
 /// The value of a key at one revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyReading {
-    /// Rises with every change of the key.
+    /// The number of the revision, which rises with every change of the key.
     pub revision: u64,
-    /// The value.
+    /// The value of the key at this revision.
     pub value: String,
 }
 
-/// What a watch ended with.
+/// How a watch ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchOutcome {
     /// The key has a later revision.
@@ -158,7 +158,7 @@
     }
 }
 
-/// Reads keys from the first address that answers, one call at a time.
+/// Reads keys from the first address that answers. Calls run one at a time.
 #[derive(Debug)]
 pub struct PlatformClient {
     clients: Vec<HttpClient>,
@@ -167,8 +167,8 @@
 }
 
 impl PlatformClient {
-    /// Creates a client. `timeout` bounds one exchange with one address, beyond
-    /// the wait of a watch.
+    /// Creates a client. `timeout` limits one exchange with one address; the wait
+    /// of a watch is added to it.
     pub fn new(addresses: &[net::SocketAddr], timeout: time::Duration) -> Self {
         let clients = addresses.iter().copied().map(HttpClient::new).collect();
         Self {
@@ -178,10 +178,10 @@
         }
     }
 
-    /// Reads the present value of `key`.
+    /// Reads the current value of `key`.
     ///
     /// # Errors
-    /// Fails with the error of the address tried last where none answers.
+    /// Fails with the error of the address tried last if none answers.
     pub async fn read(&mut self, key: &PlatformKey) -> Result<KeyReading, PlatformError> {
         let path = format!("/v1/keys/{key}");
         match self.ask_each(key, &path, self.timeout, None).await? {
@@ -197,7 +197,7 @@
     /// Waits up to `wait` for a revision of `key` later than `after`.
     ///
     /// # Errors
-    /// Fails with the error of the address tried last where none answers.
+    /// Fails with the error of the address tried last if none answers.
     pub async fn watch(
         &mut self,
         key: &PlatformKey,
@@ -210,7 +210,7 @@
         self.ask_each(key, &path, timeout, Some(after)).await
     }
 
-    /// Asks the address that answered last, and after a failure the others.
+    /// Tries the address that answered last, and after a failure each of the others.
     async fn ask_each(
         &mut self,
         key: &PlatformKey,
--- a/crates/cardamomwinch_transport/src/rpc_dispatch.rs
+++ b/crates/cardamomwinch_transport/src/rpc_dispatch.rs
@@ -1,11 +1,11 @@
-//! Hands the text of a JSON-RPC request to a module.
+//! Runs the text of a JSON-RPC request against the methods of a module.
 
 use jsonrpsee::RpcModule;
 use jsonrpsee::types::{ErrorCode, ErrorObjectOwned};
 use serde::Serialize;
 
-/// The room for messages of a subscription. None is ever sent, because each
-/// exchange is one request and one response, but the library wants one at least.
+/// The capacity for messages of a subscription. None is ever sent, because each
+/// exchange is one request and one response, but the library requires at least one.
 const SUBSCRIPTION_BUFFER: usize = 1;
 
 #[derive(Serialize)]
@@ -15,7 +15,8 @@
     id: Option<u64>,
 }
 
-/// The response to `request`, which also tells where the request is malformed.
+/// Returns the response to `request`, which is an error response if the request is
+/// malformed.
 pub(crate) async fn dispatch(module: &RpcModule<()>, request: &[u8]) -> String {
     let Ok(text) = str::from_utf8(request) else {
         return reject(ErrorCode::ParseError);
--- a/crates/cardamomwinch_transport/src/rpc_endpoint.rs
+++ b/crates/cardamomwinch_transport/src/rpc_endpoint.rs
@@ -1,4 +1,4 @@
-//! The management endpoint: JSON-RPC by `POST /`, beside `GET /metrics`,
+//! The management endpoint: JSON-RPC by `POST /`, and `GET /metrics`,
 //! `GET /healthz` and `GET /readyz`.
 
 use std::convert;
@@ -23,7 +23,7 @@
 use crate::connection_limit;
 use crate::rpc_dispatch;
 
-/// The longest head of a request in bytes; the least that the library allows.
+/// The longest head of a request in bytes. The library allows no smaller limit.
 const HEAD_LIMIT: usize = 8 * 1024;
 
 const JSON_TYPE: HeaderValue = HeaderValue::from_static("application/json");
@@ -31,11 +31,11 @@
 
 /// Renders the metrics of the process.
 pub trait MetricsSource {
-    /// The metrics in the text format of Prometheus.
+    /// Returns the metrics in the text format of Prometheus.
     fn render(&self) -> String;
 }
 
-/// Tells whether the host serves.
+/// Reports whether the host is ready to serve.
 pub trait ReadinessSource {
     /// Whether the host holds a configuration and is not stopping.
     fn is_ready(&self) -> bool;
@@ -48,15 +48,15 @@
     /// The address cannot be listened on.
     #[snafu(display("cannot listen on {address}"))]
     Listen {
-        /// The address asked for.
+        /// The requested address.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system does not tell the address.
-    #[snafu(display("cannot tell the address of the endpoint"))]
+    /// The operating system does not return the local address.
+    #[snafu(display("cannot determine the address of the endpoint"))]
     Address {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
@@ -65,13 +65,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum RequestError {
-    /// There is nothing at the path.
+    /// The path is unknown.
     #[snafu(display("not_found"))]
     NotFound,
-    /// The path takes another method.
+    /// The path does not allow the method.
     #[snafu(display("method_not_allowed"))]
     MethodNotAllowed {
-        /// The method that it takes.
+        /// The method that the path allows.
         allowed: &'static str,
     },
     /// The body is longer than allowed.
@@ -80,7 +80,7 @@
     /// The body did not arrive in time.
     #[snafu(display("body_timeout"))]
     BodyTimeout,
-    /// The body broke off.
+    /// The connection broke before the body was complete.
     #[snafu(display("broken_body"))]
     BrokenBody,
 }
@@ -97,20 +97,20 @@
     }
 }
 
-/// What clients of the endpoint may use.
+/// The limits for clients of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointLimits {
-    /// Connections held at the same time.
+    /// The number of connections held at the same time.
     pub connections: usize,
-    /// The length of a request body in bytes.
+    /// The longest allowed request body, in bytes.
     pub body: usize,
-    /// The time for the head of a request, the idle time before it included.
+    /// The time to receive the head of a request, including the idle time before it.
     pub head_timeout: time::Duration,
-    /// The time for the body of a request.
+    /// The time to receive the body of a request.
     pub body_timeout: time::Duration,
-    /// The age from which a connection takes no further request. One request in
-    /// progress then has as long again; so a client that does not read its
-    /// answer cannot hold a connection for ever.
+    /// The age after which a connection accepts no further request. A request in
+    /// progress then has the same time again to end, after which the connection is
+    /// closed, so that a client that does not read its answer cannot hold it forever.
     pub connection_lifetime: time::Duration,
 }
 
@@ -167,10 +167,10 @@
 }
 
 impl<M: MetricsSource, R: ReadinessSource> RpcEndpoint<M, R> {
-    /// Listens on `address`; port 0 lets the system choose.
+    /// Listens on `address`; with port 0 the operating system chooses the port.
     ///
     /// # Errors
-    /// Fails where the system refuses the address.
+    /// Fails if the operating system refuses the address.
     pub async fn bind(
         address: net::SocketAddr,
         module: RpcModule<()>,
@@ -193,7 +193,7 @@
     /// The address that the endpoint listens on.
     ///
     /// # Errors
-    /// Fails where the system does not tell.
+    /// Fails if the operating system does not return the address.
     pub fn local_address(&self) -> Result<net::SocketAddr, EndpointError> {
         self.listener.local_addr().context(AddressSnafu)
     }
@@ -222,7 +222,7 @@
         .max_buf_size(HEAD_LIMIT)
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin::pin!(connection);
-    // A connection that fails concerns its client alone, which sees it closed.
+    // An error of a connection concerns only its client, which sees it closed.
     let ended = async {
         let _ = connection.as_mut().await;
         true
--- a/crates/cardamomwinch_transport/src/timer.rs
+++ b/crates/cardamomwinch_transport/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service, to which parts subscribe for ticks and deadlines.
+//! The timer service, which delivers ticks and deadlines to its subscribers.
 
 use std::sync;
 use std::sync::atomic;
@@ -11,49 +11,49 @@
 
 use crate::clock::Clock;
 
-/// The longest uninterrupted sleep. Sleeps are counted by a clock that stands
-/// still while the machine is suspended; looking at the host's clock this often
-/// bounds how late a deadline is noticed after a suspension.
+/// The longest uninterrupted sleep. Sleeps are measured by a clock that stops while
+/// the machine is suspended. Checking the host's clock at least this often limits how
+/// late a deadline is noticed after a suspension.
 const LONGEST_SLEEP: time::Duration = time::Duration::from_secs(1);
 
-/// The shortest period, so that a period of zero cannot occupy a thread.
+/// The shortest period, so that a period of zero does not keep a thread busy.
 const SHORTEST_PERIOD: time::Duration = time::Duration::from_millis(1);
 
-/// What a subscription is delivered.
+/// An event that a subscription delivers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerEvent<K> {
-    /// What the subscriber named the subscription.
+    /// The name that the subscriber gave the subscription.
     pub key: K,
     /// When the event was due.
     pub planned: Timestamp,
     /// When it was delivered.
     pub actual: Timestamp,
-    /// Further ticks that came due before this one was delivered. They are not
-    /// delivered: a paused process must not work off a burst of old ticks.
+    /// The number of further ticks that came due before this one was delivered. They
+    /// are skipped, so that a resumed process does not handle a burst of old ticks.
     pub missed: u64,
 }
 
 impl<K> TimerEvent<K> {
-    /// How late the event is. A large delay tells that the process was paused
-    /// and that what it believes may be old.
+    /// How late the event was delivered. A large delay shows that the process was
+    /// paused and that its data may be outdated.
     pub fn delay(&self) -> time::Duration {
         self.actual.since(self.planned)
     }
 }
 
-/// How a periodic subscription ticks.
+/// The timing of a periodic subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TickPlan {
     /// The time between two ticks.
     pub period: time::Duration,
-    /// Each tick is put off by a random time below this, so that hosts started
-    /// together do not act together. At most one period has an effect.
+    /// Each tick is delayed by a random time below this, so that hosts that started
+    /// together do not act together. Values above one period count as one period.
     pub jitter: time::Duration,
-    /// The seed of the jitter.
+    /// The seed of the random delays.
     pub seed: u64,
 }
 
-/// Hands out subscriptions against one clock.
+/// Creates subscriptions that follow one clock.
 #[derive(Debug, Clone)]
 pub struct TimerService<C> {
     clock: C,
@@ -61,7 +61,7 @@
 }
 
 impl<C: Clock + Clone> TimerService<C> {
-    /// Creates a service that tells the time by `clock`.
+    /// Creates a service that reads the time from `clock`.
     pub fn new(clock: C) -> Self {
         let live = sync::Arc::new(atomic::AtomicUsize::new(0));
         Self { clock, live }
@@ -72,12 +72,12 @@
         &self.clock
     }
 
-    /// How many subscriptions are held at present.
+    /// The number of subscriptions that have not been dropped.
     pub fn subscription_count(&self) -> usize {
         self.live.load(atomic::Ordering::Relaxed)
     }
 
-    /// Subscribes to ticks, the first of them one period from now.
+    /// Subscribes to ticks. The first is due one period from now, plus jitter.
     pub fn subscribe_ticks<K: Clone>(&self, key: K, plan: TickPlan) -> TimerSubscription<C, K> {
         let period = plan.period.max(SHORTEST_PERIOD);
         let mut ticks = TickState {
@@ -90,8 +90,8 @@
         self.subscribe(key, Some(planned), Some(ticks))
     }
 
-    /// Subscribes to one event at `deadline`, which is delivered at once where
-    /// the deadline has passed.
+    /// Subscribes to one event at `deadline`, which is delivered at once if the
+    /// deadline has passed.
     pub fn subscribe_deadline<K: Clone>(
         &self,
         key: K,
@@ -125,15 +125,15 @@
 }
 
 impl TickState {
-    /// The next planned point. Jitter is added to a base that advances by whole
-    /// periods, so that it does not accumulate.
+    /// Returns the planned time of the next tick. Jitter is added to a base that
+    /// advances by whole periods, so that it does not accumulate.
     fn advance(&mut self) -> Timestamp {
         self.base = self.base.after(self.period);
         let share = self.random.random::<f64>();
         self.base.after(self.jitter.mul_f64(share))
     }
 
-    /// Passes over the ticks due by `now` and returns their number.
+    /// Skips the ticks that are due by `now` and returns their number.
     fn skip_until(&mut self, now: Timestamp) -> u64 {
         let behind = now.since(self.base).as_micros() / self.period.as_micros().max(1);
         let missed = u64::try_from(behind).unwrap_or(u64::MAX);
@@ -144,7 +144,7 @@
     }
 }
 
-/// A subscription to ticks or to one deadline; dropping it ends it.
+/// A subscription to ticks or to one deadline. Dropping it cancels it.
 #[derive(Debug)]
 pub struct TimerSubscription<C, K> {
     service: TimerService<C>,
@@ -154,8 +154,8 @@
 }
 
 impl<C: Clock, K: Clone> TimerSubscription<C, K> {
-    /// Waits for the next event. Returns `None` once a deadline was delivered.
-    /// Dropping the future before it is ready loses no event.
+    /// Waits for the next event. Returns `None` if the subscription was to a deadline
+    /// that has been delivered. Dropping the future before it is ready loses no event.
     pub async fn next(&mut self) -> Option<TimerEvent<K>> {
         let planned = self.planned?;
         let actual = self.sleep_until(planned).await;
--- a/crates/cardamomwinch_transport/tests/datagram.rs
+++ b/crates/cardamomwinch_transport/tests/datagram.rs
@@ -66,9 +66,9 @@
     assert_eq!(drained, [0, 1, 2, 3, 4]);
 }
 
-// A backend server's process has just ended, and a datagram to its port is
-// refused. Some systems report that on the socket at the next receive. Were it
-// taken for a failure of the socket, the host would stop serving everybody else.
+// The process of a backend server has just ended, and a datagram to its port is
+// refused. Some systems report this on the socket at the next receive. If the host
+// treated it as a failure of the socket, it would stop serving everybody else.
 #[test]
 fn a_closed_port_does_not_stop_the_socket() {
     let closed = bind(any_port(), false).unwrap().local_address().unwrap();
--- a/crates/cardamomwinch_transport/tests/http_client.rs
+++ b/crates/cardamomwinch_transport/tests/http_client.rs
@@ -9,12 +9,13 @@
 use socket2::{Domain, Socket, Type};
 
 /// The store is behind a partition: nothing answers, not even with a refusal. A
-/// client that spent the whole time of a long call on the opening would go on
+/// client that used the whole timeout of a long call for connecting would still be
 /// waiting long after the partition has healed.
 ///
-/// A listener whose queue is full drops further openings just so.
+/// Here the queue of a listener is full, so that it drops further connection attempts
+/// in the same way.
 #[test]
-fn an_address_that_does_not_answer_fails_within_the_limit_of_connecting() {
+fn connecting_to_an_address_that_does_not_answer_times_out() {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any: net::SocketAddr = "127.0.0.1:0".parse().unwrap();
     listener.bind(&any.into()).unwrap();
@@ -24,7 +25,7 @@
     for _ in 0..8 {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_nonblocking(true).unwrap();
-        // The opening goes out whether or not it is answered.
+        // The connection attempt is sent whether or not it is answered.
         let _ = socket.connect(&address.into());
         filling.push(socket);
     }
--- a/crates/cardamomwinch_transport/tests/log_sink.rs
+++ b/crates/cardamomwinch_transport/tests/log_sink.rs
@@ -1,4 +1,4 @@
-//! Log lines and their limits.
+//! Log lines, and what happens when there are too many.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::io;
@@ -35,9 +35,9 @@
 }
 
 /// An output that nobody reads until the sender is dropped.
-struct StuckOutput(mpsc::Receiver<()>, SharedOutput);
+struct BlockedOutput(mpsc::Receiver<()>, SharedOutput);
 
-impl io::Write for StuckOutput {
+impl io::Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         self.1.write(bytes)
@@ -70,23 +70,23 @@
 }
 
 #[test]
-fn messages_are_json_lines_whatever_they_hold() {
+fn messages_with_special_characters_are_json_lines() {
     let output = SharedOutput::default();
     let clock = HostClock::start();
     let sink = LogSink::start(output.clone(), 16, clock).unwrap();
     let logger = sink.logger(LevelFilter::Info, clock);
-    let hard = "quote \" backslash \\ line\nend \u{1} ä";
+    let special = "quote \" backslash \\ line\nend \u{1} ä";
     let log = |level, message| {
         let mut builder = log::Record::builder();
         builder.level(level).target("daemon");
         logger.log(&builder.args(format_args!("{message}")).build());
     };
-    log(log::Level::Warn, hard);
+    log(log::Level::Warn, special);
     log(log::Level::Debug, "below the level");
     drop(sink);
     let lines = output.lines();
     assert_eq!(lines.len(), 1);
-    assert_eq!(lines[0]["message"], hard);
+    assert_eq!(lines[0]["message"], special);
     assert_eq!(lines[0]["level"], "WARN");
     assert_eq!(lines[0]["target"], "daemon");
     assert!(lines[0]["time"].is_u64());
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_limiter_counts_what_it_left_out() {
+fn records_beyond_the_limit_are_counted_as_left_out() {
     let output = SharedOutput::default();
     let sink = LogSink::start(output.clone(), 64, HostClock::start()).unwrap();
     let mut logger = DecisionLogger::new(&sink, 3);
@@ -129,11 +129,11 @@
     assert_eq!(lines[4].get("left_out"), None);
 }
 
-// A rush of decisions ends, and then nothing is decided for hours. The reader of
-// the log would not learn that lines are missing, since only a later decision
-// carried their number.
+// A burst of decisions ends, and no decision follows for hours. If only the line of a
+// later decision carried the number left out, a reader of the log would not see that
+// lines are missing.
 #[test]
-fn what_was_left_out_is_reported_without_a_further_decision() {
+fn the_number_left_out_is_reported_without_a_further_decision() {
     let output = SharedOutput::default();
     let sink = LogSink::start(output.clone(), 64, HostClock::start()).unwrap();
     let mut logger = DecisionLogger::new(&sink, 2);
@@ -151,10 +151,10 @@
     assert_eq!(lines[2]["left_out"], 3);
 }
 
-// A host is told to stop in the middle of a rush. No later second comes in which
-// the number left out could be told.
+// A host is stopped in the middle of a burst of decisions, so there is no later second
+// in which the number left out could be reported.
 #[test]
-fn what_was_left_out_last_is_reported_at_the_end() {
+fn the_number_left_out_is_reported_when_the_logger_is_dropped() {
     let output = SharedOutput::default();
     let sink = LogSink::start(output.clone(), 64, HostClock::start()).unwrap();
     let mut logger = DecisionLogger::new(&sink, 2);
@@ -172,8 +172,8 @@
     );
 }
 
-// An operator sets the level to warn, and the log is still full of decisions:
-// they are lines of the level info.
+// Decisions are lines of the level info. Without the check of the level, they would
+// fill the log even if an operator sets the level to warn.
 #[test]
 fn decisions_are_logged_from_the_level_info_on() {
     for (level, count) in [
@@ -194,10 +194,10 @@
     }
 }
 
-// A rush of callers who are served fills the lines of a second. The one whose
-// request failed in it would find no line of his own.
+// A burst of successful requests uses up the lines of a second, and a request that
+// fails in the same second would not be logged.
 #[test]
-fn what_goes_well_leaves_room_for_what_fails() {
+fn records_of_successes_leave_room_for_those_of_failures() {
     let output = SharedOutput::default();
     let sink = LogSink::start(output.clone(), 64, HostClock::start()).unwrap();
     let mut logger = DecisionLogger::new(&sink, 4);
@@ -214,20 +214,20 @@
     assert_eq!(
         lines.len(),
         5,
-        "two of each, and the last that tells of the rest"
+        "two of each, and the line with the number left out"
     );
     assert_eq!(lines[2]["left_out"], 8);
 }
 
-// Whatever reads the standard output of the host stands still. Were lines
-// written on the traffic threads, the host would stop serving; here lines are
-// left out, and once the reader goes on their number is known.
+// The reader of the host's standard output is blocked. If the traffic threads wrote
+// the lines themselves, the host would stop serving. Instead lines are left out, and
+// their number is logged once the reader continues.
 #[test]
-fn a_stuck_output_loses_lines_but_blocks_nobody() {
+fn a_blocked_output_loses_lines_but_blocks_no_caller() {
     let output = SharedOutput::default();
-    let (release, stuck) = mpsc::channel();
+    let (release, blocked) = mpsc::channel();
     let clock = HostClock::start();
-    let sink = LogSink::start(StuckOutput(stuck, output.clone()), 8, clock).unwrap();
+    let sink = LogSink::start(BlockedOutput(blocked, output.clone()), 8, clock).unwrap();
     let mut decisions = DecisionLogger::new(&sink, u32::MAX);
     for _ in 0..100 {
         decisions.log(seconds(1), &PLACEMENT);
@@ -255,12 +255,12 @@
     assert_eq!(u64::try_from(written).unwrap() + left_out + unreported, 150);
 }
 
-// The process is told to stop while nobody reads its output. It must end.
+// The process is stopped while nobody reads its output. It must still end.
 #[test]
-fn a_stuck_output_does_not_keep_the_process() {
-    let (release, stuck) = mpsc::channel();
+fn a_blocked_output_does_not_keep_the_process_from_ending() {
+    let (release, blocked) = mpsc::channel();
     let clock = HostClock::start();
-    let sink = LogSink::start(StuckOutput(stuck, SharedOutput::default()), 8, clock).unwrap();
+    let sink = LogSink::start(BlockedOutput(blocked, SharedOutput::default()), 8, clock).unwrap();
     DecisionLogger::new(&sink, 1).log(seconds(1), &PLACEMENT);
     drop(sink);
     drop(release);
--- a/crates/cardamomwinch_transport/tests/metrics_sink.rs
+++ b/crates/cardamomwinch_transport/tests/metrics_sink.rs
@@ -1,10 +1,10 @@
-//! What the process counts and measures, as text.
+//! The metrics of the process, rendered as text.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use cardamomwinch_transport::prelude::*;
 use cardamomwinch_transport::rpc_endpoint::MetricsSource;
 
-/// One test, because a process has one recorder.
+/// A single test, because a process can have only one recorder.
 #[test]
 fn metrics_are_rendered_with_help_labels_and_buckets() {
     let sink = MetricsSink::install().unwrap();
--- a/crates/cardamomwinch_transport/tests/peer_rpc.rs
+++ b/crates/cardamomwinch_transport/tests/peer_rpc.rs
@@ -1,4 +1,4 @@
-//! Bulk exchange among hosts on loopback.
+//! Bulk exchange between hosts on loopback.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::io::{Read, Write};
@@ -17,7 +17,7 @@
 use jsonrpsee::types::ErrorObjectOwned;
 use yare::parameterized;
 
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 static METRICS: sync::OnceLock<MetricsSink> = sync::OnceLock::new();
 
@@ -29,14 +29,14 @@
 fn limits() -> PeerLimits {
     PeerLimits {
         connections: 8,
-        greeting_timeout: PATIENCE,
-        frame_timeout: PATIENCE,
+        greeting_timeout: TIMEOUT,
+        frame_timeout: TIMEOUT,
     }
 }
 
 type RunCounter = sync::Arc<atomic::AtomicU64>;
 
-/// Serves `echo`, and `run`, which counts how often it ran.
+/// Starts a server of the methods `echo` and `run`, which counts how often it ran.
 fn start(keys: AuthenticationKeys, limits: PeerLimits) -> (net::SocketAddr, RunCounter) {
     METRICS.get_or_init(|| MetricsSink::install().unwrap());
     let counter = RunCounter::default();
@@ -64,17 +64,17 @@
 
 fn run(address: net::SocketAddr, keys: AuthenticationKeys) -> Result<u64, PeerRpcError> {
     let empty: [u8; 0] = [];
-    block_on(PeerClient::new(keys).call(address, "run", &empty, PATIENCE))
+    block_on(PeerClient::new(keys).call(address, "run", &empty, TIMEOUT))
 }
 
 fn connect(address: net::SocketAddr) -> net::TcpStream {
     let stream = net::TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
-/// Reads until the peer closes; fails where it does not.
-fn drain(mut stream: &net::TcpStream) -> Vec<u8> {
+/// Reads until the peer closes the connection; fails if it does not.
+fn read_until_closed(mut stream: &net::TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     if let Err(error) = stream.read_to_end(&mut bytes) {
         assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
@@ -84,8 +84,8 @@
 
 type RelayHandle = thread::JoinHandle<(Vec<u8>, Vec<u8>)>;
 
-/// Relays one connection to `server`, passing each byte that the client sends
-/// through `alter` with its position. The handle yields what each side sent.
+/// Relays one connection to `server` and applies `alter` to each byte that the client
+/// sends, with its position. The handle returns the bytes that each side sent.
 fn relay(server: net::SocketAddr, alter: fn(usize, u8) -> u8) -> (net::SocketAddr, RelayHandle) {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -93,9 +93,9 @@
         let (client, _) = listener.accept().unwrap();
         let upstream = connect(server);
         let (from, to) = (client.try_clone().unwrap(), upstream.try_clone().unwrap());
-        let asked = thread::spawn(move || copy(&from, &to, alter));
+        let requested = thread::spawn(move || copy(&from, &to, alter));
         let answered = copy(&upstream, &client, |_, byte| byte);
-        (asked.join().unwrap(), answered)
+        (requested.join().unwrap(), answered)
     });
     (address, handle)
 }
@@ -121,7 +121,7 @@
     let (address, _) = start(keys(1, None), limits());
     let client = PeerClient::new(keys(1, None));
     let text = "ä\"\n".repeat(300_000);
-    let echoed: String = block_on(client.call(address, "echo", &[&text], PATIENCE)).unwrap();
+    let echoed: String = block_on(client.call(address, "echo", &[&text], TIMEOUT)).unwrap();
     assert_eq!(echoed, text);
 }
 
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_frame_that_breaks_off_is_counted() {
+fn a_truncated_frame_is_counted() {
     let (address, _) = start(keys(1, None), limits());
     let mut stream = connect(address);
     stream.write_all(&[0, 0]).unwrap();
@@ -156,26 +156,26 @@
 fn await_count(reason: &str) {
     let counted = format!("cardamomwinch_peer_rpc_errors_total{{reason=\"{reason}\"}}");
     let metrics = METRICS.get().unwrap();
-    let limit = time::Instant::now() + PATIENCE;
+    let limit = time::Instant::now() + TIMEOUT;
     while !metrics.render().contains(&counted) {
         assert!(time::Instant::now() < limit, "{}", metrics.render());
         thread::sleep(time::Duration::from_millis(5));
     }
 }
 
-// Somebody records a call between two hosts and sends the same bytes again
-// later. All of them were signed with the right key; were that enough, the call
-// would run a second time.
+// An attacker records a call between two hosts and sends the same bytes again later.
+// They are signed with the right key. If that were enough, the call would run a
+// second time.
 #[test]
 fn recorded_bytes_are_refused() {
     let (address, counter) = start(keys(1, None), limits());
     let (relayed, recording) = relay(address, |_, byte| byte);
     assert_eq!(run(relayed, keys(1, None)).unwrap(), 1);
-    let (asked, answered) = recording.join().unwrap();
+    let (requested, answered) = recording.join().unwrap();
 
     let mut replay = connect(address);
-    replay.write_all(&asked).unwrap();
-    drain(&replay);
+    replay.write_all(&requested).unwrap();
+    read_until_closed(&replay);
     assert_eq!(counter.load(atomic::Ordering::SeqCst), 1);
 
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -183,7 +183,7 @@
     let server = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         stream.write_all(&answered).unwrap();
-        drain(&stream);
+        read_until_closed(&stream);
     });
     let error = run(impostor, keys(1, None)).unwrap_err();
     let refused = matches!(
@@ -197,14 +197,14 @@
     server.join().unwrap();
 }
 
-// A byte of the request is altered on the way. The length and the greeting are
-// intact, so only the code over the request can tell.
+// A byte of the request is altered on the way. The length and the hello are intact,
+// so only the authentication code of the request can reveal it.
 #[test]
 fn an_altered_request_is_refused() {
-    const GREETING_LENGTH: usize = 4 + 16 + 32;
+    const HELLO_LENGTH: usize = 4 + 16 + 32;
     let (address, counter) = start(keys(1, None), limits());
     let (relayed, recording) = relay(address, |position, byte| {
-        byte ^ u8::from(position == GREETING_LENGTH + 4 + 16 + 5)
+        byte ^ u8::from(position == HELLO_LENGTH + 4 + 16 + 5)
     });
     let error = run(relayed, keys(1, None)).unwrap_err();
     assert!(matches!(error, PeerRpcError::Exchange { .. }), "{error:?}");
@@ -214,31 +214,31 @@
 
 #[parameterized(
     too_long = { &[0xff, 0xff, 0xff, 0xff] },
-    longer_than_a_greeting = { &[0, 0, 1, 0] },
+    longer_than_a_hello = { &[0, 0, 1, 0] },
     too_short_for_a_code = { &[0, 0, 0, 3, 1, 2, 3] },
 )]
 fn a_bad_length_closes_the_connection(bytes: &[u8]) {
     let (address, _) = start(keys(1, None), limits());
     let mut stream = connect(address);
     stream.write_all(bytes).unwrap();
-    assert!(drain(&stream).is_empty());
+    assert!(read_until_closed(&stream).is_empty());
 }
 
 #[test]
 fn a_silent_connection_is_closed() {
-    let hasty = PeerLimits {
+    let limits = PeerLimits {
         greeting_timeout: time::Duration::from_millis(50),
         ..limits()
     };
-    let (address, _) = start(keys(1, None), hasty);
-    assert!(drain(&connect(address)).is_empty());
+    let (address, _) = start(keys(1, None), limits);
+    assert!(read_until_closed(&connect(address)).is_empty());
 }
 
 #[test]
 fn failures_of_a_call_are_typed() {
     let (address, _) = start(keys(1, None), limits());
     let client = PeerClient::new(keys(1, None));
-    let call = |method| block_on(client.call::<u64, _>(address, method, &["a"], PATIENCE));
+    let call = |method| block_on(client.call::<u64, _>(address, method, &["a"], TIMEOUT));
     let Err(PeerRpcError::Refused { error, .. }) = call("none") else {
         panic!("an unknown method was not refused");
     };
@@ -246,7 +246,7 @@
     assert!(matches!(call("echo"), Err(PeerRpcError::Malformed { .. })));
 
     let long = "a".repeat(FRAME_LIMIT);
-    let outcome = block_on(client.call::<String, _>(address, "echo", &[long], PATIENCE));
+    let outcome = block_on(client.call::<String, _>(address, "echo", &[long], TIMEOUT));
     let Err(PeerRpcError::Exchange { source, .. }) = outcome else {
         panic!("an oversized request was sent");
     };
@@ -258,6 +258,6 @@
     let outcome = block_on(client.call::<u64, _>(silent_address, "run", &[0], limit));
     assert!(matches!(outcome, Err(PeerRpcError::TimedOut { .. })));
     drop(silent);
-    let outcome = block_on(client.call::<u64, _>(silent_address, "run", &[0], PATIENCE));
+    let outcome = block_on(client.call::<u64, _>(silent_address, "run", &[0], TIMEOUT));
     assert!(matches!(outcome, Err(PeerRpcError::Connect { .. })));
 }
--- a/crates/cardamomwinch_transport/tests/platform_client.rs
+++ b/crates/cardamomwinch_transport/tests/platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform and load clients against small stand-ins.
+//! The platform and load clients against small stand-in servers.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -13,8 +13,8 @@
 use support::Script;
 use yare::parameterized;
 
-const GENEROUS: time::Duration = time::Duration::from_secs(20);
-const SHORT: time::Duration = time::Duration::from_millis(50);
+const LONG_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const SHORT_TIMEOUT: time::Duration = time::Duration::from_millis(50);
 
 fn key() -> PlatformKey {
     "hosts".parse().unwrap()
@@ -39,7 +39,7 @@
 #[test]
 fn reads_and_watches_over_one_connection_with_get_only() {
     let (address, lines) = support::serve(vec![answer("200 OK", document(7, "a"), 2)]);
-    let mut client = client(&[address], GENEROUS);
+    let mut client = client(&[address], LONG_TIMEOUT);
     let reading = block_on(client.read(&key())).unwrap();
     assert_eq!((reading.revision, reading.value.as_str()), (7, "a"));
     let wait = time::Duration::from_millis(1500);
@@ -54,14 +54,15 @@
 fn reads_the_longest_value_in_its_longest_form() {
     let value = "\u{1}".repeat(VALUE_LIMIT);
     let (address, _lines) = support::serve(vec![answer("200 OK", document(1, &value), 1)]);
-    let reading = block_on(client(&[address], GENEROUS).read(&key())).unwrap();
+    let reading = block_on(client(&[address], LONG_TIMEOUT).read(&key())).unwrap();
     assert_eq!(reading.value.len(), VALUE_LIMIT);
 }
 
 #[test]
 fn an_unchanged_key_ends_the_watch() {
     let (address, _lines) = support::serve(vec![answer("204 No Content", String::new(), 1)]);
-    let outcome = block_on(client(&[address], GENEROUS).watch(&key(), 1, SHORT)).unwrap();
+    let outcome =
+        block_on(client(&[address], LONG_TIMEOUT).watch(&key(), 1, SHORT_TIMEOUT)).unwrap();
     assert_eq!(outcome, WatchOutcome::Unchanged);
 }
 
@@ -81,7 +82,8 @@
     expected: fn(&PlatformError) -> bool,
 ) {
     let (address, _lines) = support::serve(vec![answer(status, body, 1)]);
-    let error = block_on(client(&[address], GENEROUS).watch(&key(), 5, SHORT)).unwrap_err();
+    let error =
+        block_on(client(&[address], LONG_TIMEOUT).watch(&key(), 5, SHORT_TIMEOUT)).unwrap_err();
     assert!(expected(&error), "{error:?}");
 }
 
@@ -89,7 +91,7 @@
 fn bytes_that_are_not_http_are_a_typed_error() {
     let bytes = b"this is not the protocol\r\n\r\n".to_vec();
     let (address, _lines) = support::serve(vec![Script::Bytes(bytes)]);
-    let error = block_on(client(&[address], GENEROUS).read(&key())).unwrap_err();
+    let error = block_on(client(&[address], LONG_TIMEOUT).read(&key())).unwrap_err();
     assert!(matches!(
         error,
         PlatformError::Exchange {
@@ -99,13 +101,13 @@
     ));
 }
 
-// The platform is reachable but does not answer. Without a limit the host would
-// wait for it forever, and learn of no change even when another address of the
-// platform answers.
+// The platform is reachable but does not answer. Without a timeout the host would
+// wait for it forever and miss every change, even if another address of the platform
+// answers.
 #[test]
-fn a_silent_address_times_out_and_the_next_is_asked() {
-    let (silent, _lines) = support::serve(vec![Script::Silence, Script::Silence]);
-    let error = block_on(client(&[silent], SHORT).read(&key())).unwrap_err();
+fn a_silent_address_times_out_and_the_next_is_tried() {
+    let (silent, _lines) = support::serve(vec![Script::NoAnswer, Script::NoAnswer]);
+    let error = block_on(client(&[silent], SHORT_TIMEOUT).read(&key())).unwrap_err();
     let timed_out = |error: &PlatformError| {
         matches!(
             error,
@@ -121,13 +123,13 @@
     assert_eq!(block_on(client.read(&key())).unwrap().revision, 1);
 }
 
-// The platform closes idle connections. The client notices only when it asks
-// the next time; an operator would see every second read fail.
+// The platform closes idle connections, and the client notices only at its next
+// request. Without a retry on a new connection, every second read would fail.
 #[test]
 fn a_closed_connection_is_opened_again() {
     let script = answer("200 OK", document(1, "a"), 1);
     let (address, lines) = support::serve(vec![script.clone(), script.clone(), script]);
-    let mut client = client(&[address], GENEROUS);
+    let mut client = client(&[address], LONG_TIMEOUT);
     for _ in 0..3 {
         assert_eq!(block_on(client.read(&key())).unwrap().revision, 1);
     }
@@ -136,7 +138,7 @@
 
 #[test]
 fn no_address_and_bad_keys_are_typed_errors() {
-    let error = block_on(client(&[], GENEROUS).read(&key())).unwrap_err();
+    let error = block_on(client(&[], LONG_TIMEOUT).read(&key())).unwrap_err();
     assert!(matches!(error, PlatformError::NoAddress));
     for text in ["", "a b", "a?b", "a\r\nb", "ä", &"a".repeat(300)] {
         assert!(text.parse::<PlatformKey>().is_err(), "{text:?}");
@@ -148,7 +150,7 @@
 #[test]
 fn reads_a_load_report() {
     let (address, lines) = support::serve(vec![answer("200 OK", REPORT.to_owned(), 1)]);
-    let report = block_on(LoadClient::new(address, GENEROUS).read()).unwrap();
+    let report = block_on(LoadClient::new(address, LONG_TIMEOUT).read()).unwrap();
     assert_eq!((report.busy_slots, report.connections), (1, 20));
     assert_eq!(lines.recv().unwrap(), "GET /load HTTP/1.1");
 }
@@ -160,6 +162,6 @@
 )]
 fn a_bad_load_report_is_a_typed_error(script: Script, expected: fn(&LoadError) -> bool) {
     let (address, _lines) = support::serve(vec![script]);
-    let error = block_on(LoadClient::new(address, GENEROUS).read()).unwrap_err();
+    let error = block_on(LoadClient::new(address, LONG_TIMEOUT).read()).unwrap_err();
     assert!(expected(&error), "{error:?}");
 }
--- a/crates/cardamomwinch_transport/tests/rpc_endpoint.rs
+++ b/crates/cardamomwinch_transport/tests/rpc_endpoint.rs
@@ -1,4 +1,4 @@
-//! The management endpoint against plain sockets.
+//! The management endpoint, called over plain sockets.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::io::{Read, Write};
@@ -12,8 +12,8 @@
 use jsonrpsee::RpcModule;
 use yare::parameterized;
 
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
-const SHORT: time::Duration = time::Duration::from_millis(100);
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const SHORT_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 
 struct FixedMetrics;
 
@@ -32,13 +32,13 @@
     }
 }
 
-fn patient() -> EndpointLimits {
+fn generous_limits() -> EndpointLimits {
     EndpointLimits {
         connections: 4,
         body: 1024,
-        head_timeout: PATIENCE,
-        body_timeout: PATIENCE,
-        connection_lifetime: PATIENCE,
+        head_timeout: TIMEOUT,
+        body_timeout: TIMEOUT,
+        connection_lifetime: TIMEOUT,
     }
 }
 
@@ -65,7 +65,7 @@
 
 fn connect(address: net::SocketAddr) -> net::TcpStream {
     let stream = net::TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
@@ -93,7 +93,7 @@
     not_a_request = { r#"{"jsonrpc":"2.0"}"#, "-32600" },
 )]
 fn a_call_is_answered(body: &str, expected: &str) {
-    let (address, _) = start(patient());
+    let (address, _) = start(generous_limits());
     let answer = exchange(address, &request("POST", "/", body));
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
     assert!(answer.contains(expected), "{answer}");
@@ -107,7 +107,7 @@
     write_to_metrics = { "PUT", "/metrics", "405", "method_not_allowed" },
 )]
 fn a_path_is_answered(method: &str, path: &str, status: &str, expected: &str) {
-    let (address, _) = start(patient());
+    let (address, _) = start(generous_limits());
     let answer = exchange(address, &request(method, path, ""));
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status} ")),
@@ -118,7 +118,7 @@
 
 #[test]
 fn readiness_follows_its_source() {
-    let (address, switch) = start(patient());
+    let (address, switch) = start(generous_limits());
     let ask = || exchange(address, &request("GET", "/readyz", ""));
     assert!(ask().starts_with("HTTP/1.1 503 "));
     switch.0.store(true, atomic::Ordering::Relaxed);
@@ -127,7 +127,7 @@
 
 #[test]
 fn an_oversized_body_is_refused_announced_or_not() {
-    let (address, _) = start(patient());
+    let (address, _) = start(generous_limits());
     let announced = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1025\r\n\r\n";
     let mut stream = connect(address);
     stream.write_all(announced.as_bytes()).unwrap();
@@ -144,15 +144,15 @@
     assert_eq!(&answer, b"HTTP/1.1 413");
 }
 
-// Somebody opens as many connections as are allowed and then sends nothing, or
-// half a head, or half a body. Were they kept, the operator's command and the
-// probes of the platform would be turned away until the process is restarted.
+// A client opens as many connections as are allowed and then sends nothing, or half
+// a head, or half a body. If these connections were kept, the operator's command and
+// the probes of the platform would be refused until the process is restarted.
 #[parameterized(
-    half_a_head = { EndpointLimits { head_timeout: SHORT, ..patient() }, "POST / HT" },
-    half_a_body = { EndpointLimits { body_timeout: SHORT, ..patient() }, "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\n{" },
-    nothing = { EndpointLimits { connection_lifetime: SHORT, ..patient() }, "" },
+    half_a_head = { EndpointLimits { head_timeout: SHORT_TIMEOUT, ..generous_limits() }, "POST / HT" },
+    half_a_body = { EndpointLimits { body_timeout: SHORT_TIMEOUT, ..generous_limits() }, "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\n{" },
+    nothing = { EndpointLimits { connection_lifetime: SHORT_TIMEOUT, ..generous_limits() }, "" },
 )]
-fn slow_clients_do_not_pin_the_endpoint(limits: EndpointLimits, bytes: &str) {
+fn slow_clients_do_not_block_the_endpoint(limits: EndpointLimits, bytes: &str) {
     let (address, _) = start(limits);
     let mut slow: Vec<_> = (0..limits.connections).map(|_| connect(address)).collect();
     for stream in &mut slow {
@@ -160,7 +160,7 @@
     }
     for stream in &mut slow {
         let mut rest = Vec::new();
-        // An ending by reset counts as closed; only a timeout would be a failure.
+        // A reset counts as closed as well; only a timeout would be a failure.
         if let Err(error) = stream.read_to_end(&mut rest) {
             assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
         }
@@ -171,8 +171,8 @@
 
 #[test]
 fn connections_beyond_the_bound_are_closed() {
-    let (address, _) = start(patient());
-    let held: Vec<_> = (0..patient().connections)
+    let (address, _) = start(generous_limits());
+    let held: Vec<_> = (0..generous_limits().connections)
         .map(|_| connect(address))
         .collect();
     let mut refused = connect(address);
--- a/crates/cardamomwinch_transport/tests/support/mod.rs
+++ b/crates/cardamomwinch_transport/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins over plain sockets of the standard library.
+//! Stand-in servers on plain sockets of the standard library.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net;
@@ -6,25 +6,25 @@
 use std::thread;
 use std::time;
 
-/// How a stand-in treats one connection.
+/// How a stand-in server handles one connection.
 #[derive(Clone)]
 pub(crate) enum Script {
     /// Answers this many requests, then closes the connection.
     Answer {
-        /// The status line and headers beyond the length.
+        /// The status code and reason phrase of the status line.
         status: &'static str,
         /// The body of each answer.
         body: String,
         /// How many requests are answered.
         requests: usize,
     },
-    /// Sends these bytes whatever is asked.
+    /// Reads one request and answers with these bytes.
     Bytes(Vec<u8>),
-    /// Reads the request and never answers; ends when the peer leaves.
-    Silence,
+    /// Reads the request and never answers; ends when the peer closes the connection.
+    NoAnswer,
 }
 
-/// Serves one connection after another by the scripts. The receiver yields the
+/// Serves one connection after another, one for each script. The receiver returns the
 /// first line of each request.
 pub(crate) fn serve(scripts: Vec<Script>) -> (net::SocketAddr, mpsc::Receiver<String>) {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -64,7 +64,7 @@
             read_request(&mut reader, sender);
             let _ = stream.write_all(&bytes);
         }
-        Script::Silence => {
+        Script::NoAnswer => {
             read_request(&mut reader, sender);
             let _ = reader.read(&mut [0]);
         }
--- a/crates/cardamomwinch_transport/tests/timer.rs
+++ b/crates/cardamomwinch_transport/tests/timer.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_host_clock_does_not_fall_and_agrees_with_the_wall_at_its_start() {
+fn the_host_clock_does_not_go_back_and_starts_at_the_wall_time() {
     let before = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
     let clock = HostClock::start();
     let mut last = Timestamp::new(u64::try_from(before.unwrap().as_micros()).unwrap());
@@ -47,11 +47,11 @@
     }
 }
 
-// A process is paused for some seconds and wakes. Its heartbeat tick must show
-// that it is late, and the ticks that it slept through must not all follow at
-// once.
+// A process is paused for some seconds and resumes. The next tick of its heartbeat
+// must show how late it is, and the ticks missed during the pause must not all
+// follow at once.
 #[test]
-fn a_late_wake_is_visible_and_is_no_burst() {
+fn a_late_tick_shows_its_delay_and_no_burst_follows() {
     let clock = ManualClock::default();
     let service = TimerService::new(clock.clone());
     let mut subscription = service.subscribe_ticks("heartbeat", plan(time::Duration::ZERO));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_deadline_is_delivered_once_and_subscriptions_end_when_dropped() {
+fn a_deadline_is_delivered_once_and_dropping_ends_a_subscription() {
     let clock = ManualClock::default();
     let service = TimerService::new(clock.clone());
     let mut subscription = service.subscribe_deadline(5, Timestamp::new(1));
