--- a/crates/cardamomwinch_transport/src/http_client.rs
+++ b/crates/cardamomwinch_transport/src/http_client.rs
@@ -21,15 +21,15 @@
 
 /// The time to open a connection: enough for many round trips between regions, and
 /// short enough that a retry follows soon after a partition has healed.
-pub const CONNECT_LIMIT: time::Duration = time::Duration::from_secs(1);
+pub const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 /// The idle time before the first keep-alive probe of a connection, and the time
 /// between two probes; the operating system counts in whole seconds.
-const PROBE_PERIOD: time::Duration = time::Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// The number of unanswered probes after which a connection is closed.
-const PROBE_LIMIT: u32 = 2;
+const KEEPALIVE_RETRIES: u32 = 2;
 /// The time without an acknowledgement of sent data after which a connection is
 /// closed; the same time as the probes take.
-const SILENCE_LIMIT: time::Duration = time::Duration::from_secs(2);
+const ACKNOWLEDGEMENT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// Why an HTTP exchange failed.
 #[derive(Debug)]
@@ -169,10 +169,14 @@
             }
             .fail()
         };
-        future::or(self.get_unhurried(path, limits.body), timeout).await
+        future::or(self.get_without_timeout(path, limits.body), timeout).await
     }
 
-    async fn get_unhurried(&mut self, path: &str, limit: usize) -> Result<HttpAnswer, HttpError> {
+    async fn get_without_timeout(
+        &mut self,
+        path: &str,
+        limit: usize,
+    ) -> Result<HttpAnswer, HttpError> {
         // A peer may close an idle connection at any time, and the client notices
         // only at its next request. Reading twice is harmless, so that request is
         // repeated once on a new connection.
@@ -186,7 +190,7 @@
         self.exchange(connection, path, limit).await
     }
 
-    /// Opens a connection within [`CONNECT_LIMIT`], even if the whole exchange may
+    /// Opens a connection within [`CONNECT_TIMEOUT`], even if the whole exchange may
     /// take longer: an address behind a network partition answers nothing at all.
     async fn open_stream(&self) -> Result<TcpStream, HttpError> {
         let address = self.address;
@@ -196,8 +200,8 @@
                 .context(ConnectSnafu { address })
         };
         let expiry = async {
-            Timer::after(CONNECT_LIMIT).await;
-            let limit = CONNECT_LIMIT;
+            Timer::after(CONNECT_TIMEOUT).await;
+            let limit = CONNECT_TIMEOUT;
             TimedOutSnafu { address, limit }.fail()
         };
         future::or(opened, expiry).await
@@ -208,7 +212,7 @@
         let stream = self.open_stream().await?;
         // Otherwise small requests may wait for an acknowledgement.
         stream.set_nodelay(true).context(ConnectSnafu { address })?;
-        watch_over(&stream).context(ConnectSnafu { address })?;
+        enable_keepalive(&stream).context(ConnectSnafu { address })?;
         let (sender, driver) = http1::handshake(FuturesIo::new(stream))
             .await
             .context(ExchangeSnafu { address })?;
@@ -251,14 +255,14 @@
 /// keep waiting after the partition has healed, and the host would use outdated data
 /// meanwhile. Probes are answered by the operating system of the other end, so a peer
 /// that simply has nothing to send keeps its connection.
-fn watch_over(stream: &TcpStream) -> io::Result<()> {
+fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_PERIOD)
-        .with_interval(PROBE_PERIOD)
-        .with_retries(PROBE_LIMIT);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))
+    socket.set_tcp_user_timeout(Some(ACKNOWLEDGEMENT_TIMEOUT))
 }
 
 /// Polls the exchange and the connection that carries it. Returns `None` if the
--- a/crates/cardamomwinch_transport/src/log_sink.rs
+++ b/crates/cardamomwinch_transport/src/log_sink.rs
@@ -25,7 +25,7 @@
 
 const THREAD_NAME: &str = "log-writer";
 /// How long a process that ends waits for the queue to be written.
-const DRAIN_LIMIT: time::Duration = time::Duration::from_secs(2);
+const DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 const SINK_TARGET: &str = "cardamomwinch_transport::log_sink";
 
@@ -171,7 +171,7 @@
         // process show why it ended. The timeout ensures that an output that nobody
         // reads does not keep the process from ending.
         self.sender.queue.close();
-        let _ = self.ended.recv_timeout(DRAIN_LIMIT);
+        let _ = self.ended.recv_timeout(DRAIN_TIMEOUT);
     }
 }
 
@@ -252,7 +252,7 @@
         let _ = output.write_all(&line);
         let left_out = lost.swap(0, atomic::Ordering::Relaxed);
         if left_out > 0 {
-            let _ = output.write_all(&loss_line(left_out, clock));
+            let _ = output.write_all(&left_out_line(left_out, clock));
         }
         if receiver.is_empty() {
             let _ = output.flush();
@@ -261,7 +261,7 @@
     let _ = output.flush();
 }
 
-fn loss_line(left_out: u64, clock: &impl Clock) -> Vec<u8> {
+fn left_out_line(left_out: u64, clock: &impl Clock) -> Vec<u8> {
     let line = LogLine {
         time: clock.now().get(),
         level: "WARN",
--- a/crates/cardamomwinch_transport/src/metrics_recorder.rs
+++ b/crates/cardamomwinch_transport/src/metrics_recorder.rs
@@ -30,7 +30,7 @@
     distributions: sync::Mutex<SortedVector<SeriesKey, storage::Histogram>>,
 }
 
-fn locked<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
+fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     // Each change leaves the data consistent, so a panic of another thread does no harm.
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
@@ -50,12 +50,12 @@
     /// metrics contain their units.
     fn describe(&self, name: &KeyName, _unit: Option<Unit>, help: SharedString) {
         let name = formatting::sanitize_metric_name(name.as_str());
-        locked(&self.descriptions).insert(name, help);
+        lock(&self.descriptions).insert(name, help);
     }
 
     /// Adds the samples of histograms to their buckets. Until then each takes memory.
-    pub(crate) fn fold_samples(&self) {
-        let mut distributions = locked(&self.distributions);
+    pub(crate) fn aggregate_samples(&self) {
+        let mut distributions = lock(&self.distributions);
         self.registry.visit_histograms(|key, samples| {
             let Some(empty) = storage::Histogram::new(&TIME_BUCKETS) else {
                 return;
@@ -68,9 +68,9 @@
 
     /// Returns all metrics as text.
     pub(crate) fn render(&self) -> String {
-        self.fold_samples();
+        self.aggregate_samples();
         let mut text = MetricsText {
-            descriptions: locked(&self.descriptions),
+            descriptions: lock(&self.descriptions),
             output: String::new(),
         };
         let mut counters = SortedVector::new();
@@ -85,7 +85,7 @@
             gauges.insert(series, f64::from_bits(value.load(Ordering::Relaxed)));
         });
         text.write_values("gauge", &gauges);
-        text.write_distributions(&locked(&self.distributions));
+        text.write_distributions(&lock(&self.distributions));
         text.output
     }
 }
--- a/crates/cardamomwinch_transport/src/metrics_sink.rs
+++ b/crates/cardamomwinch_transport/src/metrics_sink.rs
@@ -20,7 +20,7 @@
 pub enum MetricsError {
     /// The process already has a recorder of metrics.
     #[snafu(display("a recorder of metrics is already installed"))]
-    Taken,
+    AlreadyInstalled,
 }
 
 /// The metrics of the process.
@@ -37,7 +37,7 @@
     pub fn install() -> Result<Self, MetricsError> {
         let recorder = sync::Arc::<MetricsRecorder>::default();
         let installed = metrics::set_global_recorder(sync::Arc::clone(&recorder));
-        installed.ok().context(TakenSnafu)?;
+        installed.ok().context(AlreadyInstalledSnafu)?;
         Ok(Self { recorder })
     }
 
@@ -51,7 +51,7 @@
         };
         let mut subscription = service.subscribe_ticks((), plan);
         while subscription.next().await.is_some() {
-            self.recorder.fold_samples();
+            self.recorder.aggregate_samples();
         }
     }
 }
--- a/crates/cardamomwinch_transport/src/peer_frame.rs
+++ b/crates/cardamomwinch_transport/src/peer_frame.rs
@@ -23,7 +23,7 @@
 pub const FRAME_LIMIT: usize = 4 * 1024 * 1024;
 
 const NONCE_LENGTH: usize = 32;
-const LENGTH_LENGTH: usize = 4;
+const LENGTH_FIELD_LENGTH: usize = 4;
 
 /// The length of what is signed before the body: the purpose, two nonces and the
 /// position.
@@ -103,7 +103,7 @@
         stream: TcpStream,
         keys: &'k AuthenticationKeys,
     ) -> Result<Self, FrameError> {
-        let mut session = Self::unproved(stream, keys);
+        let mut session = Self::unauthenticated(stream, keys);
         let nonce = random_nonce()?;
         session.write(FramePurpose::ClientHello, &nonce).await?;
         session.client_nonce = nonce;
@@ -118,7 +118,7 @@
         stream: TcpStream,
         keys: &'k AuthenticationKeys,
     ) -> Result<Self, FrameError> {
-        let mut session = Self::unproved(stream, keys);
+        let mut session = Self::unauthenticated(stream, keys);
         session.client_nonce = session.read_nonce(FramePurpose::ClientHello).await?;
         let nonce = random_nonce()?;
         session.write(FramePurpose::ServerHello, &nonce).await?;
@@ -126,7 +126,7 @@
         Ok(session)
     }
 
-    fn unproved(stream: TcpStream, keys: &'k AuthenticationKeys) -> Self {
+    fn unauthenticated(stream: TcpStream, keys: &'k AuthenticationKeys) -> Self {
         Self {
             stream,
             keys,
@@ -137,7 +137,7 @@
     }
 
     /// Sends a request and reads its response.
-    pub(crate) async fn ask(&mut self, request: &[u8]) -> Result<Vec<u8>, FrameError> {
+    pub(crate) async fn call(&mut self, request: &[u8]) -> Result<Vec<u8>, FrameError> {
         self.write(FramePurpose::Request, request).await?;
         let response = self.read(FramePurpose::Response, FRAME_LIMIT).await;
         self.position += 1;
@@ -186,18 +186,18 @@
         signed.extend_from_slice(&self.signed_prefix(purpose));
         signed.extend_from_slice(body);
         let code = code_bytes(self.keys.code(BULK_CONTEXT, &signed));
-        let mut head = [0; LENGTH_LENGTH + CODE_LENGTH];
-        head[..LENGTH_LENGTH].copy_from_slice(&announced.to_be_bytes());
-        head[LENGTH_LENGTH..].copy_from_slice(&code);
+        let mut head = [0; LENGTH_FIELD_LENGTH + CODE_LENGTH];
+        head[..LENGTH_FIELD_LENGTH].copy_from_slice(&announced.to_be_bytes());
+        head[LENGTH_FIELD_LENGTH..].copy_from_slice(&code);
         self.stream.write_all(&head).await.context(BrokenSnafu)?;
         self.stream.write_all(body).await.context(BrokenSnafu)
     }
 
     async fn read(&mut self, purpose: FramePurpose, limit: usize) -> Result<Vec<u8>, FrameError> {
-        let mut announced = [0; LENGTH_LENGTH];
+        let mut announced = [0; LENGTH_FIELD_LENGTH];
         let (first, rest) = announced.split_at_mut(1);
-        let begun = self.stream.read(first).await.context(BrokenSnafu)?;
-        snafu::ensure!(begun > 0, EndedSnafu);
+        let count = self.stream.read(first).await.context(BrokenSnafu)?;
+        snafu::ensure!(count > 0, EndedSnafu);
         self.read_exactly(rest).await?;
         // A length that doesn't fit into a `usize` is longer than any limit.
         let length = usize::try_from(u32::from_be_bytes(announced)).unwrap_or(usize::MAX);
--- a/crates/cardamomwinch_transport/src/peer_rpc.rs
+++ b/crates/cardamomwinch_transport/src/peer_rpc.rs
@@ -179,7 +179,7 @@
         };
         let request = serde_json::to_vec(&request).context(EncodeSnafu { method })?;
         let exchange = self.exchange(address, &request, limits.connect);
-        let response = within(limits.whole, address, exchange).await?;
+        let response = step_with_timeout(limits.whole, address, exchange).await?;
         parse_response(method, &response)
     }
 
@@ -193,18 +193,18 @@
             let stream = TcpStream::connect(address).await;
             stream.context(ConnectSnafu { address })
         };
-        let stream = within(limit, address, connect).await?;
+        let stream = step_with_timeout(limit, address, connect).await?;
         stream.set_nodelay(true).context(ConnectSnafu { address })?;
         let session = PeerSession::open(stream, &self.keys).await;
         let mut session = session.context(ExchangeSnafu { address })?;
-        let response = session.ask(request).await;
+        let response = session.call(request).await;
         response.context(ExchangeSnafu { address })
     }
 }
 
 /// Returns the result of `step` of a call to the peer at `address`, or times out after
 /// `limit`.
-async fn within<T>(
+async fn step_with_timeout<T>(
     limit: time::Duration,
     address: net::SocketAddr,
     step: impl Future<Output = Result<T, PeerRpcError>>,
@@ -235,7 +235,7 @@
     /// The number of connections held at the same time.
     pub connections: usize,
     /// The time in which a peer must prove that it holds an accepted key.
-    pub greeting_timeout: time::Duration,
+    pub handshake_timeout: time::Duration,
     /// The time to receive one request, and the time to send one response.
     pub frame_timeout: time::Duration,
 }
@@ -244,7 +244,7 @@
     fn default() -> Self {
         Self {
             connections: 64,
-            greeting_timeout: time::Duration::from_secs(2),
+            handshake_timeout: time::Duration::from_secs(2),
             frame_timeout: time::Duration::from_secs(10),
         }
     }
@@ -345,23 +345,24 @@
     /// Serves one connection until the peer closes it between two requests.
     async fn serve_peer(&self, stream: TcpStream) -> Result<(), ServeError> {
         let limits = self.limits;
-        let greeting = PeerSession::accept(stream, &self.keys);
-        let mut session = bounded(limits.greeting_timeout, greeting).await?;
+        let handshake = PeerSession::accept(stream, &self.keys);
+        let mut session = exchange_with_timeout(limits.handshake_timeout, handshake).await?;
         loop {
-            let request = match bounded(limits.frame_timeout, session.read_request()).await {
-                Err(ServeError::Frame {
-                    source: FrameError::Ended,
-                }) => return Ok(()),
-                outcome => outcome?,
-            };
+            let request =
+                match exchange_with_timeout(limits.frame_timeout, session.read_request()).await {
+                    Err(ServeError::Frame {
+                        source: FrameError::Ended,
+                    }) => return Ok(()),
+                    outcome => outcome?,
+                };
             let response = rpc_dispatch::dispatch(&self.module, &request).await;
             let sent = session.respond(response.as_bytes());
-            bounded(limits.frame_timeout, sent).await?;
+            exchange_with_timeout(limits.frame_timeout, sent).await?;
         }
     }
 }
 
-async fn bounded<T>(
+async fn exchange_with_timeout<T>(
     limit: time::Duration,
     exchange: impl Future<Output = Result<T, FrameError>>,
 ) -> Result<T, ServeError> {
--- a/crates/cardamomwinch_transport/src/platform_client.rs
+++ b/crates/cardamomwinch_transport/src/platform_client.rs
@@ -184,7 +184,10 @@
     /// Fails with the error of the address tried last if none answers.
     pub async fn read(&mut self, key: &PlatformKey) -> Result<KeyReading, PlatformError> {
         let path = format!("/v1/keys/{key}");
-        match self.ask_each(key, &path, self.timeout, None).await? {
+        match self
+            .try_each_address(key, &path, self.timeout, None)
+            .await?
+        {
             WatchOutcome::Changed(reading) => Ok(reading),
             WatchOutcome::Unchanged => UnexpectedStatusSnafu {
                 key: key.clone(),
@@ -207,11 +210,12 @@
         let wait_ms = wait.as_millis();
         let path = format!("/v1/keys/{key}?after={after}&wait_ms={wait_ms}");
         let timeout = self.timeout.saturating_add(wait);
-        self.ask_each(key, &path, timeout, Some(after)).await
+        self.try_each_address(key, &path, timeout, Some(after))
+            .await
     }
 
     /// Tries the address that answered last, and after a failure each of the others.
-    async fn ask_each(
+    async fn try_each_address(
         &mut self,
         key: &PlatformKey,
         path: &str,
@@ -224,7 +228,7 @@
                 .clients
                 .get_mut(self.preferred)
                 .context(NoAddressSnafu)?;
-            outcome = ask(client, key, path, timeout, after).await;
+            outcome = fetch(client, key, path, timeout, after).await;
             if matches!(outcome, Ok(_) | Err(PlatformError::Missing { .. })) {
                 return outcome;
             }
@@ -234,7 +238,7 @@
     }
 }
 
-async fn ask(
+async fn fetch(
     client: &mut HttpClient,
     key: &PlatformKey,
     path: &str,
--- a/crates/cardamomwinch_transport/src/timer.rs
+++ b/crates/cardamomwinch_transport/src/timer.rs
@@ -14,10 +14,10 @@
 /// The longest uninterrupted sleep. Sleeps are measured by a clock that stops while
 /// the machine is suspended. Checking the host's clock at least this often limits how
 /// late a deadline is noticed after a suspension.
-const LONGEST_SLEEP: time::Duration = time::Duration::from_secs(1);
+const MAX_SLEEP: time::Duration = time::Duration::from_secs(1);
 
 /// The shortest period, so that a period of zero does not keep a thread busy.
-const SHORTEST_PERIOD: time::Duration = time::Duration::from_millis(1);
+const MIN_PERIOD: time::Duration = time::Duration::from_millis(1);
 
 /// An event that a subscription delivers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,14 +57,17 @@
 #[derive(Debug, Clone)]
 pub struct TimerService<C> {
     clock: C,
-    live: sync::Arc<atomic::AtomicUsize>,
+    open_subscriptions: sync::Arc<atomic::AtomicUsize>,
 }
 
 impl<C: Clock + Clone> TimerService<C> {
     /// Creates a service that reads the time from `clock`.
     pub fn new(clock: C) -> Self {
-        let live = sync::Arc::new(atomic::AtomicUsize::new(0));
-        Self { clock, live }
+        let open_subscriptions = sync::Arc::new(atomic::AtomicUsize::new(0));
+        Self {
+            clock,
+            open_subscriptions,
+        }
     }
 
     /// The clock of the service.
@@ -74,12 +77,12 @@
 
     /// The number of subscriptions that have not been dropped.
     pub fn subscription_count(&self) -> usize {
-        self.live.load(atomic::Ordering::Relaxed)
+        self.open_subscriptions.load(atomic::Ordering::Relaxed)
     }
 
     /// Subscribes to ticks. The first is due one period from now, plus jitter.
     pub fn subscribe_ticks<K: Clone>(&self, key: K, plan: TickPlan) -> TimerSubscription<C, K> {
-        let period = plan.period.max(SHORTEST_PERIOD);
+        let period = plan.period.max(MIN_PERIOD);
         let mut ticks = TickState {
             base: self.clock.now(),
             period,
@@ -106,7 +109,8 @@
         planned: Option<Timestamp>,
         ticks: Option<TickState>,
     ) -> TimerSubscription<C, K> {
-        self.live.fetch_add(1, atomic::Ordering::Relaxed);
+        self.open_subscriptions
+            .fetch_add(1, atomic::Ordering::Relaxed);
         TimerSubscription {
             service: self.clone(),
             key,
@@ -178,13 +182,15 @@
             if now >= planned {
                 return now;
             }
-            Timer::after(planned.since(now).min(LONGEST_SLEEP)).await;
+            Timer::after(planned.since(now).min(MAX_SLEEP)).await;
         }
     }
 }
 
 impl<C, K> Drop for TimerSubscription<C, K> {
     fn drop(&mut self) {
-        self.service.live.fetch_sub(1, atomic::Ordering::Relaxed);
+        self.service
+            .open_subscriptions
+            .fetch_sub(1, atomic::Ordering::Relaxed);
     }
 }
--- a/crates/cardamomwinch_transport/tests/executor.rs
+++ b/crates/cardamomwinch_transport/tests/executor.rs
@@ -29,5 +29,5 @@
     metrics::counter!("flows_total").increment(3);
     assert!(sink.render().contains("flows_total 3"));
     let again = MetricsSink::install();
-    assert!(matches!(again, Err(MetricsError::Taken)));
+    assert!(matches!(again, Err(MetricsError::AlreadyInstalled)));
 }
--- a/crates/cardamomwinch_transport/tests/http_client.rs
+++ b/crates/cardamomwinch_transport/tests/http_client.rs
@@ -5,7 +5,9 @@
 use std::time;
 
 use async_io::block_on;
-use cardamomwinch_transport::http_client::{CONNECT_LIMIT, ExchangeLimits, HttpClient, HttpError};
+use cardamomwinch_transport::http_client::{
+    CONNECT_TIMEOUT, ExchangeLimits, HttpClient, HttpError,
+};
 use socket2::{Domain, Socket, Type};
 
 /// The store is behind a partition: nothing answers, not even with a refusal. A
@@ -37,5 +39,5 @@
     let Err(HttpError::TimedOut { limit, .. }) = outcome else {
         panic!("{outcome:?}");
     };
-    assert_eq!(limit, CONNECT_LIMIT);
+    assert_eq!(limit, CONNECT_TIMEOUT);
 }
--- a/crates/cardamomwinch_transport/tests/metrics_sink.rs
+++ b/crates/cardamomwinch_transport/tests/metrics_sink.rs
@@ -47,5 +47,5 @@
     answers.record(6.0);
     assert!(sink.render().contains("answer_seconds_count 3\n"));
     let again = MetricsSink::install();
-    assert!(matches!(again, Err(MetricsError::Taken)));
+    assert!(matches!(again, Err(MetricsError::AlreadyInstalled)));
 }
--- a/crates/cardamomwinch_transport/tests/peer_rpc.rs
+++ b/crates/cardamomwinch_transport/tests/peer_rpc.rs
@@ -29,7 +29,7 @@
 fn limits() -> PeerLimits {
     PeerLimits {
         connections: 8,
-        greeting_timeout: TIMEOUT,
+        handshake_timeout: TIMEOUT,
         frame_timeout: TIMEOUT,
     }
 }
@@ -227,7 +227,7 @@
 #[test]
 fn a_silent_connection_is_closed() {
     let limits = PeerLimits {
-        greeting_timeout: time::Duration::from_millis(50),
+        handshake_timeout: time::Duration::from_millis(50),
         ..limits()
     };
     let (address, _) = start(keys(1, None), limits);
