--- a/crates/cardamomwinch_ctl/src/arguments.rs
+++ b/crates/cardamomwinch_ctl/src/arguments.rs
@@ -14,10 +14,10 @@
 
 use crate::exit::CommandExit;
 
-/// How long a host may take to answer, in milliseconds.
+/// The default time for a host to answer, in milliseconds.
 pub const DEFAULT_TIMEOUT_MS: u64 = 3_000;
 
-/// Flows that are listed where no limit is given.
+/// How many flows are listed by default.
 pub const DEFAULT_FLOW_LIMIT: u32 = 50;
 
 const COMMANDS: &str = "\
@@ -40,40 +40,40 @@
     explain FLOW    where a datagram of CALLER->SERVICE would go, and why
     stop            begin a graceful stop";
 
-/// What is asked of a host.
+/// A request to a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HostQuestion {
-    /// How it is doing.
+pub enum HostRequest {
+    /// The status of the host.
     Status,
-    /// The hosts it knows.
+    /// The hosts that the host knows.
     Members,
-    /// The backend servers it knows.
+    /// The backend servers that the host knows.
     Backends,
-    /// Flows that it holds.
+    /// Flows that the host holds.
     Flows(FlowsParameters),
-    /// What a forwarding host believes.
+    /// What a forwarding host knows, and from which source.
     Beliefs,
-    /// Where a datagram would go.
+    /// Where a datagram of a flow would go, and why.
     Explain(ExplainParameters),
-    /// To stop gracefully.
+    /// A graceful stop.
     Stop,
 }
 
-/// A host and what is asked of it.
+/// A request and the host to send it to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostCall {
-    /// The address of its administration API.
+    /// The address of the administration API of the host.
     pub address: net::SocketAddr,
-    /// How long it may take to answer.
+    /// How long the host may take to answer.
     pub timeout: time::Duration,
-    /// What is asked.
-    pub question: HostQuestion,
+    /// The request.
+    pub request: HostRequest,
 }
 
-/// What to do.
+/// A command with its operands and options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Print how the command is used.
+    /// Print the help.
     Help,
     /// Print the version.
     Version,
@@ -81,29 +81,29 @@
     Check {
         /// The documents.
         files: Vec<path::PathBuf>,
-        /// Their kind; guessed where absent.
+        /// The kind of all of them; guessed for each if `None`.
         kind: Option<DocumentKind>,
     },
-    /// Compare two directories.
+    /// Compare two configuration directories.
     Diff {
-        /// What is in force.
+        /// The directory of the configuration in force.
         old: path::PathBuf,
-        /// What would be.
+        /// The directory of the changed configuration.
         new: path::PathBuf,
     },
-    /// Print identifiers.
+    /// Print the identifiers of names.
     Identify {
         /// The names.
         names: Vec<String>,
     },
-    /// Ask a host.
+    /// Send a request to a host.
     Host(HostCall),
 }
 
 /// The whole command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandArguments {
-    /// What to do.
+    /// The command.
     pub command: OperatorCommand,
     /// Whether to print JSON instead of tables.
     pub json: bool,
@@ -116,7 +116,7 @@
     /// An option is unknown, repeated or without its value.
     #[snafu(display("{source}"))]
     Options {
-        /// Which one.
+        /// Which option, and why.
         source: getopts::Fail,
     },
     /// No command is given.
@@ -128,12 +128,12 @@
         /// The unknown command.
         found: String,
     },
-    /// The command takes other operands.
+    /// The command does not take this number of operands.
     #[snafu(display("{command} takes {expected}, found {found}"))]
     Operands {
         /// The command.
         command: String,
-        /// What it takes.
+        /// The operands that it takes.
         expected: &'static str,
         /// The number of operands found.
         found: usize,
@@ -149,10 +149,10 @@
     /// The kind of document is unknown.
     #[snafu(display("--kind: {source}"))]
     Kind {
-        /// Why.
+        /// The error of the parser.
         source: KindParseError,
     },
-    /// The command asks a host and none is given.
+    /// The command needs a host, and no address is given.
     #[snafu(display("{command} needs --admin ADDRESS"))]
     NoAddress {
         /// The command.
@@ -163,7 +163,7 @@
     Address {
         /// The text found.
         found: String,
-        /// Why.
+        /// The error of the parser.
         source: net::AddrParseError,
     },
     /// A number is malformed.
@@ -173,18 +173,18 @@
         option: &'static str,
         /// The text found.
         found: String,
-        /// Why.
+        /// The error of the parser.
         source: num::ParseIntError,
     },
     /// The flow is malformed.
     #[snafu(display("{source}"))]
     Flow {
-        /// Why.
+        /// The error of the parser.
         source: FlowParseError,
     },
 }
 
-/// Options that only some commands use.
+/// The options that only some commands use.
 const VALUE_OPTIONS: [&str; 5] = ["kind", "admin", "timeout-ms", "limit", "token"];
 
 fn options() -> getopts::Options {
@@ -207,7 +207,7 @@
     options
 }
 
-/// How the command is used.
+/// Returns the text of the help.
 pub fn help() -> String {
     let mut text = options().usage(COMMANDS);
     text.push_str("\nExit codes:\n");
@@ -218,10 +218,10 @@
 }
 
 impl CommandArguments {
-    /// Reads the arguments after the name of the program.
+    /// Parses the arguments that follow the name of the program.
     ///
     /// # Errors
-    /// Fails on the first thing that is wrong.
+    /// Fails with the first error found.
     pub fn parse(arguments: &[String]) -> Result<Self, UsageError> {
         let matches = options().parse(arguments).context(OptionsSnafu)?;
         Ok(Self {
@@ -245,13 +245,13 @@
         "diff" => parse_diff(command, operands),
         "id" => parse_identify(command, operands),
         _ => {
-            let question = parse_question(matches, command, operands)?;
-            parse_host_call(matches, command, question).map(OperatorCommand::Host)
+            let request = parse_host_request(matches, command, operands)?;
+            parse_host_call(matches, command, request).map(OperatorCommand::Host)
         }
     }
 }
 
-/// The options that `command` uses, besides those that every command does.
+/// The options that `command` uses, besides those that every command uses.
 fn used_options(command: &str) -> &'static [&'static str] {
     match command {
         "check" => &["kind"],
@@ -262,8 +262,8 @@
     }
 }
 
-/// An option that a command silently ignored would let an operator believe
-/// that it took effect.
+/// Refuses options that `command` does not use. If they were silently ignored, an
+/// operator would think that they took effect.
 fn check_options(matches: &getopts::Matches, command: &str) -> Result<(), UsageError> {
     let used = used_options(command);
     let unused = VALUE_OPTIONS
@@ -279,7 +279,7 @@
     }
 }
 
-/// Fails unless there are as many operands as `command` takes.
+/// Returns an error about the number of operands unless `fits` is true.
 fn check_operands(
     command: &str,
     operands: &[String],
@@ -336,27 +336,27 @@
     })
 }
 
-fn parse_question(
+fn parse_host_request(
     matches: &getopts::Matches,
     command: &str,
     operands: &[String],
-) -> Result<HostQuestion, UsageError> {
+) -> Result<HostRequest, UsageError> {
     if command == "explain" {
-        return parse_explain(matches, command, operands).map(HostQuestion::Explain);
+        return parse_explain(matches, command, operands).map(HostRequest::Explain);
     }
-    let question = match command {
-        "status" => HostQuestion::Status,
-        "members" => HostQuestion::Members,
-        "backends" => HostQuestion::Backends,
-        "flows" => HostQuestion::Flows(FlowsParameters {
+    let request = match command {
+        "status" => HostRequest::Status,
+        "members" => HostRequest::Members,
+        "backends" => HostRequest::Backends,
+        "flows" => HostRequest::Flows(FlowsParameters {
             limit: parse_number(matches, "limit", DEFAULT_FLOW_LIMIT)?,
         }),
-        "beliefs" => HostQuestion::Beliefs,
-        "stop" => HostQuestion::Stop,
+        "beliefs" => HostRequest::Beliefs,
+        "stop" => HostRequest::Stop,
         found => return UnknownCommandSnafu { found }.fail(),
     };
     check_operands(command, operands, operands.is_empty(), "no operand")?;
-    Ok(question)
+    Ok(request)
 }
 
 fn parse_explain(
@@ -384,7 +384,7 @@
 fn parse_host_call(
     matches: &getopts::Matches,
     command: &str,
-    question: HostQuestion,
+    request: HostRequest,
 ) -> Result<HostCall, UsageError> {
     let found = matches.opt_str("admin");
     let found = found.context(NoAddressSnafu { command })?;
@@ -392,7 +392,7 @@
     Ok(HostCall {
         address: found.parse().context(AddressSnafu { found })?,
         timeout: time::Duration::from_millis(timeout),
-        question,
+        request,
     })
 }
 
--- a/crates/cardamomwinch_ctl/src/check_command.rs
+++ b/crates/cardamomwinch_ctl/src/check_command.rs
@@ -10,14 +10,14 @@
 use crate::outcome::{self, CommandOutcome};
 use crate::text_file::{self, TextFileError};
 
-/// Why a document does not pass.
+/// Why a document does not pass the check.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum DocumentFailure {
     /// The file can't be read.
     #[snafu(transparent)]
     File {
-        /// Why.
+        /// Why the file can't be read.
         source: TextFileError,
     },
     /// The document has errors.
@@ -26,7 +26,7 @@
         /// The errors.
         source: CheckReport,
     },
-    /// No top-level key tells what the document is.
+    /// No top-level key shows the kind of the document.
     #[snafu(display("{}: no key tells the kind of the document; give it by --kind", file.display()))]
     UnknownKind {
         /// The file.
@@ -34,13 +34,13 @@
     },
 }
 
-/// An error of a document, for programs.
+/// An error of a document, as written in JSON.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct ErrorLine {
-    /// The line, from one.
+    /// The line, counted from one.
     pub line: usize,
-    /// The column in characters, from one.
+    /// The column in characters, counted from one.
     pub column: usize,
     /// The dotted path of the key.
     pub key: String,
@@ -59,13 +59,13 @@
     }
 }
 
-/// The outcome for one document, for programs.
+/// The outcome for one document, as written in JSON.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct CheckedDocument {
     /// The file.
     pub file: String,
-    /// Its kind; absent where it can't be told.
+    /// Its kind; `None` if the document does not pass.
     pub kind: Option<String>,
     /// Whether it passes.
     pub passed: bool,
@@ -95,7 +95,8 @@
     }
 }
 
-/// Checks `files` as documents of `kind`, which is guessed where absent.
+/// Checks `files` as documents of `kind`, which is guessed for each file if it is
+/// `None`.
 pub fn run(files: &[path::PathBuf], kind: Option<DocumentKind>, json: bool) -> CommandOutcome {
     let checked: Vec<_> = files.iter().map(|file| check(file, kind)).collect();
     let documents = files.iter().zip(&checked);
--- a/crates/cardamomwinch_ctl/src/client.rs
+++ b/crates/cardamomwinch_ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks a host over its administration API: JSON-RPC 2.0 by HTTP POST.
+//! Sends requests to the administration API of a host: JSON-RPC 2.0 by HTTP POST.
 
 use std::error;
 use std::future::Future;
@@ -21,53 +21,54 @@
 use crate::rpc::{RpcRequest, RpcResponse};
 use crate::text_table::printable;
 
-/// A longer answer is refused, so that a wrong address can't fill the memory.
+/// The longest accepted answer, so that the server at a wrong address can't fill the
+/// memory.
 pub const ANSWER_BYTE_LIMIT: usize = 64 * 1024 * 1024;
 
-/// Why a host could not be asked.
+/// Why a call to a host failed.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ClientError {
-    /// No connection can be made.
+    /// The connection can't be opened.
     #[snafu(display("can't connect to {address}: {source}"))]
     Connect {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The host does not answer in time.
     #[snafu(display("no answer from {address} within {} ms", timeout.as_millis()))]
     TimedOut {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
-        /// How long it was waited for.
+        /// The timeout that expired.
         timeout: time::Duration,
     },
     /// The connection breaks.
     #[snafu(display("the connection to {address} broke: {source}"))]
     Exchange {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
-        /// Why.
+        /// The error of the library.
         source: hyper::Error,
     },
     /// The request can't be written as JSON.
     #[snafu(display("the request can't be encoded: {source}"))]
     Encode {
-        /// Why.
+        /// The error of the library.
         source: serde_json::Error,
     },
     /// The request can't be written as HTTP.
     #[snafu(display("the request can't be formed: {source}"))]
     Form {
-        /// Why.
+        /// The error of the library.
         source: hyper::http::Error,
     },
-    /// The host answers with another status than 200.
+    /// The host answers with a status other than 200.
     #[snafu(display("{address} answered with HTTP status {status}"))]
     HttpStatus {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
         /// The status.
         status: StatusCode,
@@ -75,45 +76,45 @@
     /// The answer is too long.
     #[snafu(display("the answer of {address} is longer than {ANSWER_BYTE_LIMIT} bytes"))]
     TooLong {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
     },
     /// The body of the answer can't be read to its end.
     #[snafu(display("the answer of {address} ended early: {source}"))]
     Body {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
-        /// Why.
+        /// The error of the library.
         source: Box<dyn error::Error + Send + Sync>,
     },
     /// The answer is not the expected JSON.
     #[snafu(display("the answer of {address} is not understood: {source}"))]
     Malformed {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
-        /// Why.
+        /// The error of the library.
         source: serde_json::Error,
     },
     /// The answer has neither a result nor an error.
     #[snafu(display("the answer of {address} holds neither a result nor an error"))]
     NoResult {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
     },
-    /// The host refuses.
+    /// The host refuses the request.
     #[snafu(display("{address} refused: {} (code {code})", printable(message)))]
     Refused {
-        /// The address.
+        /// The address of the host.
         address: net::SocketAddr,
         /// The code of the refusal.
         code: i64,
-        /// What the host says.
+        /// The message of the host.
         message: String,
     },
 }
 
 impl ClientError {
-    /// Whether the host gave no answer at all.
+    /// Whether no complete answer of the host arrived.
     pub const fn is_unreachable(&self) -> bool {
         matches!(
             self,
@@ -125,7 +126,7 @@
     }
 }
 
-/// Asks one host.
+/// Calls methods of one host.
 #[derive(Debug, Clone, Copy)]
 pub struct AdministrationClient {
     address: net::SocketAddr,
@@ -133,17 +134,17 @@
 }
 
 impl AdministrationClient {
-    /// A client of the host at `address`, which may take `timeout` to answer.
+    /// Creates a client of the host at `address`. `timeout` limits a whole call.
     pub const fn new(address: net::SocketAddr, timeout: time::Duration) -> Self {
         Self { address, timeout }
     }
 
-    /// Calls `method` with `parameters`, if it takes any, and waits for the
-    /// result.
+    /// Calls `method` and waits for the result. `parameters` is `None` if the method
+    /// takes none.
     ///
     /// # Errors
-    /// Fails where the host is not reached, is too slow, refuses, or answers
-    /// something else.
+    /// Fails if the host can't be reached, does not answer in time, refuses the
+    /// request, or returns anything but the expected result.
     pub fn call<P: Serialize, R: DeserializeOwned>(
         &self,
         method: &str,
@@ -179,8 +180,8 @@
             self.read_body(response.context(ExchangeSnafu { address })?)
                 .await
         };
-        // The connection has to be polled for the exchange to go on. When it
-        // breaks, the exchange fails by itself and says why.
+        // The exchange makes progress only while the connection is polled. If the
+        // connection breaks, the exchange itself fails with the cause.
         let drive = async {
             let _ = connection.await;
             future::pending().await
--- a/crates/cardamomwinch_ctl/src/diff_command.rs
+++ b/crates/cardamomwinch_ctl/src/diff_command.rs
@@ -1,4 +1,4 @@
-//! `diff`: what a change would move.
+//! `diff`: the effects of a change of the configuration.
 
 use std::path;
 
@@ -11,7 +11,7 @@
 use crate::outcome::{self, CommandOutcome};
 use crate::text_table::TextTable;
 
-/// A fragment of the new directory that would not be in force, for programs.
+/// A fragment of the new directory that would not be in force, as written in JSON.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct RefusedLine {
@@ -19,7 +19,7 @@
     pub team: String,
     /// The revision of its fragment.
     pub revision: u64,
-    /// Why.
+    /// Why it would be refused.
     pub reason: String,
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// What a change would move, for programs.
+/// The effects of a change, as written in JSON.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct DiffReport {
     /// The preset that would be in force.
     pub preset: String,
-    /// Whether a fragment mentions that preset. One that none mentions changes
-    /// nothing, and may be a typing error.
+    /// Whether a fragment mentions that preset. A preset that no fragment mentions
+    /// changes nothing, and its name may be misspelt.
     pub preset_mentioned: bool,
-    /// What would change; dangers first.
+    /// The changes; dangers first.
     pub changes: Vec<ChangeLine>,
     /// Fragments that would not be in force.
     pub refused: Vec<RefusedLine>,
--- a/crates/cardamomwinch_ctl/src/difference_text.rs
+++ b/crates/cardamomwinch_ctl/src/difference_text.rs
@@ -1,4 +1,4 @@
-//! A difference as lines of one table.
+//! A difference between two configurations as lines of a table.
 
 use std::fmt;
 use std::time;
@@ -11,14 +11,14 @@
 
 use crate::text_table::{TextTable, or_dash};
 
-/// How much a change asks for attention.
+/// How dangerous a change is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeSeverity {
-    /// It may cut or misdirect flows.
+    /// The change may cut off or misdirect flows.
     Danger,
-    /// It moves new flows only.
+    /// The change affects new flows only.
     Change,
 }
 
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct ChangeLine {
-    /// How much it asks for attention.
+    /// How dangerous the change is.
     pub severity: ChangeSeverity,
-    /// The service, if it is about one.
+    /// The service, if the change concerns one.
     pub service: Option<String>,
-    /// The backend server, if it is about one.
+    /// The backend server, if the change concerns one.
     pub backend: Option<String>,
     /// What changes.
     pub what: &'static str,
@@ -94,14 +94,14 @@
     }
 }
 
-/// Every change of `difference`, dangers first.
+/// Returns every change of `difference`, dangers first.
 pub(crate) fn change_lines(difference: &ConfigurationDifference) -> Vec<ChangeLine> {
     let mut lines = Vec::new();
     push_general(difference, &mut lines);
     push_services(difference, &mut lines);
     push_backends(difference, &mut lines);
     push_shares(difference, &mut lines);
-    // The sort is stable, so each part keeps its order by name.
+    // The sort is stable, so changes of the same severity keep their order.
     lines.sort_by_key(|line| line.severity);
     lines
 }
@@ -154,8 +154,8 @@
         millis(old.home_lease),
         millis(new.home_lease),
     );
-    // Hosts compute the shard and the hash of a flow from these. While they
-    // disagree, they look for the same flow in different places.
+    // Hosts compute the shard and the hash of a flow from these limits. While hosts
+    // use different values, they look for the same flow in different places.
     push(
         Danger,
         "limit shards_per_domain",
@@ -259,7 +259,7 @@
     }
 }
 
-/// `lines` as a table.
+/// Returns `lines` as a table.
 pub(crate) fn change_table(lines: &[ChangeLine]) -> TextTable {
     let mut table = TextTable::new(&[
         "severity",
--- a/crates/cardamomwinch_ctl/src/directory.rs
+++ b/crates/cardamomwinch_ctl/src/directory.rs
@@ -1,4 +1,4 @@
-//! A configuration kept as files: `root.jsonc` and `teams/*.jsonc`.
+//! A configuration in files: `root.jsonc` and `teams/*.jsonc`.
 
 use std::fs;
 use std::io;
@@ -16,10 +16,10 @@
 pub const ROOT_FILE: &str = "root.jsonc";
 /// The name of the directory with the fragments.
 pub const TEAMS_DIRECTORY: &str = "teams";
-/// The extension of a fragment.
+/// The extension of the file of a fragment.
 pub const FRAGMENT_EXTENSION: &str = "jsonc";
 
-/// Why a directory holds no configuration.
+/// Why a directory can't be read as a configuration.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum DirectoryFailure {
@@ -28,13 +28,13 @@
     Unlistable {
         /// The directory.
         directory: path::PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A file can't be read.
     #[snafu(transparent)]
     File {
-        /// Why.
+        /// Why the file can't be read.
         source: TextFileError,
     },
     /// A document has errors.
@@ -43,7 +43,7 @@
         /// The errors.
         source: CheckReport,
     },
-    /// The root document lists a team without a fragment.
+    /// The root document lists a team that has no fragment.
     #[snafu(display("{}: no fragment of the listed team {team}", directory.display()))]
     MissingFragment {
         /// The directory.
@@ -64,7 +64,8 @@
     /// Reads `directory`.
     ///
     /// # Errors
-    /// Gives everything that keeps it from being a configuration.
+    /// Fails with all errors found: those of the files, or if there are none, the missing
+    /// fragments.
     pub fn read(directory: &path::Path) -> Result<Self, Vec<DirectoryFailure>> {
         let mut failures = Vec::new();
         let root = read_document(&directory.join(ROOT_FILE), RootDocument::parse);
@@ -85,14 +86,14 @@
         }
     }
 
-    /// The configuration that would be in force. Files carry no version, so it
-    /// has none.
+    /// Returns the configuration that would be in force. Its version is zero, because
+    /// the files contain no version.
     pub fn resolve(&self) -> Resolution {
         resolve(&self.root, ConfigurationVersion::ZERO, &self.fragments)
     }
 
-    /// Whether a fragment mentions the preset in force. One that none mentions
-    /// changes nothing, and may be a typing error.
+    /// Whether a fragment mentions the preset in force. A preset that no fragment
+    /// mentions changes nothing, and its name may be misspelt.
     pub fn mentions_preset(&self) -> bool {
         let mut fragments = self.fragments.iter();
         fragments.any(|held| held.fragment.presets.contains_key(&self.root.preset))
@@ -128,8 +129,8 @@
     fragments
 }
 
-/// The fragments of `directory` by name, so that errors are always printed in
-/// the same order.
+/// Returns the files of the fragments in `directory`, sorted by name so that errors are
+/// always printed in the same order.
 fn list_fragments(directory: &path::Path) -> io::Result<Vec<path::PathBuf>> {
     let mut files = Vec::new();
     for entry in fs::read_dir(directory)? {
@@ -145,8 +146,9 @@
     Ok(files)
 }
 
-/// The revision comes from the root document. A team that it does not list is
-/// refused when the fragments are resolved, whatever the revision.
+/// Adds the revision that the root document lists for the team. If the root document
+/// does not list the team, the revision does not matter: the fragment is refused when
+/// the fragments are resolved.
 fn with_revision(root: &RootDocument, fragment: TeamFragment) -> AcceptedFragment {
     let revision = root.teams.get(&fragment.team).copied();
     AcceptedFragment {
--- a/crates/cardamomwinch_ctl/src/exit.rs
+++ b/crates/cardamomwinch_ctl/src/exit.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum CommandExit {
-    /// It did what was asked.
+    /// The command succeeded.
     Success = 0,
     /// A document has an error, or can't be read.
     CheckFailed = 1,
@@ -15,7 +15,7 @@
     Usage = 2,
     /// The host gave no answer in time.
     Unreachable = 3,
-    /// The host refused, or its answer means nothing to this command.
+    /// The host refused the request, or its answer was not understood.
     Refused = 4,
     /// The output could not be written.
     Output = 5,
@@ -32,7 +32,7 @@
         Self::Output,
     ];
 
-    /// The number.
+    /// The number that the process returns.
     pub const fn code(self) -> u8 {
         self as u8
     }
--- a/crates/cardamomwinch_ctl/src/host_command.rs
+++ b/crates/cardamomwinch_ctl/src/host_command.rs
@@ -1,4 +1,4 @@
-//! The commands that ask a host.
+//! The commands that send a request to a host.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::arguments::{HostCall, HostQuestion};
+use crate::arguments::{HostCall, HostRequest};
 use crate::client::{AdministrationClient, ClientError};
 use crate::exit::CommandExit;
 use crate::outcome::{self, CommandOutcome};
@@ -20,10 +20,11 @@
 /// No parameters.
 const NONE: Option<&()> = None;
 
-/// Asks the host of `call` and prints its answer.
+/// Sends the request of `call` to its host and returns the answer as text, or as JSON
+/// if `json` is set.
 pub fn run(call: &HostCall, json: bool) -> CommandOutcome {
     let client = AdministrationClient::new(call.address, call.timeout);
-    let printed = ask(&client, &call.question, json);
+    let printed = execute(&client, &call.request, json);
     printed.unwrap_or_else(|error| {
         let exit = if error.is_unreachable() {
             CommandExit::Unreachable
@@ -34,44 +35,44 @@
     })
 }
 
-fn ask(
+fn execute(
     client: &AdministrationClient,
-    question: &HostQuestion,
+    request: &HostRequest,
     json: bool,
 ) -> Result<CommandOutcome, ClientError> {
     let printer = AnswerPrinter { client, json };
-    match question {
-        HostQuestion::Status => printer.print(
+    match request {
+        HostRequest::Status => printer.print(
             administration::STATUS_METHOD,
             NONE,
             |report: &StatusReport| StatusText(report).to_string(),
         ),
-        HostQuestion::Members => printer.print(
+        HostRequest::Members => printer.print(
             administration::MEMBERS_METHOD,
             NONE,
             |report: &Vec<MemberReport>| MembersText(report).to_string(),
         ),
-        HostQuestion::Backends => printer.print(
+        HostRequest::Backends => printer.print(
             administration::BACKENDS_METHOD,
             NONE,
             |report: &Vec<BackendReport>| BackendsText(report).to_string(),
         ),
-        HostQuestion::Flows(parameters) => printer.print(
+        HostRequest::Flows(parameters) => printer.print(
             administration::FLOWS_METHOD,
             Some(parameters),
             |report: &FlowsReport| FlowsText(report).to_string(),
         ),
-        HostQuestion::Beliefs => printer.print(
+        HostRequest::Beliefs => printer.print(
             administration::BELIEFS_METHOD,
             NONE,
             |report: &BeliefReport| BeliefsText(report).to_string(),
         ),
-        HostQuestion::Explain(parameters) => printer.print(
+        HostRequest::Explain(parameters) => printer.print(
             administration::EXPLAIN_METHOD,
             Some(parameters),
             |report: &ExplainReport| ExplainText(report).to_string(),
         ),
-        HostQuestion::Stop => stop(client, json),
+        HostRequest::Stop => stop(client, json),
     }
 }
 
--- a/crates/cardamomwinch_ctl/src/identify_command.rs
+++ b/crates/cardamomwinch_ctl/src/identify_command.rs
@@ -1,4 +1,4 @@
-//! The identifiers that names stand for.
+//! `id`: the identifiers of names.
 
 use cardamomwinch_state::prelude::ServiceId;
 use serde::Serialize;
@@ -14,8 +14,8 @@
     id: String,
 }
 
-/// Prints the identifier of each of `names`. Services, failure domains and hosts
-/// are identified alike.
+/// Returns the identifier of each of `names`. The identifiers of services, failure
+/// domains and hosts are computed in the same way.
 pub fn run(names: &[String], json: bool) -> CommandOutcome {
     let identify = |name: &'_ String| ServiceId::from_name(name).to_string();
     let identifiers: Vec<_> = names
--- a/crates/cardamomwinch_ctl/src/lib.rs
+++ b/crates/cardamomwinch_ctl/src/lib.rs
@@ -1,7 +1,8 @@
-//! The operators' command: check, compare, inspect and stop.
+//! The command of operators: it checks and compares documents, inspects hosts and
+//! stops them.
 //!
-//! The library runs a command and returns what is to be printed; the program
-//! `cardamomwinchctl` prints it. Nothing here writes to the platform.
+//! The library runs a command and returns the text to print; the program
+//! `cardamomwinchctl` prints it. No command writes to the platform.
 //!
 //! ```
 //! use cardamomwinch_ctl::prelude::*;
--- a/crates/cardamomwinch_ctl/src/main.rs
+++ b/crates/cardamomwinch_ctl/src/main.rs
@@ -14,7 +14,7 @@
     let outcome = run(&arguments);
     match print(&outcome) {
         Ok(()) => outcome.exit.into(),
-        // A reader such as `head` that closes the pipe has what it wanted.
+        // A reader such as `head` closes the pipe when it has read enough.
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => outcome.exit.into(),
         Err(_) => CommandExit::Output.into(),
     }
--- a/crates/cardamomwinch_ctl/src/outcome.rs
+++ b/crates/cardamomwinch_ctl/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Runs a command line and gathers what is to be printed.
+//! Runs a command line and collects the text to print.
 
 use std::fmt;
 
@@ -11,19 +11,19 @@
 use crate::host_command;
 use crate::identify_command;
 
-/// What a command prints and how it ends.
+/// The output of a command and its exit code.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandOutcome {
-    /// For the standard output.
+    /// The text for the standard output.
     pub output: String,
-    /// For the standard error output.
+    /// The text for the standard error output.
     pub errors: String,
-    /// How it ends.
+    /// The exit code.
     pub exit: CommandExit,
 }
 
 impl CommandOutcome {
-    /// Prints `output` and succeeds.
+    /// The outcome of a command that prints `output` and succeeds.
     pub fn success(output: String) -> Self {
         Self {
             output,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Prints `error` and ends with `exit`.
+    /// The outcome of a command that prints `error` and ends with `exit`.
     pub fn failure(error: impl fmt::Display, exit: CommandExit) -> Self {
         Self {
             output: String::new(),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The same outcome, ending with `exit`.
+    /// The same outcome with the exit code `exit`.
     #[must_use]
     pub fn with_exit(mut self, exit: CommandExit) -> Self {
         self.exit = exit;
@@ -49,9 +49,9 @@
     }
 }
 
-/// `report` as indented JSON with a line break.
+/// Returns `report` as indented JSON that ends with a line break.
 pub(crate) fn to_json<T: Serialize>(report: &T) -> String {
-    // The reports hold only strings, numbers, lists and structures of them.
+    // Reports hold only strings, numbers, booleans, lists and structures of them.
     let text = serde_json::to_string_pretty(report).expect("a report has string keys only");
     text + "\n"
 }
--- a/crates/cardamomwinch_ctl/src/report_text.rs
+++ b/crates/cardamomwinch_ctl/src/report_text.rs
@@ -19,7 +19,7 @@
     writeln!(formatter, "{label:LABEL_WIDTH$}{}", printable(&value))
 }
 
-/// How a host is doing.
+/// The status of a host.
 pub(crate) struct StatusText<'r>(pub(crate) &'r StatusReport);
 
 impl fmt::Display for StatusText<'_> {
@@ -129,7 +129,7 @@
     }
 }
 
-/// Flows that a host holds.
+/// The flows that a host holds.
 pub(crate) struct FlowsText<'r>(pub(crate) &'r FlowsReport);
 
 impl fmt::Display for FlowsText<'_> {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Where a datagram would go.
+/// Where a datagram of a flow would go, and why.
 pub(crate) struct ExplainText<'r>(pub(crate) &'r ExplainReport);
 
 impl fmt::Display for ExplainText<'_> {
@@ -176,7 +176,7 @@
     }
 }
 
-/// What a forwarding host believes.
+/// What a forwarding host knows, and from which source.
 pub(crate) struct BeliefsText<'r>(pub(crate) &'r BeliefReport);
 
 impl fmt::Display for BeliefsText<'_> {
--- a/crates/cardamomwinch_ctl/src/rpc.rs
+++ b/crates/cardamomwinch_ctl/src/rpc.rs
@@ -1,9 +1,9 @@
-//! The envelopes of JSON-RPC 2.0.
+//! Requests and responses of JSON-RPC 2.0.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// The version of the protocol.
+/// The version of JSON-RPC.
 pub const PROTOCOL_VERSION: &str = "2.0";
 
 /// The identifier of the only request on a connection.
@@ -21,7 +21,7 @@
 }
 
 impl<'a, P> RpcRequest<'a, P> {
-    /// A request for `method` with `parameters`, if it takes any.
+    /// Creates a request for `method`. `parameters` is `None` if it takes none.
     pub const fn new(method: &'a str, parameters: Option<&'a P>) -> Self {
         Self {
             jsonrpc: PROTOCOL_VERSION,
@@ -36,9 +36,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct RpcError {
-    /// The code.
+    /// The error code of JSON-RPC.
     pub code: i64,
-    /// What it says.
+    /// The message for people.
     pub message: String,
 }
 
@@ -46,10 +46,10 @@
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub struct RpcResponse<'a> {
-    /// The result of a request that was served.
+    /// The result, if the request succeeded.
     #[serde(borrow, default)]
     pub result: Option<&'a RawValue>,
-    /// The error of a request that was not.
+    /// The error, if the request failed.
     #[serde(default)]
     pub error: Option<RpcError>,
 }
--- a/crates/cardamomwinch_ctl/src/text_file.rs
+++ b/crates/cardamomwinch_ctl/src/text_file.rs
@@ -11,12 +11,12 @@
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum TextFileError {
-    /// The operating system refuses.
+    /// The operating system can't read the file.
     #[snafu(display("{}: {source}", file.display()))]
     Unreadable {
         /// The file.
         file: path::PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The bytes are not UTF-8.
@@ -24,15 +24,15 @@
     NotText {
         /// The file.
         file: path::PathBuf,
-        /// Where.
+        /// The position of the first invalid byte.
         source: string::FromUtf8Error,
     },
 }
 
-/// The text in `file`.
+/// Returns the text in `file`.
 ///
 /// # Errors
-/// Fails where the file can't be read or is not UTF-8.
+/// Fails if the file can't be read or is not UTF-8.
 pub fn read(file: &path::Path) -> Result<String, TextFileError> {
     let bytes = fs::read(file).context(UnreadableSnafu { file })?;
     String::from_utf8(bytes).context(NotTextSnafu { file })
--- a/crates/cardamomwinch_ctl/src/text_table.rs
+++ b/crates/cardamomwinch_ctl/src/text_table.rs
@@ -13,7 +13,7 @@
 }
 
 impl TextTable {
-    /// Creates a table with `headings`.
+    /// Creates a table with the column headings `headings`, printed in upper case.
     pub fn new(headings: &[&str]) -> Self {
         let headings = headings.iter().map(|heading| heading.to_uppercase());
         Self {
@@ -53,14 +53,14 @@
     }
 }
 
-/// `value` as text, or a dash where there is none.
+/// Returns `value` as text, or a dash if it is `None`.
 pub fn or_dash<T: fmt::Display>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
 
-/// `text` with its control characters escaped. Names and reasons come from
-/// documents of many teams; printed as they are, an escape sequence in one of
-/// them could recolour or rewrite what the operator sees of the others.
+/// Returns `text` with its control characters escaped. Names and reasons come from
+/// documents of many teams. If they were printed unescaped, an escape sequence in one
+/// of them could recolour or overwrite the other output that the operator sees.
 pub fn printable(text: &str) -> borrow::Cow<'_, str> {
     if !text.contains(char::is_control) {
         return borrow::Cow::Borrowed(text);
--- a/crates/cardamomwinch_ctl/tests/documents_command.rs
+++ b/crates/cardamomwinch_ctl/tests/documents_command.rs
@@ -1,4 +1,4 @@
-//! `check` and `diff`, run as a process.
+//! The commands without a host (`check`, `diff` and `id`), run as a process.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::fs;
@@ -13,7 +13,7 @@
   "presets": {"ordinary": {}, "deadline-peak": {"benchmark-desk": {"bd-2": {"weight": 300}}}}}"#;
 const ROOT: &str = r#"{"preset": "ordinary", "teams": {"search": 1}}"#;
 
-/// A directory of its own for the test `name`, empty at first.
+/// Creates an empty directory for the test `name`.
 fn directory(name: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&directory);
@@ -88,7 +88,8 @@
     assert_eq!(output.status.code(), Some(1));
 }
 
-/// Writes directories `old` and `new` that differ as the arguments say.
+/// Writes the directories `old` and `new`, the latter with the given root document and
+/// fragment.
 fn configurations(name: &str, new_root: &str, new_fragment: &str) -> PathBuf {
     let directory = directory(name);
     write(&directory, "old/root.jsonc", ROOT);
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn a_clash_of_teams_fails_and_names_the_refused_fragment() {
+fn a_conflict_of_teams_fails_and_names_the_refused_fragment() {
     let root = ROOT.replace("1}", "1, \"vault\": 2}");
     let directory = configurations("clash", &root, FRAGMENT);
     let vault = r#"{"team": "vault", "services": {"docvault": {"address": "127.0.0.1:7001", "backends": {}}}}"#;
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn everything_wrong_with_both_directories_is_printed() {
+fn all_errors_of_both_directories_are_printed() {
     let root = "{\"preset\": 1, \"teams\": {}}";
     let directory = configurations("wrong", root, "[]");
     write(
@@ -231,8 +232,8 @@
     expect(&run(anywhere, &["--version"]), 0, version);
 }
 
-/// The log of a forwarding host names services by identifier. Whoever knows the
-/// name finds its lines with what this prints.
+/// The log of a forwarding host contains the identifiers of services. With `id` an
+/// operator who knows a name finds the lines of its service.
 #[test]
 fn identifiers_of_names_are_printed() {
     let directory = directory("identifiers");
--- a/crates/cardamomwinch_ctl/tests/host_command.rs
+++ b/crates/cardamomwinch_ctl/tests/host_command.rs
@@ -1,5 +1,5 @@
-//! The commands that ask a host, run as a process against a responder that
-//! answers one request with a prepared text.
+//! The commands that send a request to a host, run as a process against a responder
+//! that answers one request with a prepared text.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -29,7 +29,8 @@
     String::from_utf8(body).unwrap()
 }
 
-/// Answers one request with `answer`, byte for byte, and returns its body.
+/// Answers one request with `answer`, byte for byte. The handle returns the body of the
+/// request.
 fn respond_once(answer: String) -> (SocketAddr, thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -187,8 +188,8 @@
     assert_eq!(output.status.code(), Some(4));
 }
 
-/// A team has put an escape sequence into a name. Printed as it is, it would
-/// clear the operator's screen or paint a failing server as healthy.
+/// A team has put an escape sequence into a name. If it were printed unescaped, it could
+/// clear the operator's screen or show a failing server as healthy.
 #[parameterized(
     label = { "explain", r#"{"service":"s\u001b[2J","backend":null,"home_host":null,"reason":"pin","version":7}"#, "service           s\\u{1b}[2J\n" },
     cell = { "flows", r#"{"total":1,"flows":[{"flow":"f","backend":"b\u0007\n","since_ms":1}]}"#, "b\\u{7}\\n" },
@@ -206,7 +207,7 @@
     assert!(!printed.contains(['\u{1b}', '\u{7}']), "{printed:?}");
 }
 
-/// The same in the message of a refusal.
+/// The message of a refusal contains an escape sequence.
 #[test]
 fn control_characters_of_a_refusal_are_escaped() {
     let refusal = r#"{"jsonrpc":"2.0","id":1,"error":{"code":-32602,"message":"\u001b[2J"}}"#;
@@ -219,7 +220,7 @@
 }
 
 #[test]
-fn a_host_that_stops_already_exits_with_4() {
+fn a_host_that_is_already_stopping_exits_with_4() {
     let (address, responder) = respond_once(result(r#"{"accepted":false}"#));
     let output = run(address, &["stop"]);
     responder.join().unwrap();
@@ -247,8 +248,8 @@
     assert_eq!(output.status.code(), Some(3));
 }
 
-/// The process of a host has ended. Its port stays bound here without
-/// listening, so that no other test can be given it.
+/// The process of a host has ended. Here its port stays bound without listening, so
+/// that the operating system gives it to no other test.
 #[test]
 fn a_host_that_does_not_listen_exits_with_3() {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -264,8 +265,8 @@
     assert_eq!(output.status.code(), Some(3));
 }
 
-/// A host was paused: its connection opens, since the operating system accepts
-/// it, but no answer ever comes. The operator must get the prompt back.
+/// The process of a host is paused. The connection opens, because the operating system
+/// accepts it, but no answer ever arrives. The command must still end.
 #[test]
 fn a_silent_host_exits_with_3() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
