--- a/crates/cardamomwinch_forwarder/src/traffic_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/traffic_thread.rs
@@ -28,7 +28,7 @@
 /// Room for the prefix, the longest packet, and one byte by which a longer one
 /// is noticed.
 const BUFFER_LENGTH: usize =
-    packet::SERVER_PREFIX_LENGTH + packet::HEAD_LENGTH + packet::DATA_LIMIT + 1;
+    packet::SERVER_PREFIX_LENGTH + packet::HEAD_LENGTH + packet::MAX_DATA_LENGTH + 1;
 
 /// When a packet came last, for the thread that decides about the stop.
 #[derive(Debug, Default, Clone)]
@@ -281,7 +281,7 @@
                 token,
             } => {
                 let datagram = &mut buffer[..end];
-                packet::address_to_server(datagram, server, token);
+                packet::prepare_for_server(datagram, server, token);
                 self.send(&buffer[..end], address);
             }
             PacketFate::Reset => self.reset(&decoded.flow, decoded.acknowledged),
--- a/crates/cardamomwinch_forwarder/tests/soak/planted.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/planted.rs
@@ -157,7 +157,7 @@
         let mut datagram = vec![0; packet::SERVER_PREFIX_LENGTH];
         datagram.extend_from_slice(packet);
         let token = FlowToken::new(number as u32);
-        packet::address_to_server(&mut datagram, BackendId::new(number), token);
+        packet::prepare_for_server(&mut datagram, BackendId::new(number), token);
         // A server that is gone loses the packet, as on a network.
         drop(self.socket.send_to(&datagram, known.identity.address));
         true
