--- a/crates/cardamomwinch_forwarder/src/administration.rs
+++ b/crates/cardamomwinch_forwarder/src/administration.rs
@@ -1,4 +1,4 @@
-//! What operators may ask a forwarding host.
+//! The administration API of a forwarding host, for operators.
 
 use async_channel::Sender;
 use cardamomwinch_coordination::forwarding::discovery::DiscoveryEngine;
@@ -14,27 +14,27 @@
 use jsonrpsee::types::{ErrorCode, ErrorObjectOwned};
 use snafu::{ResultExt, Snafu};
 
-use crate::belief_lines;
-use crate::control_thread::ControlQuestion;
+use crate::control_thread::ControlMessage;
+use crate::discovery_lines;
 use crate::view_cell::ViewCell;
 
-/// What answers the methods.
+/// What the methods need to answer.
 #[derive(Clone)]
 pub struct AdministrationContext {
-    /// Takes questions to control.
-    pub questions: Sender<ControlQuestion>,
-    /// What forwarding decides against.
+    /// Sends messages to the control thread.
+    pub control: Sender<ControlMessage>,
+    /// The views that the traffic thread uses.
     pub views: ViewCell,
     /// The hash of flows, the same on all hosts.
     pub hasher: FlowHasher,
-    /// The time of the views.
+    /// The clock of the views.
     pub clock: HostClock,
 }
 
-/// What an operator asks is not understood.
+/// The parameters of a call are invalid.
 #[derive(Debug)]
 #[derive(Snafu)]
-enum QuestionError {
+enum ParameterError {
     #[snafu(display("{source}"))]
     Flow { source: FlowParseError },
     #[snafu(display("a token is up to eight hexadecimal digits, found {found:?}"))]
@@ -44,8 +44,8 @@
     },
 }
 
-impl From<QuestionError> for ErrorObjectOwned {
-    fn from(error: QuestionError) -> Self {
+impl From<ParameterError> for ErrorObjectOwned {
+    fn from(error: ParameterError) -> Self {
         Self::owned(
             ErrorCode::InvalidParams.code(),
             error.to_string(),
@@ -54,15 +54,15 @@
     }
 }
 
-/// Describes what `engine` believes at `now`.
-pub fn describe_beliefs(engine: &DiscoveryEngine, now: Timestamp) -> api::BeliefReport {
+/// Describes what `engine` knows at `now`.
+pub fn describe_discovery(engine: &DiscoveryEngine, now: Timestamp) -> api::BeliefReport {
     let view = engine.view();
     let servers = view.directory.iter().map(|server| api::BelievedServer {
         server: server.id.to_string(),
         address: server.address,
         service: server.service.to_string(),
         own_domain: view.domain == Some(server.domain),
-        phase: belief_lines::phase_name(server.phase).to_owned(),
+        phase: discovery_lines::phase_name(server.phase).to_owned(),
     });
     let evacuated = view.directory.evacuations().iter();
     let evacuated = evacuated.filter(|evacuation| evacuation.is_active());
@@ -81,15 +81,15 @@
     }
 }
 
-/// Answers where a packet would go by `view`.
+/// Explains where `view` would send a packet.
 fn explain(
-    asked: &api::ExplainParameters,
+    parameters: &api::ExplainParameters,
     view: &ForwardingView,
     hasher: FlowHasher,
     now: Timestamp,
-) -> Result<api::ExplainReport, QuestionError> {
-    let flow: FlowKey = asked.flow.parse().context(FlowSnafu)?;
-    let token = asked.token.as_ref().map(|digits| {
+) -> Result<api::ExplainReport, ParameterError> {
+    let flow: FlowKey = parameters.flow.parse().context(FlowSnafu)?;
+    let token = parameters.token.as_ref().map(|digits| {
         let token = digits.parse::<FlowToken>();
         token.context(TokenSnafu { found: digits })
     });
@@ -108,25 +108,25 @@
 /// The methods of the administration API.
 ///
 /// # Errors
-/// Fails where a method is named twice.
+/// Fails if a method is registered twice.
 pub fn module(context: AdministrationContext) -> Result<RpcModule<()>, RegisterMethodError> {
     let mut module = RpcModule::new(());
-    let questions = context.questions.clone();
+    let control = context.control.clone();
     module.register_async_method(api::BELIEFS_METHOD, move |_, _, _| {
-        let questions = questions.clone();
+        let control = control.clone();
         async move {
             let (answer, answers) = async_channel::bounded(1);
-            let question = ControlQuestion::Report { answer };
+            let message = ControlMessage::OperatorQuery { answer };
             let busy = || ErrorObjectOwned::from(ErrorCode::ServerIsBusy);
-            questions.try_send(question).map_err(|_| busy())?;
+            control.try_send(message).map_err(|_| busy())?;
             answers.recv().await.map_err(|_| busy())
         }
     })?;
     module.register_method(api::EXPLAIN_METHOD, move |params, _, _| {
-        let asked: api::ExplainParameters = params.parse()?;
+        let parameters: api::ExplainParameters = params.parse()?;
         let view = context.views.load();
         let now = context.clock.now();
-        let report = explain(&asked, &view, context.hasher, now)?;
+        let report = explain(&parameters, &view, context.hasher, now)?;
         Ok::<_, ErrorObjectOwned>(report)
     })?;
     Ok(module)
--- a/crates/cardamomwinch_forwarder/src/bin/cardamomwinch_forwarder.rs
+++ b/crates/cardamomwinch_forwarder/src/bin/cardamomwinch_forwarder.rs
@@ -1,4 +1,4 @@
-//! `cardamomwinch-forwarder`: forwards flows until it is told to stop.
+//! `cardamomwinch-forwarder`: forwards flows until it receives a signal to stop.
 
 use std::process;
 
@@ -15,7 +15,7 @@
     match launch::run(&arguments.settings) {
         Ok(StopCause::Quiet | StopCause::Deadline) => ProgramEnd::Graceful,
         Ok(StopCause::SecondSignal) => {
-            ProgramEnd::Cut("ended by a second signal while packets still came".to_owned())
+            ProgramEnd::Cut("ended by a second signal while packets still arrived".to_owned())
         }
         Err(error @ LaunchError::Settings { .. }) => ProgramEnd::SettingsRefused(error.to_string()),
         Err(error) => ProgramEnd::LaunchFailed(error.to_string()),
--- a/crates/cardamomwinch_forwarder/src/control_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/control_thread.rs
@@ -1,4 +1,5 @@
-//! The thread that learns what is in force and publishes it.
+//! The thread that discovers the configuration and the servers and publishes them as a
+//! view.
 
 use std::cell;
 use std::net;
@@ -22,39 +23,39 @@
 };
 
 use crate::administration;
-use crate::belief_lines::BeliefLine;
+use crate::discovery_lines::DiscoveryLine;
 use crate::peer_calls;
 use crate::view_cell::ViewCell;
 
-/// How often beliefs age, and questions are answered that waited in vain.
+/// How often old data expires, and queries whose wait time is over are answered.
 const TICK_PERIOD: time::Duration = time::Duration::from_millis(500);
-/// The pause after reports were passed on, in which further ones gather: short beside the
-/// half second after which they decide, and few calls even while a whole failure domain
-/// goes dark.
+/// The pause after reports were sent, during which further ones are collected. It is short
+/// compared with the half second after which reports take effect, but keeps the number of
+/// calls low even while a whole failure domain fails.
 const REPORT_PAUSE: time::Duration = time::Duration::from_millis(100);
 
-/// Something that others want to know of control.
-pub enum ControlQuestion {
-    /// A peer asks what is believed.
-    Peer {
-        /// What it knows already.
-        question: PeerQuery,
-        /// Takes the answer.
+/// A message to the control thread.
+pub enum ControlMessage {
+    /// A peer queries what the host knows.
+    PeerQuery {
+        /// The query, with what the peer knows already.
+        query: PeerQuery,
+        /// Receives the answer.
         answer: Sender<PeerAnswer>,
     },
-    /// The traffic thread has seen something of servers.
-    Seen {
-        /// What it has seen.
+    /// The traffic thread reports about servers.
+    TrafficReports {
+        /// The reports.
         reports: Vec<ServerReport>,
     },
-    /// A peer tells what was seen of servers.
-    Told {
-        /// What it tells.
+    /// A peer reports about servers.
+    PeerReports {
+        /// The reports.
         reports: Vec<PeerReport>,
     },
-    /// An operator asks what is believed.
-    Report {
-        /// Takes the answer.
+    /// An operator queries what the host knows.
+    OperatorQuery {
+        /// Receives the answer.
         answer: Sender<BeliefReport>,
     },
 }
@@ -62,57 +63,59 @@
 struct ControlState {
     engine: DiscoveryEngine,
     waiting: WaitingQueries<Sender<PeerAnswer>>,
-    /// Wakes the task that passes reports on.
-    reported: Sender<()>,
-    logger: DecisionLogger<BeliefLine>,
+    /// Wakes the task that sends reports to peers.
+    reporting: Sender<()>,
+    logger: DecisionLogger<DiscoveryLine>,
     views: ViewCell,
     clock: HostClock,
     version: metrics::Gauge,
     servers: metrics::Gauge,
-    heard_age: metrics::Gauge,
+    view_age: metrics::Gauge,
 }
 
 impl ControlState {
-    /// Lets the engine decide, then logs and publishes what came of it.
+    /// Runs `decide` on the engine, then logs the changes, publishes the view and answers the
+    /// queries that are due.
     fn decide<T>(&mut self, decide: impl FnOnce(&mut DiscoveryEngine) -> T) -> T {
         let outcome = decide(&mut self.engine);
         let now = self.clock.now();
         for change in self.engine.take_changes() {
-            self.logger.log(now, &BeliefLine::from(&change));
+            self.logger.log(now, &DiscoveryLine::from(&change));
         }
         let view = self.engine.view();
         self.version.set(view.routes.version().get() as f64);
         self.servers.set(view.directory.listed_count() as f64);
-        self.heard_age.set(view.age(now).as_secs_f64());
+        self.view_age.set(view.age(now).as_secs_f64());
         self.views.publish(view);
-        self.answer_due(now);
+        self.answer_due_queries(now);
         outcome
     }
 
-    /// Takes over reports, and has those that are new passed on.
-    fn take_reports(&mut self, now: Timestamp, reports: impl Iterator<Item = ServerReport>) {
+    /// Adds reports, and wakes the task that sends reports to peers if any of them is new.
+    fn add_reports(&mut self, now: Timestamp, reports: impl Iterator<Item = ServerReport>) {
         if self.decide(|engine| engine.add_reports(now, reports)) {
             self.wake_reporting();
         }
     }
 
-    /// A full channel has woken the task already.
+    /// Wakes the task that sends reports to peers. If the channel is full, the task has been
+    /// woken already.
     fn wake_reporting(&self) {
-        let _: Result<_, _> = self.reported.try_send(());
+        let _: Result<_, _> = self.reporting.try_send(());
     }
 
-    /// Answers the peers that waited for what is known now.
-    fn answer_due(&mut self, now: Timestamp) {
+    /// Answers the waiting queries that are due.
+    fn answer_due_queries(&mut self, now: Timestamp) {
         for due in self.waiting.take_due(&mut self.engine, now) {
-            let mut word = self.engine.answer_query(now, &due.query);
-            word.waited = due.waited;
-            // Whoever asked may have left since.
-            drop(due.answer.try_send(word));
+            let mut answer = self.engine.answer_query(now, &due.query);
+            answer.waited = due.waited;
+            // The peer may have closed its call since.
+            drop(due.answer.try_send(answer));
         }
     }
 }
 
-/// The tasks of the control thread share this.
+/// The state that the tasks of the control thread share.
 #[derive(Clone)]
 pub struct ControlThread {
     state: rc::Rc<cell::RefCell<ControlState>>,
@@ -121,10 +124,10 @@
 }
 
 impl ControlThread {
-    /// Puts the thread together.
+    /// Creates the state; its tasks have to be started.
     pub fn new(
         engine: DiscoveryEngine,
-        logger: DecisionLogger<BeliefLine>,
+        logger: DecisionLogger<DiscoveryLine>,
         views: ViewCell,
         timers: TimerService<HostClock>,
     ) -> Self {
@@ -140,9 +143,9 @@
             "cardamomwinch_view_age_seconds",
             "The age of the last word of the store, directly or through a peer."
         );
-        let (reporter, reported) = async_channel::bounded(1);
+        let (reporting, reported) = async_channel::bounded(1);
         let state = ControlState {
-            reported: reporter,
+            reporting,
             engine,
             waiting: WaitingQueries::default(),
             logger,
@@ -150,7 +153,7 @@
             clock: *timers.clock(),
             version: metrics::gauge!("cardamomwinch_configuration_version"),
             servers: metrics::gauge!("cardamomwinch_servers"),
-            heard_age: metrics::gauge!("cardamomwinch_view_age_seconds"),
+            view_age: metrics::gauge!("cardamomwinch_view_age_seconds"),
         };
         Self {
             state: rc::Rc::new(cell::RefCell::new(state)),
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Reads the store, one call after the other.
+    /// Reads the store, with one call at a time.
     pub async fn read_store(self, mut client: StoreClient) {
         metrics::describe_counter!(
             "cardamomwinch_store_calls_total",
@@ -193,12 +196,12 @@
             };
             let mut state = self.state.borrow_mut();
             let now = state.clock.now();
-            let said_at = now.before(client.body_time());
-            state.decide(|engine| engine.handle_store_answer(now, said_at, outcome));
+            let sent_at = now.before(client.body_time());
+            state.decide(|engine| engine.handle_store_answer(now, sent_at, outcome));
         }
     }
 
-    /// Lets beliefs age.
+    /// Runs the periodic work of the engine.
     pub async fn tick(self) {
         let plan = TickPlan {
             period: TICK_PERIOD,
@@ -215,46 +218,46 @@
         }
     }
 
-    /// Asks peers where the engine wants to, one question after the other.
-    pub async fn ask_peers(self, client: PeerClient) {
+    /// Queries the peers that the engine chooses, one at a time.
+    pub async fn query_peers(self, client: PeerClient) {
         loop {
-            self.ask_peer(&client).await;
+            self.query_peer(&client).await;
             let pause = self.state.borrow().engine.peer_pause();
             Timer::after(pause).await;
         }
     }
 
-    async fn ask_peer(&self, client: &PeerClient) {
+    async fn query_peer(&self, client: &PeerClient) {
         let next = {
             let mut state = self.state.borrow_mut();
             let now = state.clock.now();
             state.decide(|engine| engine.next_query(now))
         };
-        let Some((peer, question)) = next else {
+        let Some((peer, query)) = next else {
             return;
         };
-        let word = match peer_calls::ask(client, peer, question).await {
-            Ok(word) => Some(word),
+        let answer = match peer_calls::query(client, peer, query).await {
+            Ok(answer) => Some(answer),
             Err(error) => {
                 log::info!("{error}");
                 None
             }
         };
-        self.take_word(peer, word);
+        self.handle_answer(peer, answer);
     }
 
-    fn take_word(&self, peer: net::SocketAddr, word: Option<PeerAnswer>) {
+    fn handle_answer(&self, peer: net::SocketAddr, answer: Option<PeerAnswer>) {
         let mut state = self.state.borrow_mut();
         let now = state.clock.now();
         let serial = state.engine.view().reports.serial();
-        state.decide(|engine| engine.handle_answer(now, peer, word));
+        state.decide(|engine| engine.handle_answer(now, peer, answer));
         if state.engine.view().reports.serial() != serial {
             state.wake_reporting();
         }
     }
 
-    /// Passes on what was seen of servers.
-    pub async fn pass_reports(self, client: PeerClient) {
+    /// Sends new reports about servers to peers.
+    pub async fn send_reports(self, client: PeerClient) {
         while self.reported.recv().await.is_ok() {
             let next = {
                 let mut state = self.state.borrow_mut();
@@ -262,7 +265,7 @@
                 state.engine.next_reports(now)
             };
             if let Some((peer, reports)) = next
-                && let Err(error) = peer_calls::tell(&client, peer, reports).await
+                && let Err(error) = peer_calls::send_reports(&client, peer, reports).await
             {
                 log::info!("{error}");
                 self.state.borrow_mut().engine.forget_sent_reports();
@@ -271,26 +274,26 @@
         }
     }
 
-    /// Answers what others ask.
-    pub async fn answer(self, questions: Receiver<ControlQuestion>) {
-        while let Ok(question) = questions.recv().await {
+    /// Handles messages from the traffic thread, peers and operators.
+    pub async fn handle_messages(self, messages: Receiver<ControlMessage>) {
+        while let Ok(message) = messages.recv().await {
             let mut state = self.state.borrow_mut();
             let now = state.clock.now();
-            match question {
-                ControlQuestion::Peer { question, answer } => {
-                    state.waiting.push(question, now, answer);
-                    state.answer_due(now);
+            match message {
+                ControlMessage::PeerQuery { query, answer } => {
+                    state.waiting.push(query, now, answer);
+                    state.answer_due_queries(now);
                 }
-                ControlQuestion::Seen { reports } => {
-                    state.take_reports(now, reports.into_iter());
+                ControlMessage::TrafficReports { reports } => {
+                    state.add_reports(now, reports.into_iter());
                 }
-                ControlQuestion::Told { reports } => {
+                ControlMessage::PeerReports { reports } => {
                     let reports = reports.into_iter();
                     let reports = reports.map(|report| report.into_report(now));
-                    state.take_reports(now, reports);
+                    state.add_reports(now, reports);
                 }
-                ControlQuestion::Report { answer } => {
-                    let report = administration::describe_beliefs(&state.engine, now);
+                ControlMessage::OperatorQuery { answer } => {
+                    let report = administration::describe_discovery(&state.engine, now);
                     drop(answer.try_send(report));
                 }
             }
--- a/crates/cardamomwinch_forwarder/src/decision_lines.rs
+++ b/crates/cardamomwinch_forwarder/src/decision_lines.rs
@@ -4,8 +4,8 @@
 use cardamomwinch_transport::prelude::DecisionRecord;
 use serde::Serialize;
 
-/// A decision with the inputs that decided it. Identifiers are spelled as in the
-/// administration API, so that lines and answers can be compared.
+/// A decision and the inputs that led to it. Identifiers have the same form as in the
+/// administration API, so that log lines and answers can be compared.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 pub struct DecisionLine {
--- a/crates/cardamomwinch_forwarder/src/belief_lines.rs
+++ b/crates/cardamomwinch_forwarder/src/discovery_lines.rs
@@ -1,4 +1,4 @@
-//! The log lines of what a host comes to believe.
+//! The log lines of changes of the data that a host has discovered.
 
 use std::net;
 
@@ -8,111 +8,111 @@
 use cardamomwinch_transport::prelude::DecisionRecord;
 use serde::Serialize;
 
-/// A change of beliefs.
+/// A change of the discovered data.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 #[serde(untagged)]
-pub enum BeliefLine {
-    /// A configuration came into force.
+pub enum DiscoveryLine {
+    /// A configuration is now in force.
     Configuration {
         /// Its version.
         version: u64,
-        /// How many routes it has.
+        /// The number of its routes.
         routes: usize,
     },
-    /// What is known of a server changed.
+    /// The known state of a server changed.
     Server {
         /// The incarnation.
         server: String,
-        /// Where it takes packets.
+        /// The address at which it receives packets.
         address: net::SocketAddr,
         /// The service that it serves, by identifier.
         service: String,
         /// The failure domain, by identifier.
         domain: String,
-        /// What it does.
+        /// The phase, see [`phase_name`].
         phase: &'static str,
-        /// When its process started, where it says so.
+        /// When its process started, if its entry says so.
         started: Option<u64>,
         /// The revision that changed it.
         revision: String,
     },
-    /// The store said something of a server, and something later is known.
+    /// The store sent a change of a server, but a newer one is known.
     Outdated {
         /// The incarnation.
         server: String,
-        /// The revision of what the store said.
+        /// The revision of the change that the store sent.
         revision: String,
-        /// The revision of what is known.
+        /// The revision of the known change.
         known_revision: String,
     },
     /// An evacuation began or ended.
     Evacuation {
         /// The failure domain, by identifier.
         domain: String,
-        /// Whether its servers get no new flows now.
+        /// Whether its servers now get no new flows.
         evacuated: bool,
-        /// The revision that said so.
+        /// The revision that began or ended it.
         revision: String,
     },
-    /// A whole listing was taken over.
+    /// A complete listing was applied.
     Listing {
         /// Its revision.
         revision: String,
-        /// How many servers it has.
+        /// The number of its servers.
         servers: usize,
     },
-    /// Many servers vanished together.
+    /// Many servers disappeared from the store at once without draining.
     ManyVanished {
-        /// How many.
+        /// The number of servers.
         servers: usize,
     },
     /// The store cannot be read.
     StoreLost {},
     /// The store can be read again.
     StoreRegained {
-        /// How long it could not.
+        /// The duration of the outage, in milliseconds.
         silence_ms: u64,
     },
-    /// The store came back from a copy of itself.
+    /// The store was restored from a backup.
     StoreRestored {
-        /// The last revision that was known.
+        /// The last known revision before.
         last_revision: String,
-        /// The first one of the new era that is known.
+        /// The first known revision of the new era.
         revision: String,
     },
-    /// A peer does not answer.
+    /// A peer doesn't answer.
     PeerLost {
         /// The peer.
         peer: net::SocketAddr,
     },
-    /// A peer that did not answer lives.
+    /// A peer that didn't answer responds again.
     PeerRegained {
         /// The peer.
         peer: net::SocketAddr,
     },
-    /// No server of the own domain takes flows of a service any more.
+    /// No server of the own domain accepts new flows of a service any longer.
     OwnServersLost {
         /// The service, by identifier.
         service: String,
     },
-    /// One does again.
+    /// A server of the own domain accepts new flows of the service again.
     OwnServersRegained {
         /// The service, by identifier.
         service: String,
     },
-    /// The host learns from somewhere else than before.
+    /// The host now gets its data from another source.
     Source {
-        /// `store`, or the peer.
+        /// `store`, or the address of the peer.
         source: String,
     },
-    /// A peer knew something newer.
+    /// Newer data of a peer was applied.
     Peer {
         /// The peer.
         peer: net::SocketAddr,
-        /// The revision that it knew.
+        /// The revision of its data.
         revision: String,
-        /// The version that it knew.
+        /// The version of its configuration.
         version: u64,
     },
 }
@@ -128,7 +128,7 @@
     }
 }
 
-impl From<&ServerRecord> for BeliefLine {
+impl From<&ServerRecord> for DiscoveryLine {
     fn from(server: &ServerRecord) -> Self {
         Self::Server {
             server: server.id.to_string(),
@@ -142,7 +142,7 @@
     }
 }
 
-impl From<&DiscoveryChange> for BeliefLine {
+impl From<&DiscoveryChange> for DiscoveryLine {
     fn from(change: &DiscoveryChange) -> Self {
         match change {
             DiscoveryChange::ConfigurationInForce { version, routes } => Self::Configuration {
@@ -170,8 +170,8 @@
             },
             DiscoveryChange::ManyVanished { servers } => Self::ManyVanished { servers: *servers },
             DiscoveryChange::StoreLost => Self::StoreLost {},
-            DiscoveryChange::StoreRegained { outage: silence } => Self::StoreRegained {
-                silence_ms: silence.as_millis() as u64,
+            DiscoveryChange::StoreRegained { outage } => Self::StoreRegained {
+                silence_ms: outage.as_millis() as u64,
             },
             DiscoveryChange::StoreRestored { last, first } => Self::StoreRestored {
                 last_revision: last.to_string(),
@@ -201,7 +201,7 @@
     }
 }
 
-impl DecisionRecord for BeliefLine {
+impl DecisionRecord for DiscoveryLine {
     fn event(&self) -> &'static str {
         match self {
             Self::Configuration { .. } => "configuration_in_force",
--- a/crates/cardamomwinch_forwarder/src/launch.rs
+++ b/crates/cardamomwinch_forwarder/src/launch.rs
@@ -29,24 +29,25 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 
 use crate::administration::{self, AdministrationContext};
-use crate::control_thread::{ControlQuestion, ControlThread};
+use crate::control_thread::{ControlMessage, ControlThread};
 use crate::peer_calls;
 use crate::reload::{self, ReadError, SettingsFile};
 use crate::stopping::{self, StopCause};
 use crate::traffic_thread::{self, LastPacket, TrafficThread};
 use crate::view_cell::ViewCell;
 
-/// The size asked of the system for the receive buffer of packets, in bytes: a
-/// second of the packets of a busy host. Longer waits make packets useless.
+/// The size of the receive buffer of packets that is requested from the operating system,
+/// in bytes. It holds the packets that a busy host receives in a second; packets that wait
+/// longer are useless.
 const RECEIVE_BUFFER: usize = 1024 * 1024;
-/// The name of the thread that forwards.
+/// The name of the thread that forwards packets.
 const TRAFFIC_THREAD: &str = "traffic";
-/// Log lines that may wait to be written.
+/// The maximum number of log lines that wait to be written.
 const LOG_QUEUE: usize = 1024;
-/// Questions that may wait for control.
-const QUESTION_QUEUE: usize = 64;
-/// The seed of the flow hash. All hosts must use the same, and the platform
-/// names none.
+/// The maximum number of messages that wait for the control thread.
+const CONTROL_QUEUE: usize = 64;
+/// The seed of the flow hash. All hosts must use the same seed, and the platform doesn't
+/// define one.
 const FLOW_HASH_SEED: u64 = 0;
 
 /// Why the host could not be started.
@@ -56,63 +57,63 @@
     /// The settings cannot be read or are not valid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Why.
+        /// The cause.
         source: ReadError,
     },
-    /// The settings name no address of the platform.
-    #[snafu(display("the settings name no address of the platform"))]
+    /// The settings contain no address of the platform.
+    #[snafu(display("the settings contain no address of the platform"))]
     NoPlatform,
     /// The socket for packets cannot be opened.
     #[snafu(display("{source}"))]
     Socket {
-        /// Why.
+        /// The cause.
         source: DatagramError,
     },
     /// An HTTP endpoint cannot be opened.
     #[snafu(display("{source}"))]
     Endpoint {
-        /// Why.
+        /// The cause.
         source: EndpointError,
     },
     /// The endpoint for other hosts cannot be opened.
     #[snafu(display("{source}"))]
     Peers {
-        /// Why.
+        /// The cause.
         source: PeerRpcError,
     },
     /// The thread that forwards cannot be started.
     #[snafu(display("cannot start the thread {TRAFFIC_THREAD}"))]
     Thread {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The log cannot be written.
     #[snafu(display("{source}"))]
     Log {
-        /// Why.
+        /// The cause.
         source: LogError,
     },
     /// The metrics cannot be collected.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: MetricsError,
     },
     /// A method is registered twice.
     #[snafu(display("{source}"))]
     Method {
-        /// Why.
+        /// The cause.
         source: RegisterMethodError,
     },
     /// Signals cannot be received.
     #[snafu(display("cannot receive signals"))]
     Signals {
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// What the parts of the process share.
+/// The parts from which the threads are set up.
 struct HostParts {
     path: path::PathBuf,
     settings: ForwarderSettings,
@@ -124,16 +125,16 @@
     last_packet: LastPacket,
 }
 
-/// Serves as a forwarding host by the settings in the file `path` until told to
-/// stop.
+/// Runs a forwarding host with the settings in the file `path` until it receives a signal
+/// to stop.
 ///
 /// # Errors
-/// Fails where the settings are not valid or an address cannot be used.
+/// Fails if the settings are not valid, or if an address cannot be used.
 pub fn run(path: &path::Path) -> Result<StopCause, LaunchError> {
     let settings = reload::read(path).context(SettingsSnafu)?;
     let store = settings.platform.addresses.first().copied();
     let store = store.context(NoPlatformSnafu)?;
-    // First of all: packets that come while the rest starts wait in the socket.
+    // The socket is opened first, so that packets that arrive during the start wait in it.
     let socket = WaitingSocket::bind(DatagramOptions {
         address: settings.traffic_address,
         receive_buffer: RECEIVE_BUFFER,
@@ -161,22 +162,22 @@
 impl HostParts {
     fn serve(self, socket: WaitingSocket) -> Result<StopCause, LaunchError> {
         let traffic_address = socket.local_address().context(SocketSnafu)?;
-        let (sender, questions) = async_channel::bounded(QUESTION_QUEUE);
+        let (sender, messages) = async_channel::bounded(CONTROL_QUEUE);
         let traffic = self.traffic_thread(socket, traffic_address, sender.clone());
-        // The thread forwards to the last moment; it ends with the process.
+        // The thread forwards until the process ends.
         let builder = thread::Builder::new().name(TRAFFIC_THREAD.to_owned());
         let started = builder.spawn(move || traffic_thread::run(traffic));
         drop(started.context(ThreadSnafu)?);
         let executor = rc::Rc::new(LocalExecutor::new());
         let shared = rc::Rc::clone(&executor);
-        async_io::block_on(executor.run(self.control(shared, traffic_address, (sender, questions))))
+        async_io::block_on(executor.run(self.control(shared, traffic_address, (sender, messages))))
     }
 
     fn traffic_thread(
         &self,
         socket: WaitingSocket,
         traffic_address: net::SocketAddr,
-        control: Sender<ControlQuestion>,
+        control: Sender<ControlMessage>,
     ) -> TrafficThread {
         let level = log_level::level_filter(self.settings.log.level);
         let limit = self.settings.log.decisions_per_second;
@@ -192,14 +193,15 @@
         }
     }
 
-    /// A process that starts again at the same address reports as another one.
+    /// The identifier under which this process reports. It differs for a process that is
+    /// restarted at the same address.
     fn reporter(&self) -> ReporterId {
         let host = HostId::from_name(&self.settings.host).get();
         let started_at = self.timers.clock().now().get();
         ReporterId::new(flow::mix(host ^ flow::mix(started_at)))
     }
 
-    fn belief_engine(&self, peer_address: net::SocketAddr) -> DiscoveryEngine {
+    fn discovery_engine(&self, peer_address: net::SocketAddr) -> DiscoveryEngine {
         let settings = DiscoverySettings {
             domain: self.settings.domain_id(),
             regions: self.settings.domain_regions().collect(),
@@ -216,7 +218,7 @@
         self,
         executor: rc::Rc<LocalExecutor<'static>>,
         traffic_address: net::SocketAddr,
-        (sender, questions): (Sender<ControlQuestion>, Receiver<ControlQuestion>),
+        (sender, messages): (Sender<ControlMessage>, Receiver<ControlMessage>),
     ) -> Result<StopCause, LaunchError> {
         let settings = &self.settings;
         let peer_module = peer_calls::peer_module(sender.clone()).context(MethodSnafu)?;
@@ -229,7 +231,7 @@
         let readiness = readiness.await?;
         let readiness_address = readiness.local_address().context(EndpointSnafu)?;
         let context = AdministrationContext {
-            questions: sender,
+            control: sender,
             views: self.views.clone(),
             hasher: FlowHasher::new(FLOW_HASH_SEED),
             clock: *self.timers.clock(),
@@ -244,7 +246,7 @@
         let timers = self.timers.clone();
         let views = self.views.clone();
         let control = ControlThread::new(
-            self.belief_engine(peer_address),
+            self.discovery_engine(peer_address),
             logger,
             views,
             timers.clone(),
@@ -255,9 +257,9 @@
         let _tasks = [
             executor.spawn(control.clone().read_store(store)),
             executor.spawn(control.clone().tick()),
-            executor.spawn(control.clone().ask_peers(PeerClient::new(keys.clone()))),
-            executor.spawn(control.clone().pass_reports(PeerClient::new(keys))),
-            executor.spawn(control.answer(questions)),
+            executor.spawn(control.clone().query_peers(PeerClient::new(keys.clone()))),
+            executor.spawn(control.clone().send_reports(PeerClient::new(keys))),
+            executor.spawn(control.handle_messages(messages)),
             executor.spawn(peers.serve()),
             executor.spawn(readiness.serve()),
             executor.spawn(administration.serve()),
@@ -292,8 +294,8 @@
         module: RpcModule<()>,
     ) -> Result<RpcEndpoint<MetricsSink, ViewCell>, LaunchError> {
         let limits = EndpointLimits {
-            // The fabric keeps its connections; one that is renewed every
-            // minute is taken for a host that fails.
+            // The fabric keeps its connections open, and considers a host failed whose
+            // connection has to be renewed every minute.
             connection_lifetime: time::Duration::from_secs(600),
             ..EndpointLimits::default()
         };
--- a/crates/cardamomwinch_forwarder/src/lib.rs
+++ b/crates/cardamomwinch_forwarder/src/lib.rs
@@ -1,9 +1,10 @@
-//! The process of a forwarding host: one thread learns what is in force, another
-//! forwards packets against what was published last.
+//! The process of a forwarding host. The control thread discovers the configuration and
+//! the backend servers and publishes them as a view; the traffic thread forwards packets
+//! by the view published last.
 //!
-//! Every decision is made by [`cardamomwinch_coordination::forwarding`]; every
-//! format comes from [`cardamomwinch_platform`]. This crate carries packets,
-//! answers and time between them and the sockets.
+//! Every decision is made by [`cardamomwinch_coordination::forwarding`], and every
+//! format is defined by [`cardamomwinch_platform`]. This crate connects them with the
+//! sockets and the clock.
 //!
 //! ```no_run
 //! use cardamomwinch_forwarder::prelude::*;
@@ -12,9 +13,9 @@
 //! ```
 
 pub mod administration;
-pub mod belief_lines;
 pub mod control_thread;
 pub mod decision_lines;
+pub mod discovery_lines;
 pub mod launch;
 pub mod outcome_counters;
 pub mod peer_calls;
@@ -24,7 +25,7 @@
 pub mod traffic_thread;
 pub mod view_cell;
 
-/// What programs that run a host need.
+/// The items that a program needs to run a host.
 pub mod prelude {
     pub use crate::launch::{self, LaunchError};
 }
--- a/crates/cardamomwinch_forwarder/src/outcome_counters.rs
+++ b/crates/cardamomwinch_forwarder/src/outcome_counters.rs
@@ -1,5 +1,5 @@
-//! Counters of what was decided about packets, and histograms of what callers wait
-//! for, looked up once.
+//! Counters of the decisions about packets, and histograms of the times that callers wait.
+//! The handles of the metrics are looked up once.
 
 use std::time;
 
@@ -9,7 +9,7 @@
 const OPENING: &str = "cardamomwinch_forwarding_opening_seconds";
 const RESPONSE: &str = "cardamomwinch_forwarding_response_seconds";
 
-/// One counter an outcome.
+/// A counter for each outcome, and the histograms.
 pub struct OutcomeCounters {
     handles: Vec<metrics::Counter>,
     opening: metrics::Histogram,
@@ -45,12 +45,12 @@
 }
 
 impl OutcomeCounters {
-    /// Records how long an opening took.
+    /// Records the time from an opening to its confirmation.
     pub fn record_opening(&self, time: time::Duration) {
         self.opening.record(time.as_secs_f64());
     }
 
-    /// Records how long an answer took to begin.
+    /// Records the time from a request to the beginning of its answer.
     pub fn record_response(&self, time: time::Duration) {
         self.response.record(time.as_secs_f64());
     }
--- a/crates/cardamomwinch_forwarder/src/peer_calls.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls between hosts: one asks, another tells what it believes.
+//! Calls between hosts: queries for what another host knows, and reports about servers.
 
 use std::net;
 use std::time;
@@ -13,105 +13,103 @@
 use jsonrpsee::types::{ErrorCode, ErrorObjectOwned};
 use snafu::{ResultExt, Snafu};
 
-use crate::control_thread::ControlQuestion;
-use crate::peer_wire::{UnknownKindError, WireQuestion, WireReport, WireWord};
+use crate::control_thread::ControlMessage;
+use crate::peer_wire::{UnknownKindError, WireAnswer, WireQuery, WireReport};
 
-/// The method by which a host asks what another believes.
+/// The method that returns what a host knows.
 const BELIEFS_METHOD: &str = "beliefs";
-/// The method by which a host tells another one what was seen of servers.
+/// The method that receives reports about servers.
 const REPORTS_METHOD: &str = "reports";
-/// How long a host may take to take reports. One that is up does within milliseconds.
-const TELLING_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+/// The timeout of a call that sends reports. A running host answers within milliseconds.
+const REPORTS_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
-/// How long a host that knows nothing yet waits for another one to take its connection.
-/// Hosts of a region are a few milliseconds apart. One that is without power answers
-/// nothing: the next one is asked, and the store where none answers, since callers wait.
-const START_CONNECT: time::Duration = time::Duration::from_millis(15);
+/// The connection timeout of a host that has no data yet. Hosts of a region are a few
+/// milliseconds apart. A peer without power doesn't answer at all: the host then queries
+/// the next one, and the store if no peer answers, because callers are waiting.
+const START_CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(15);
 
-/// Why nothing was learned from a peer.
+/// Why a call to a peer failed.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum PeerCallError {
     /// The call failed.
     #[snafu(transparent)]
     Call {
-        /// How.
+        /// Why it failed.
         source: PeerRpcError,
     },
-    /// The answer makes no sense.
-    #[snafu(display("what the peer {peer} tells makes no sense"))]
-    Senseless {
+    /// The answer is malformed.
+    #[snafu(display("the answer of the peer {peer} is malformed"))]
+    Malformed {
         /// The peer.
         peer: net::SocketAddr,
-        /// Why.
+        /// What is wrong with the answer.
         source: UnknownKindError,
     },
 }
 
-/// Asks `peer`.
+/// Sends `query` to `peer` and returns its answer.
 ///
 /// # Errors
-/// Fails where the peer cannot be reached, does not answer in time, or tells what makes
-/// no sense.
-pub async fn ask(
+/// Fails if the peer cannot be reached, doesn't answer in time, or its answer is malformed.
+pub async fn query(
     client: &PeerClient,
     peer: net::SocketAddr,
-    question: PeerQuery,
+    query: PeerQuery,
 ) -> Result<PeerAnswer, PeerCallError> {
-    let mut limits = CallLimits::whole(question.timeout());
-    if question.has_no_data() {
-        limits.connect = START_CONNECT;
+    let mut limits = CallLimits::whole(query.timeout());
+    if query.has_no_data() {
+        limits.connect = START_CONNECT_TIMEOUT;
     }
-    let params = (WireQuestion::from(question),);
-    let word = client.call_within(peer, BELIEFS_METHOD, &params, limits);
-    let word: WireWord = word.await?;
-    word.try_into().context(SenselessSnafu { peer })
+    let params = (WireQuery::from(query),);
+    let answer = client.call_within(peer, BELIEFS_METHOD, &params, limits);
+    let answer: WireAnswer = answer.await?;
+    answer.try_into().context(MalformedSnafu { peer })
 }
 
-/// Tells `peer` what was seen of servers.
+/// Sends reports about servers to `peer`.
 ///
 /// # Errors
-/// Fails where the peer cannot be reached or does not answer in time.
-pub async fn tell(
+/// Fails if the peer cannot be reached or doesn't answer in time.
+pub async fn send_reports(
     client: &PeerClient,
     peer: net::SocketAddr,
     reports: Vec<PeerReport>,
 ) -> Result<(), PeerCallError> {
     let reports: Vec<_> = reports.into_iter().map(WireReport::from).collect();
     let params = (reports,);
-    let limits = CallLimits::whole(TELLING_TIMEOUT);
-    let told = client.call_within(peer, REPORTS_METHOD, &params, limits);
-    Ok(told.await?)
+    let limits = CallLimits::whole(REPORTS_TIMEOUT);
+    let sent = client.call_within(peer, REPORTS_METHOD, &params, limits);
+    Ok(sent.await?)
 }
 
-/// The methods that peers may call; control answers what arrives at `questions`.
+/// The methods that peers may call. Calls are passed to the control thread through
+/// `control`.
 ///
 /// # Errors
-/// Fails where a method is named twice.
-pub fn peer_module(
-    questions: Sender<ControlQuestion>,
-) -> Result<RpcModule<()>, RegisterMethodError> {
+/// Fails if a method is registered twice.
+pub fn peer_module(control: Sender<ControlMessage>) -> Result<RpcModule<()>, RegisterMethodError> {
     let mut module = RpcModule::new(());
-    let takers = questions.clone();
+    let reports_control = control.clone();
     module.register_method(REPORTS_METHOD, move |params, _, _| {
         let reports: Vec<WireReport> = params.one()?;
         let reports = reports.into_iter().map(PeerReport::from).collect();
-        let told = takers.try_send(ControlQuestion::Told { reports });
-        told.map_err(|_| ErrorObjectOwned::from(ErrorCode::ServerIsBusy))
+        let sent = reports_control.try_send(ControlMessage::PeerReports { reports });
+        sent.map_err(|_| ErrorObjectOwned::from(ErrorCode::ServerIsBusy))
     })?;
     module.register_async_method(BELIEFS_METHOD, move |params, _, _| {
-        let questions = questions.clone();
+        let control = control.clone();
         async move {
-            let question: WireQuestion = params.one()?;
+            let query: WireQuery = params.one()?;
             let (answer, answers) = async_channel::bounded(1);
-            let question = ControlQuestion::Peer {
-                question: question.into(),
+            let message = ControlMessage::PeerQuery {
+                query: query.into(),
                 answer,
             };
             let unavailable = |_| ErrorObjectOwned::from(ErrorCode::ServerIsBusy);
-            questions.try_send(question).map_err(|_| unavailable(()))?;
-            let word = answers.recv().await.map_err(|_| unavailable(()))?;
-            Ok::<_, ErrorObjectOwned>(WireWord::from(word))
+            control.try_send(message).map_err(|_| unavailable(()))?;
+            let answer = answers.recv().await.map_err(|_| unavailable(()))?;
+            Ok::<_, ErrorObjectOwned>(WireAnswer::from(answer))
         }
     })?;
     Ok(module)
--- a/crates/cardamomwinch_forwarder/src/peer_wire/kinds.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/kinds.rs
@@ -1,23 +1,24 @@
-//! What many entries have in common, told once.
+//! Properties that many entries share, which are sent once as a kind.
 
 use snafu::{OptionExt, Snafu};
 
-/// So many kinds are compared with each entry. Deployments have a handful of them; the
-/// limit bounds the time that one with thousands takes, where each is told in full.
-const COMPARED_KINDS: usize = 64;
+/// The maximum number of kinds that are compared with each entry. Deployments have a handful
+/// of kinds. The limit bounds the time for one with thousands; further entries each get
+/// a kind of their own.
+const MAX_COMPARED_KINDS: usize = 64;
 
-/// An entry refers to a kind that was not told.
+/// An entry refers to a kind that is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Snafu)]
-#[snafu(display("an entry is of kind {index}, which was not told"))]
+#[snafu(display("an entry refers to kind {index}, which is missing"))]
 pub struct UnknownKindError {
-    /// The place of the kind.
+    /// The index of the kind.
     index: usize,
 }
 
-/// The place of `kind` among `kinds`, to which it is added where it is not there yet.
-pub(super) fn place_of<K: PartialEq>(kinds: &mut Vec<K>, kind: K) -> usize {
-    let mut compared = kinds.iter().take(COMPARED_KINDS);
+/// The index of `kind` in `kinds`; adds it if it is not found.
+pub(super) fn index_of<K: PartialEq>(kinds: &mut Vec<K>, kind: K) -> usize {
+    let mut compared = kinds.iter().take(MAX_COMPARED_KINDS);
     compared
         .position(|known| *known == kind)
         .unwrap_or_else(|| {
@@ -26,7 +27,7 @@
         })
 }
 
-/// The kind at the place `index`.
+/// The kind at `index`.
 pub(super) fn kind_at<K>(kinds: &[K], index: usize) -> Result<&K, UnknownKindError> {
     kinds.get(index).context(UnknownKindSnafu { index })
 }
--- a/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
@@ -1,9 +1,9 @@
-//! What hosts say to each other, as JSON, with servers in a shorter form.
+//! The messages between hosts, as JSON, with servers in a shorter form.
 //!
-//! What many routes or servers have in common is told once, and each refers to it by
-//! its place. Hosts with narrow links pass a configuration on to several others; told
-//! in full, 1,700 new routes filled a link of 10 Mbit/s for a second, and packets of
-//! callers were lost meanwhile.
+//! Properties that many routes or servers share are sent once as a kind, and each route or
+//! server refers to its kind by an index. Hosts with slow links send a configuration to
+//! several others; in full, 1,700 new routes filled a link of 10 Mbit/s for a second, and
+//! packets of callers were lost meanwhile.
 
 mod kinds;
 mod packed;
@@ -29,7 +29,7 @@
 pub use crate::peer_wire::routes::WireRoutes;
 pub use crate::peer_wire::servers::WireServers;
 
-/// A host that can be asked.
+/// A host that can be queried.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize, Deserialize)]
 pub struct WireHost {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A place in a list of all servers that is told in parts.
+/// A position in a list of all servers that is sent in parts.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize, Deserialize)]
 pub struct WirePosition {
@@ -84,10 +84,10 @@
     }
 }
 
-/// What a host that asks knows already.
+/// A query, with what the querying host knows already.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
-pub struct WireQuestion {
+pub struct WireQuery {
     revision: StoreRevision,
     version: ConfigurationVersion,
     knows_left: bool,
@@ -102,36 +102,36 @@
     host: WireHost,
 }
 
-impl From<PeerQuery> for WireQuestion {
-    fn from(question: PeerQuery) -> Self {
+impl From<PeerQuery> for WireQuery {
+    fn from(query: PeerQuery) -> Self {
         Self {
-            revision: question.revision,
-            version: question.version,
-            knows_left: question.knows_left_servers,
-            store_silent: question.store_fails,
-            age_ms: question.age.as_millis() as u64,
-            wait_ms: question.wait.as_millis() as u64,
-            reports_known: question.reports_received.get(),
-            list: question.list.map(WirePosition::from),
-            hosts: question.hosts.into_iter().map(WireHost::from).collect(),
-            host: question.host.into(),
+            revision: query.revision,
+            version: query.version,
+            knows_left: query.knows_left_servers,
+            store_silent: query.store_fails,
+            age_ms: query.age.as_millis() as u64,
+            wait_ms: query.wait.as_millis() as u64,
+            reports_known: query.reports_received.get(),
+            list: query.list.map(WirePosition::from),
+            hosts: query.hosts.into_iter().map(WireHost::from).collect(),
+            host: query.host.into(),
         }
     }
 }
 
-impl From<WireQuestion> for PeerQuery {
-    fn from(question: WireQuestion) -> Self {
+impl From<WireQuery> for PeerQuery {
+    fn from(query: WireQuery) -> Self {
         Self {
-            revision: question.revision,
-            version: question.version,
-            knows_left_servers: question.knows_left,
-            store_fails: question.store_silent,
-            age: time::Duration::from_millis(question.age_ms),
-            wait: time::Duration::from_millis(question.wait_ms),
-            reports_received: ReportSerial::new(question.reports_known),
-            list: question.list.map(ListPosition::from),
-            hosts: question.hosts.into_iter().map(PeerHost::from).collect(),
-            host: question.host.into(),
+            revision: query.revision,
+            version: query.version,
+            knows_left_servers: query.knows_left,
+            store_fails: query.store_silent,
+            age: time::Duration::from_millis(query.age_ms),
+            wait: time::Duration::from_millis(query.wait_ms),
+            reports_received: ReportSerial::new(query.reports_known),
+            list: query.list.map(ListPosition::from),
+            hosts: query.hosts.into_iter().map(PeerHost::from).collect(),
+            host: query.host.into(),
         }
     }
 }
@@ -170,10 +170,10 @@
     }
 }
 
-/// What a host answers.
+/// The answer to a query.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
-pub struct WireWord {
+pub struct WireAnswer {
     revision: StoreRevision,
     waited_ms: u64,
     age_ms: u64,
@@ -197,48 +197,48 @@
     reader_heard_ms: Option<u64>,
 }
 
-impl From<PeerAnswer> for WireWord {
-    fn from(word: PeerAnswer) -> Self {
+impl From<PeerAnswer> for WireAnswer {
+    fn from(answer: PeerAnswer) -> Self {
         Self {
-            revision: word.revision,
-            waited_ms: word.waited.as_millis() as u64,
-            age_ms: word.age.as_millis() as u64,
-            store_silent_for_ms: word.store_failed_ago.map(|ago| ago.as_millis() as u64),
-            routes: word.routes.map(WireRoutes::from),
-            servers: word.servers.into(),
-            list: word.list.map(WirePosition::from),
-            all_servers: word.all_servers,
-            evacuations: word.evacuations.into_iter().map(Into::into).collect(),
-            reports: word.reports.into_iter().map(Into::into).collect(),
-            reports_serial: word.reports_serial.get(),
-            hosts_digest: word.hosts_digest,
-            hosts: word.hosts.into_iter().map(WireHost::from).collect(),
-            ask_instead: word.query_instead,
-            reader_heard_ms: word.listing_age.map(|ago| ago.as_millis() as u64),
+            revision: answer.revision,
+            waited_ms: answer.waited.as_millis() as u64,
+            age_ms: answer.age.as_millis() as u64,
+            store_silent_for_ms: answer.store_failed_ago.map(|ago| ago.as_millis() as u64),
+            routes: answer.routes.map(WireRoutes::from),
+            servers: answer.servers.into(),
+            list: answer.list.map(WirePosition::from),
+            all_servers: answer.all_servers,
+            evacuations: answer.evacuations.into_iter().map(Into::into).collect(),
+            reports: answer.reports.into_iter().map(Into::into).collect(),
+            reports_serial: answer.reports_serial.get(),
+            hosts_digest: answer.hosts_digest,
+            hosts: answer.hosts.into_iter().map(WireHost::from).collect(),
+            ask_instead: answer.query_instead,
+            reader_heard_ms: answer.listing_age.map(|ago| ago.as_millis() as u64),
         }
     }
 }
 
-impl TryFrom<WireWord> for PeerAnswer {
+impl TryFrom<WireAnswer> for PeerAnswer {
     type Error = UnknownKindError;
 
-    fn try_from(word: WireWord) -> Result<Self, Self::Error> {
+    fn try_from(answer: WireAnswer) -> Result<Self, Self::Error> {
         Ok(Self {
-            revision: word.revision,
-            waited: time::Duration::from_millis(word.waited_ms),
-            age: time::Duration::from_millis(word.age_ms),
-            store_failed_ago: word.store_silent_for_ms.map(time::Duration::from_millis),
-            routes: word.routes.map(RouteDifference::try_from).transpose()?,
-            servers: word.servers.try_into()?,
-            list: word.list.map(ListPosition::from),
-            all_servers: word.all_servers,
-            evacuations: word.evacuations.into_iter().map(Into::into).collect(),
-            reports: word.reports.into_iter().map(Into::into).collect(),
-            reports_serial: ReportSerial::new(word.reports_serial),
-            hosts_digest: word.hosts_digest,
-            hosts: word.hosts.into_iter().map(PeerHost::from).collect(),
-            query_instead: word.ask_instead,
-            listing_age: word.reader_heard_ms.map(time::Duration::from_millis),
+            revision: answer.revision,
+            waited: time::Duration::from_millis(answer.waited_ms),
+            age: time::Duration::from_millis(answer.age_ms),
+            store_failed_ago: answer.store_silent_for_ms.map(time::Duration::from_millis),
+            routes: answer.routes.map(RouteDifference::try_from).transpose()?,
+            servers: answer.servers.try_into()?,
+            list: answer.list.map(ListPosition::from),
+            all_servers: answer.all_servers,
+            evacuations: answer.evacuations.into_iter().map(Into::into).collect(),
+            reports: answer.reports.into_iter().map(Into::into).collect(),
+            reports_serial: ReportSerial::new(answer.reports_serial),
+            hosts_digest: answer.hosts_digest,
+            hosts: answer.hosts.into_iter().map(PeerHost::from).collect(),
+            query_instead: answer.ask_instead,
+            listing_age: answer.reader_heard_ms.map(time::Duration::from_millis),
         })
     }
 }
--- a/crates/cardamomwinch_forwarder/src/peer_wire/packed.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/packed.rs
@@ -1,5 +1,5 @@
-//! Values within JSON that are encoded with `postcard` and written as Base64. Thousands of
-//! servers take less than half the bytes, and less time to read.
+//! Values in JSON that are encoded with `postcard` and written as Base64. For thousands of
+//! servers this takes less than half of the bytes, and less time to read.
 
 use base64::Engine;
 use base64::engine::general_purpose;
@@ -7,10 +7,10 @@
 use serde::ser::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Writes `value` as a text.
+/// Writes `value` as a Base64 string.
 ///
 /// # Errors
-/// Fails where the serializer does.
+/// Fails if the serializer fails.
 pub(super) fn serialize<T: Serialize, S: Serializer>(
     value: &T,
     serializer: S,
@@ -19,10 +19,10 @@
     serializer.serialize_str(&general_purpose::STANDARD_NO_PAD.encode(bytes))
 }
 
-/// Reads a value from such a text.
+/// Reads a value from a Base64 string.
 ///
 /// # Errors
-/// Fails where the text holds none.
+/// Fails if the string doesn't contain such a value.
 pub(super) fn deserialize<'d, T: DeserializeOwned, D: Deserializer<'d>>(
     deserializer: D,
 ) -> Result<T, D::Error> {
--- a/crates/cardamomwinch_forwarder/src/peer_wire/reports.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/reports.rs
@@ -7,17 +7,17 @@
 use cardamomwinch_state::prelude::BackendId;
 use serde::{Deserialize, Serialize};
 
-/// What a report is about, in a letter.
+/// The subject of a report, written as one letter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum WireSubject {
-    /// Whether the server takes what is sent to it.
+    /// Whether the server acknowledges data.
     #[serde(rename = "d")]
     Delivery,
-    /// Whether it confirms openings.
+    /// Whether the server confirms openings.
     #[serde(rename = "o")]
     Openings,
-    /// Whether it answers requests.
+    /// Whether the server answers requests.
     #[serde(rename = "a")]
     Answers,
 }
@@ -42,8 +42,9 @@
     }
 }
 
-/// A report: the server, the subject, the reporter and the number that it gave, the age in
-/// milliseconds, and how many flows wait in vain for how many milliseconds.
+/// A report: the server, the subject, the reporter and its number for the report, the age
+/// in milliseconds, and, for a silent server, the number of waiting flows and how long they
+/// have waited, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WireReport(BackendId, WireSubject, u64, u64, u64, Option<(u32, u64)>);
--- a/crates/cardamomwinch_forwarder/src/peer_wire/routes.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/routes.rs
@@ -10,7 +10,7 @@
 
 use crate::peer_wire::kinds::{self, UnknownKindError};
 
-/// What routes to the same services have in common.
+/// The properties that routes to the same services share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct WireRouteKind {
@@ -21,12 +21,12 @@
     regions: Vec<RegionId>,
 }
 
-/// A route: its address, its name, and the place of its kind.
+/// A route: its address, its name, and the index of its kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct WireRoute(net::SocketAddr, String, usize);
 
-/// What is newer in a configuration.
+/// The changes of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WireRoutes {
@@ -51,8 +51,8 @@
                 latency_goal: entry.latency_goal,
                 regions: entry.regions,
             };
-            let place = kinds::place_of(&mut kinds, kind);
-            changed.push(WireRoute(address, entry.name, place));
+            let index = kinds::index_of(&mut kinds, kind);
+            changed.push(WireRoute(address, entry.name, index));
         }
         Self {
             version: difference.version,
@@ -71,8 +71,8 @@
 
     fn try_from(routes: WireRoutes) -> Result<Self, Self::Error> {
         let mut changed = Vec::with_capacity(routes.changed.len());
-        for WireRoute(address, name, place) in routes.changed {
-            let kind = kinds::kind_at(&routes.kinds, place)?.clone();
+        for WireRoute(address, name, index) in routes.changed {
+            let kind = kinds::kind_at(&routes.kinds, index)?.clone();
             let entry = RouteEntry {
                 name,
                 targets: kind.targets,
--- a/crates/cardamomwinch_forwarder/src/peer_wire/servers.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/servers.rs
@@ -13,7 +13,7 @@
 use crate::peer_wire::kinds::{self, UnknownKindError};
 use crate::peer_wire::packed;
 
-/// What servers of one service and failure domain have in common.
+/// The properties that servers of one service and failure domain share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct WireServerKind {
@@ -22,7 +22,8 @@
     slots: SlotCount,
 }
 
-/// A revision in full: the packed form cannot tell short ones from long ones.
+/// A revision with its era. The era is always written, because the packed form cannot
+/// distinguish revisions with and without one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct WireRevision {
@@ -61,7 +62,7 @@
     cold_left_ms: u64,
 }
 
-/// Servers that a host tells of.
+/// The servers in an answer.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WireServers {
@@ -80,7 +81,7 @@
                 domain: server.domain,
                 slots: server.slots,
             };
-            let kind = kinds::place_of(&mut wire.kinds, kind);
+            let kind = kinds::index_of(&mut wire.kinds, kind);
             wire.servers.push(WireServer::new(server, kind));
         }
         wire
--- a/crates/cardamomwinch_forwarder/src/reload.rs
+++ b/crates/cardamomwinch_forwarder/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when told to, or when the file has changed.
+//! Reloads the settings on a signal, or when the file has changed.
 
 use std::fs;
 use std::io;
@@ -10,7 +10,7 @@
 use cardamomwinch_daemon::log_level;
 use snafu::{ResultExt, Snafu};
 
-/// Why settings were not taken.
+/// Why settings cannot be used.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum ReadError {
@@ -19,13 +19,13 @@
     Read {
         /// The file.
         path: path::PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The settings are not valid.
     #[snafu(display("{report}"))]
     Invalid {
-        /// Every error of the file.
+        /// All errors in the file.
         report: CheckReport,
     },
 }
@@ -33,14 +33,14 @@
 /// Reads the settings in the file `path`.
 ///
 /// # Errors
-/// Fails where the file cannot be read or is not valid.
+/// Fails if the file cannot be read or is not valid.
 pub fn read(path: &path::Path) -> Result<ForwarderSettings, ReadError> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     let name = path.display().to_string();
     ForwarderSettings::parse(&name, &text).map_err(|report| ReadError::Invalid { report })
 }
 
-/// The settings in force, and the file that they came from.
+/// The settings in force, and the file that they were read from.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: path::PathBuf,
@@ -49,7 +49,7 @@
 }
 
 impl SettingsFile {
-    /// Begins with `settings`, which came from the file `path`.
+    /// Starts with `settings`, which were read from the file `path`.
     pub fn new(path: path::PathBuf, settings: ForwarderSettings) -> Self {
         let modified = modification_time(&path);
         Self {
@@ -59,33 +59,33 @@
         }
     }
 
-    /// Reads the file again where it has changed since.
+    /// Reloads the file if it has changed since it was read.
     pub fn reload_if_changed(&mut self) {
         if modification_time(&self.path) != self.modified {
             self.reload();
         }
     }
 
-    /// Reads the file again. Settings that are not valid change nothing: a host
-    /// that serves must not stop because of a mistake in a file.
+    /// Reloads the file. Invalid settings are ignored, because a serving host must not stop
+    /// because of a mistake in the file.
     pub fn reload(&mut self) {
         self.modified = modification_time(&self.path);
         match read(&self.path) {
-            Ok(settings) => self.take(settings),
-            Err(error) => log::error!("the settings stay as they were: {error}"),
+            Ok(settings) => self.apply(settings),
+            Err(error) => log::error!("the settings are not reloaded: {error}"),
         }
     }
 
-    fn take(&mut self, settings: ForwarderSettings) {
+    fn apply(&mut self, settings: ForwarderSettings) {
         log::set_max_level(log_level::level_filter(settings.log.level));
         let with_same_log = ForwarderSettings {
             log: self.settings.log,
             ..settings.clone()
         };
         if with_same_log == self.settings {
-            log::info!("settings were read again; level {:?}", settings.log.level);
+            log::info!("settings were reloaded; level {:?}", settings.log.level);
         } else {
-            log::warn!("settings were read again; all but the log level need a restart");
+            log::warn!("settings were reloaded; changes other than the log level need a restart");
         }
         self.settings = settings;
     }
@@ -96,7 +96,10 @@
     match modified {
         Ok(at) => Some(at),
         Err(error) => {
-            log::warn!("cannot tell when {} was changed: {error}", path.display());
+            log::warn!(
+                "cannot find out when {} was changed: {error}",
+                path.display()
+            );
             None
         }
     }
--- a/crates/cardamomwinch_forwarder/src/stopping.rs
+++ b/crates/cardamomwinch_forwarder/src/stopping.rs
@@ -12,46 +12,47 @@
 use crate::traffic_thread::LastPacket;
 use crate::view_cell::ViewCell;
 
-/// How often a stopping host looks whether packets still come, and a serving one
+/// How often a stopping host checks whether packets still arrive, and a serving host
 /// whether its settings file has changed.
 const STOP_POLL: time::Duration = time::Duration::from_millis(100);
 const SETTINGS_POLL: time::Duration = time::Duration::from_secs(2);
-/// The fabric needs two missed probes, half a second apart, to leave a host
-/// alone. Until then packets still come, and would be lost with the process.
-const LEAST_STAY: time::Duration = time::Duration::from_millis(1_300);
-/// A stopping host that got no packet for so long has been left alone. Under
-/// load packets come every few milliseconds.
+/// The fabric takes a host out of rotation after two failed probes, half a second apart.
+/// Packets that arrive before would be lost if the process ended.
+const MIN_DRAIN_TIME: time::Duration = time::Duration::from_millis(1_300);
+/// A stopping host that received no packet for this time is out of rotation. Under load
+/// packets arrive every few milliseconds.
 const QUIET_PERIOD: time::Duration = time::Duration::from_millis(400);
-/// The process ends this long before it would be ended by force.
-const FORCE_MARGIN: time::Duration = time::Duration::from_millis(400);
+/// How long before the time limit for stopping the process ends by itself; at the limit it
+/// would be killed.
+const KILL_MARGIN: time::Duration = time::Duration::from_millis(400);
 
 /// Why the process ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopCause {
-    /// The fabric has left the host alone.
+    /// No more packets arrive: the fabric has taken the host out of rotation.
     Quiet,
-    /// The time for stopping is over.
+    /// The time limit for stopping is reached.
     Deadline,
-    /// A second signal came.
+    /// A second signal was received.
     SecondSignal,
 }
 
-/// Subscribes to the signals of a host.
+/// Subscribes to the signals that a host handles.
 ///
 /// # Errors
-/// Fails where the system refuses.
+/// Fails if the operating system refuses the subscription.
 pub fn signals() -> std::io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// What a signal, or the lack of one, asks for.
+/// What to do after a signal, or after a time without one.
 enum HostRequest {
     Stop,
     Reload,
-    Look,
+    Poll,
 }
 
-async fn next_request(signals: &mut Signals, patience: time::Duration) -> HostRequest {
+async fn next_request(signals: &mut Signals, interval: time::Duration) -> HostRequest {
     let signal = async {
         match signals.next().await {
             Some(Ok(Signal::Hup)) => HostRequest::Reload,
@@ -63,25 +64,26 @@
             None => future::pending().await,
         }
     };
-    let look = async {
-        Timer::after(patience).await;
-        HostRequest::Look
+    let poll = async {
+        Timer::after(interval).await;
+        HostRequest::Poll
     };
-    future::or(signal, look).await
+    future::or(signal, poll).await
 }
 
-/// Waits until the host is told to stop; settings are read again meanwhile.
+/// Waits for the signal to stop, and reloads the settings meanwhile.
 pub async fn wait_for_stop(signals: &mut Signals, settings: &mut SettingsFile) {
     loop {
         match next_request(signals, SETTINGS_POLL).await {
             HostRequest::Stop => return,
             HostRequest::Reload => settings.reload(),
-            HostRequest::Look => settings.reload_if_changed(),
+            HostRequest::Poll => settings.reload_if_changed(),
         }
     }
 }
 
-/// Tells the fabric to leave the host alone, and forwards until it has.
+/// Makes the host not ready, so that the fabric takes it out of rotation, and waits until
+/// no more packets arrive. Packets are forwarded meanwhile.
 pub async fn drain(
     signals: &mut Signals,
     views: &ViewCell,
@@ -91,13 +93,13 @@
 ) -> StopCause {
     views.begin_stop();
     let begun = clock.now();
-    let deadline = begun.after(stop_within.saturating_sub(FORCE_MARGIN));
+    let deadline = begun.after(stop_within.saturating_sub(KILL_MARGIN));
     loop {
         if matches!(next_request(signals, STOP_POLL).await, HostRequest::Stop) {
             return StopCause::SecondSignal;
         }
         let now = clock.now();
-        if is_left_alone(now, begun, last_packet.get()) {
+        if is_out_of_rotation(now, begun, last_packet.get()) {
             return StopCause::Quiet;
         }
         if now >= deadline {
@@ -106,6 +108,6 @@
     }
 }
 
-fn is_left_alone(now: Timestamp, begun: Timestamp, last_packet: Timestamp) -> bool {
-    now.since(begun) >= LEAST_STAY && now.since(last_packet) >= QUIET_PERIOD
+fn is_out_of_rotation(now: Timestamp, begun: Timestamp, last_packet: Timestamp) -> bool {
+    now.since(begun) >= MIN_DRAIN_TIME && now.since(last_packet) >= QUIET_PERIOD
 }
--- a/crates/cardamomwinch_forwarder/src/traffic_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/traffic_thread.rs
@@ -16,21 +16,21 @@
 use cardamomwinch_state::prelude::{BackendId, FlowKey, Timestamp};
 use cardamomwinch_transport::prelude::{Clock, DecisionLogger, HostClock, WaitingSocket};
 
-use crate::control_thread::ControlQuestion;
+use crate::control_thread::ControlMessage;
 use crate::decision_lines::DecisionLine;
 use crate::outcome_counters::OutcomeCounters;
 use crate::view_cell::ViewCell;
 
-/// How long the thread waits for a packet before it looks whether a tick is due.
-const CALM_PATIENCE: time::Duration = time::Duration::from_millis(100);
-/// The same while packets wait for the next view.
-const HELD_PATIENCE: time::Duration = time::Duration::from_millis(2);
-/// Room for the prefix, the longest packet, and one byte by which a longer one
-/// is noticed.
+/// How long the thread waits for a packet before it checks whether a tick is due.
+const IDLE_WAIT: time::Duration = time::Duration::from_millis(100);
+/// The same while packets are held until the next view.
+const HELD_WAIT: time::Duration = time::Duration::from_millis(2);
+/// Space for the prefix and the longest packet, in bytes. One extra byte shows that a
+/// packet is too long.
 const BUFFER_LENGTH: usize =
     packet::SERVER_PREFIX_LENGTH + packet::HEAD_LENGTH + packet::MAX_DATA_LENGTH + 1;
 
-/// When a packet came last, for the thread that decides about the stop.
+/// When the last packet was received; shared with the thread that stops the process.
 #[derive(Debug, Default, Clone)]
 pub struct LastPacket {
     at: sync::Arc<atomic::AtomicU64>,
@@ -41,35 +41,35 @@
         self.at.store(now.get(), atomic::Ordering::Relaxed);
     }
 
-    /// When a packet came last; zero before the first.
+    /// When the last packet was received; zero before the first one.
     pub fn get(&self) -> Timestamp {
         Timestamp::new(self.at.load(atomic::Ordering::Relaxed))
     }
 }
 
-/// Everything that the thread starts with.
+/// The parts that the thread starts with.
 pub struct TrafficThread {
-    /// The decisions.
+    /// Decides about packets.
     pub engine: ForwardingEngine,
-    /// Takes what was seen of servers.
-    pub control: Sender<ControlQuestion>,
-    /// Where packets come from and go to.
+    /// Receives the reports about servers.
+    pub control: Sender<ControlMessage>,
+    /// Receives and sends packets.
     pub socket: WaitingSocket,
-    /// The port at which callers take packets.
+    /// The port at which callers receive packets.
     pub caller_port: u16,
-    /// Where views come from.
+    /// The views that the control thread publishes.
     pub views: ViewCell,
-    /// Takes lines about decisions.
+    /// Logs decisions.
     pub logger: DecisionLogger<DecisionLine>,
-    /// Tells the time.
+    /// The clock.
     pub clock: HostClock,
-    /// Where the thread tells when a packet came last.
+    /// Records when the last packet was received.
     pub last_packet: LastPacket,
 }
 
-/// What is to become of the packet at hand.
+/// What to do with the current packet.
 #[derive(Debug, Clone, Copy)]
-enum PacketFate {
+enum PacketAction {
     Drop,
     Hold,
     Send {
@@ -81,7 +81,7 @@
 }
 
 struct PacketSink<'a> {
-    fate: PacketFate,
+    action: PacketAction,
     ended: Vec<(FlowKey, u32)>,
     now: Timestamp,
     counters: &'a OutcomeCounters,
@@ -90,7 +90,7 @@
 
 impl ForwardingSink for PacketSink<'_> {
     fn send(&mut self, server: &ServerRecord, token: FlowToken) {
-        self.fate = PacketFate::Send {
+        self.action = PacketAction::Send {
             address: server.address,
             server: server.id,
             token,
@@ -98,7 +98,7 @@
     }
 
     fn reset(&mut self) {
-        self.fate = PacketFate::Reset;
+        self.action = PacketAction::Reset;
     }
 
     fn reset_flow(&mut self, flow: &FlowKey, acknowledged: u32) {
@@ -106,7 +106,7 @@
     }
 
     fn hold(&mut self) {
-        self.fate = PacketFate::Hold;
+        self.action = PacketAction::Hold;
     }
 
     fn measure_opening(&mut self, time: time::Duration) {
@@ -134,8 +134,8 @@
 struct TrafficDriver {
     thread: TrafficThread,
     held: HeldPackets,
-    /// The view that packets which wait were decided against.
-    seen: sync::Arc<ForwardingView>,
+    /// The last view, which the held packets were evaluated with.
+    last_view: sync::Arc<ForwardingView>,
     tick_at: Timestamp,
     counters: OutcomeCounters,
     malformed: metrics::Counter,
@@ -150,7 +150,7 @@
     let mut driver = TrafficDriver::new(thread);
     let mut buffer = [0; BUFFER_LENGTH];
     loop {
-        driver.turn(&mut buffer);
+        driver.run_once(&mut buffer);
     }
 }
 
@@ -179,7 +179,7 @@
         Self {
             thread,
             held: HeldPackets::default(),
-            seen: sync::Arc::default(),
+            last_view: sync::Arc::default(),
             tick_at: Timestamp::ZERO,
             counters: OutcomeCounters::default(),
             malformed: metrics::counter!("cardamomwinch_forwarding_malformed_total"),
@@ -190,38 +190,38 @@
         }
     }
 
-    /// Waits for a packet and decides about it, then does what has come due.
-    fn turn(&mut self, buffer: &mut [u8; BUFFER_LENGTH]) {
-        let patience = if self.held.is_empty() {
-            CALM_PATIENCE
+    /// Waits for a packet and handles it, then does the work that is due.
+    fn run_once(&mut self, buffer: &mut [u8; BUFFER_LENGTH]) {
+        let wait = if self.held.is_empty() {
+            IDLE_WAIT
         } else {
-            HELD_PATIENCE
+            HELD_WAIT
         };
-        let room = &mut buffer[packet::SERVER_PREFIX_LENGTH..];
-        let received = self.thread.socket.receive(room, patience);
+        let space = &mut buffer[packet::SERVER_PREFIX_LENGTH..];
+        let received = self.thread.socket.receive(space, wait);
         let now = self.thread.clock.now();
         let view = self.thread.views.load();
         match received {
             Ok(Some(packet)) => {
                 self.thread.last_packet.set(now);
-                self.take(now, now, &view, buffer, packet.length);
+                self.handle_packet(now, now, &view, buffer, packet.length);
             }
             Ok(None) => {}
-            Err(error) => log::error!("no packet can be received: {error}"),
+            Err(error) => log::error!("cannot receive packets: {error}"),
         }
-        if !self.held.is_empty() && !view.has_same_data(&self.seen) {
-            self.take_held(now, &view, buffer);
+        if !self.held.is_empty() && !view.has_same_data(&self.last_view) {
+            self.retry_held(now, &view, buffer);
         }
-        self.seen = view;
-        self.report();
+        self.last_view = view;
+        self.send_reports();
         if now >= self.tick_at {
             self.tick(now);
         }
     }
 
-    /// Hands on what was seen of servers. Control that is too busy to take it loses it,
-    /// and the next packets that get no answer show the same.
-    fn report(&mut self) {
+    /// Sends reports about servers to the control thread. If its queue is full they are
+    /// lost; the next packets without an answer lead to the same reports.
+    fn send_reports(&mut self) {
         let reports = self.thread.engine.take_reports();
         if reports.is_empty() {
             return;
@@ -229,14 +229,14 @@
         if let Err(error) = self
             .thread
             .control
-            .try_send(ControlQuestion::Seen { reports })
+            .try_send(ControlMessage::TrafficReports { reports })
         {
             log::debug!("reports about servers are lost: {error}");
         }
     }
 
-    /// Decides again about packets that wait for more to be known.
-    fn take_held(
+    /// Evaluates the held packets again with `view`.
+    fn retry_held(
         &mut self,
         now: Timestamp,
         view: &ForwardingView,
@@ -245,13 +245,13 @@
         for (since, bytes) in self.held.take(now) {
             let end = packet::SERVER_PREFIX_LENGTH + bytes.len();
             buffer[packet::SERVER_PREFIX_LENGTH..end].copy_from_slice(&bytes);
-            self.take(now, since, view, buffer, bytes.len());
+            self.handle_packet(now, since, view, buffer, bytes.len());
         }
     }
 
-    /// Decides about the packet in `buffer`, which came at `since`, and carries
-    /// that out.
-    fn take(
+    /// Decides about the packet in `buffer`, which was received at `since`, and carries out
+    /// the decision.
+    fn handle_packet(
         &mut self,
         now: Timestamp,
         since: Timestamp,
@@ -265,17 +265,17 @@
             return self.malformed.increment(1);
         };
         let mut sink = PacketSink {
-            fate: PacketFate::Drop,
+            action: PacketAction::Drop,
             ended: Vec::new(),
             now,
             counters: &self.counters,
             logger: &mut self.thread.logger,
         };
         self.thread.engine.handle(now, view, &decoded, &mut sink);
-        match sink.fate {
-            PacketFate::Drop => {}
-            PacketFate::Hold => self.held.hold(since, bytes),
-            PacketFate::Send {
+        match sink.action {
+            PacketAction::Drop => {}
+            PacketAction::Hold => self.held.hold(since, bytes),
+            PacketAction::Send {
                 address,
                 server,
                 token,
@@ -284,7 +284,7 @@
                 packet::prepare_for_server(datagram, server, token);
                 self.send(&buffer[..end], address);
             }
-            PacketFate::Reset => self.reset(&decoded.flow, decoded.acknowledged),
+            PacketAction::Reset => self.reset(&decoded.flow, decoded.acknowledged),
         }
     }
 
@@ -293,7 +293,7 @@
         self.send(&packet::reset(flow, acknowledged), caller);
     }
 
-    /// A packet that is not sent is a lost packet: both ends send again.
+    /// Sends a packet. A failure counts as a lost packet, which both ends send again.
     fn send(&self, bytes: &[u8], address: net::SocketAddr) {
         if let Err(error) = self.thread.socket.send(bytes, address) {
             self.send_failures.increment(1);
@@ -301,8 +301,9 @@
         }
     }
 
-    /// Lets the fabric use other hosts while no server answers this one.
-    fn note_reach(&self) {
+    /// Makes the host not ready while no server answers it, so that the fabric uses other
+    /// hosts.
+    fn update_reachability(&self) {
         let reaches = self.thread.engine.reaches_servers();
         if !self.thread.views.set_unreachable(!reaches) {
             return;
@@ -318,17 +319,17 @@
     fn tick(&mut self, now: Timestamp) {
         self.tick_at = now.after(engine::TICK_PERIOD);
         let mut sink = PacketSink {
-            fate: PacketFate::Drop,
+            action: PacketAction::Drop,
             ended: Vec::new(),
             now,
             counters: &self.counters,
             logger: &mut self.thread.logger,
         };
-        self.thread.engine.tick(now, &self.seen, &mut sink);
+        self.thread.engine.tick(now, &self.last_view, &mut sink);
         for (flow, acknowledged) in sink.ended {
             self.reset(&flow, acknowledged);
         }
-        self.note_reach();
+        self.update_reachability();
         self.thread.logger.report_left_out(now);
         self.watched.set(self.thread.engine.watch().len() as f64);
         self.unwatched.absolute(self.thread.engine.unwatched());
--- a/crates/cardamomwinch_forwarder/src/view_cell.rs
+++ b/crates/cardamomwinch_forwarder/src/view_cell.rs
@@ -1,5 +1,5 @@
-//! The place through which control gives traffic what is believed. Neither side
-//! ever waits for the other.
+//! The cell through which the control thread passes views to the traffic thread. Neither
+//! thread waits for the other.
 
 use std::sync;
 use std::sync::atomic;
@@ -8,7 +8,7 @@
 use cardamomwinch_coordination::forwarding::view::ForwardingView;
 use cardamomwinch_transport::prelude::ReadinessSource;
 
-/// Holds the view published last, and whether the host is stopping.
+/// The view published last, and whether the host is stopping or cannot reach any server.
 #[derive(Debug, Clone)]
 pub struct ViewCell {
     view: sync::Arc<ArcSwap<ForwardingView>>,
@@ -37,21 +37,21 @@
         self.view.load_full()
     }
 
-    /// The view published last, for short use on the request path.
+    /// The view published last, for brief use on the path of packets.
     pub fn borrow(&self) -> arc_swap::Guard<sync::Arc<ForwardingView>> {
         self.view.load()
     }
 
-    /// The host is not ready while servers are `unreachable` for it. Returns whether that
-    /// is new.
+    /// Sets whether all servers are `unreachable`; the host is not ready meanwhile. Returns
+    /// whether the value changed.
     pub fn set_unreachable(&self, unreachable: bool) -> bool {
-        let earlier = self
+        let previous = self
             .unreachable
             .swap(unreachable, atomic::Ordering::Relaxed);
-        earlier != unreachable
+        previous != unreachable
     }
 
-    /// From now on the host is not ready.
+    /// Makes the host not ready for the rest of its run.
     pub fn begin_stop(&self) {
         self.stopping.store(true, atomic::Ordering::Relaxed);
     }
--- a/crates/cardamomwinch_forwarder/tests/peer_wire.rs
+++ b/crates/cardamomwinch_forwarder/tests/peer_wire.rs
@@ -16,7 +16,7 @@
 use cardamomwinch_coordination::forwarding::server_reports::{
     ReportSerial, ReportSubject, ReporterId,
 };
-use cardamomwinch_forwarder::peer_wire::WireWord;
+use cardamomwinch_forwarder::peer_wire::WireAnswer;
 use cardamomwinch_state::prelude::*;
 
 /// A fifth of a link of 10 Mbit/s for a second, in bytes.
@@ -87,11 +87,11 @@
 }
 
 fn encoded(word: PeerAnswer) -> String {
-    serde_json::to_string(&WireWord::from(word)).unwrap()
+    serde_json::to_string(&WireAnswer::from(word)).unwrap()
 }
 
 fn decoded(text: &str) -> Option<PeerAnswer> {
-    let wire: WireWord = serde_json::from_str(text).unwrap();
+    let wire: WireAnswer = serde_json::from_str(text).unwrap();
     wire.try_into().ok()
 }
 
@@ -183,5 +183,5 @@
     let text = encoded(word(0, vec![server(1), server(2)]));
     let begin = text.find("\"servers\":\"").unwrap() + "\"servers\":\"".len();
     let cut = format!("{}{}", &text[..begin], &text[begin + 8..]);
-    assert!(serde_json::from_str::<WireWord>(&cut).is_err());
+    assert!(serde_json::from_str::<WireAnswer>(&cut).is_err());
 }
