--- a/crates/cardamomwinch_forwarder/tests/peer_wire.rs
+++ b/crates/cardamomwinch_forwarder/tests/peer_wire.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other, in bytes.
+//! The encoded messages between hosts.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::net;
@@ -19,10 +19,10 @@
 use cardamomwinch_forwarder::peer_wire::WireAnswer;
 use cardamomwinch_state::prelude::*;
 
-/// A fifth of a link of 10 Mbit/s for a second, in bytes.
+/// What a link of 10 Mbit/s carries in a fifth of a second, in bytes.
 const SHARE_OF_NARROW_LINK: usize = 250_000;
-/// So many hosts learn from the same one.
-const LEARNERS: usize = 4;
+/// The number of hosts that get their data from the same host.
+const FOLLOWERS: usize = 4;
 
 fn route(number: u32) -> (net::SocketAddr, RouteEntry) {
     let address = net::SocketAddr::from(([198, 18, 0, 1], 10_000 + number as u16));
@@ -55,7 +55,7 @@
     }
 }
 
-fn word(routes: u32, servers: Vec<PeerServer>) -> PeerAnswer {
+fn answer(routes: u32, servers: Vec<PeerServer>) -> PeerAnswer {
     PeerAnswer {
         revision: StoreRevision::new(77),
         waited: time::Duration::from_millis(12),
@@ -86,8 +86,8 @@
     }
 }
 
-fn encoded(word: PeerAnswer) -> String {
-    serde_json::to_string(&WireAnswer::from(word)).unwrap()
+fn encoded(answer: PeerAnswer) -> String {
+    serde_json::to_string(&WireAnswer::from(answer)).unwrap()
 }
 
 fn decoded(text: &str) -> Option<PeerAnswer> {
@@ -96,18 +96,18 @@
 }
 
 #[test]
-fn a_word_comes_as_it_was_said() {
+fn an_answer_is_decoded_as_it_was_encoded() {
     let mut leaving = server(2);
     leaving.draining = true;
     leaving.started = Some(ServerStart::new(1_700_000_000_000));
-    let mut gone = server(3);
-    gone.service = ServiceId::from_name("docvault");
-    gone.removed_ago = Some(time::Duration::from_secs(3));
-    gone.vanished = true;
+    let mut removed = server(3);
+    removed.service = ServiceId::from_name("docvault");
+    removed.removed_ago = Some(time::Duration::from_secs(3));
+    removed.vanished = true;
     let mut cold = server(4);
     cold.cold_left = time::Duration::from_secs(2);
-    let mut said = word(5, vec![server(1), leaving, gone, cold]);
-    let changes = said.routes.as_mut().unwrap();
+    let mut original = answer(5, vec![server(1), leaving, removed, cold]);
+    let changes = original.routes.as_mut().unwrap();
     changes.changed[0].1.regions = vec![RegionId::from_name("bud")];
     changes.cold_starts = Some(vec![ColdStart {
         service: ServiceId::from_name("docvault"),
@@ -129,58 +129,58 @@
         silence,
     };
     let silence = Some((2, time::Duration::from_millis(450)));
-    said.reports = vec![report(1, silence), report(2, None)];
-    said.reports_serial = ReportSerial::new(31);
+    original.reports = vec![report(1, silence), report(2, None)];
+    original.reports_serial = ReportSerial::new(31);
     let some_time = Some(time::Duration::from_millis(70));
-    said.evacuations = vec![
+    original.evacuations = vec![
         evacuation("bud-csepel", None, None),
         evacuation("bud-angyal", some_time, None),
         evacuation("bud-budaors", None, some_time),
     ];
-    said.revision = StoreRevision::in_era(StoreEra::new(3), 77);
-    assert_eq!(decoded(&encoded(said.clone())), Some(said));
+    original.revision = StoreRevision::in_era(StoreEra::new(3), 77);
+    assert_eq!(decoded(&encoded(original.clone())), Some(original));
 }
 
-/// A configuration grows by 1,700 routes. A host with a link of 10 Mbit/s passes it on
-/// to those that learn from it; callers' packets were lost on it for a second, since
-/// each was told 260 kilobytes.
+/// A configuration grows by 1,700 routes, and a host with a link of 10 Mbit/s sends it to the
+/// hosts that follow it. Guards against an answer that is too long: at 260 kilobytes for
+/// each host, packets of callers were lost on the link for a second.
 #[test]
 fn a_large_change_takes_a_fifth_of_a_narrow_link_for_a_second() {
-    let bytes = encoded(word(1_700, Vec::new())).len();
+    let bytes = encoded(answer(1_700, Vec::new())).len();
     assert!(
-        bytes * LEARNERS <= SHARE_OF_NARROW_LINK,
+        bytes * FOLLOWERS <= SHARE_OF_NARROW_LINK,
         "{bytes} bytes each"
     );
 }
 
-/// What a host learns at its start grows with the servers; it must stay within what
-/// the store itself would send of them.
+/// The answer to a starting host grows with the number of servers. It must not be longer
+/// than the answer of the store itself.
 #[test]
 fn a_server_takes_fifty_bytes_at_most() {
     let started = |number| PeerServer {
         started: Some(ServerStart::new(1_796_298_587_472 + number)),
         ..server(number)
     };
-    let bytes = |count| encoded(word(0, (0..count).map(started).collect())).len();
+    let bytes = |count| encoded(answer(0, (0..count).map(started).collect())).len();
     let each = (bytes(250) - bytes(50)) / 200;
     println!("{each} bytes a server");
     assert!(each <= 50, "{each} bytes a server");
 }
 
-/// A peer of another version refers to a kind that it does not tell. That must be a
-/// failed call, like one that cannot be read, and no route to nowhere.
+/// A peer of another version refers to a kind that it doesn't send. The call must fail, as
+/// for an answer that cannot be parsed; otherwise a route could lead nowhere.
 #[test]
-fn a_word_with_an_unknown_kind_is_refused() {
-    let text = encoded(word(0, vec![server(1)]));
+fn an_answer_with_an_unknown_kind_is_refused() {
+    let text = encoded(answer(0, vec![server(1)]));
     let without_kinds = text.replace("\"kinds\":[{\"service\"", "\"others\":[{\"service\"");
     assert_ne!(text, without_kinds);
     assert_eq!(decoded(&without_kinds), None);
 }
 
-/// Bytes that are cut off in between must be a failed call, too.
+/// The call must also fail if some of the encoded bytes are missing.
 #[test]
 fn servers_that_cannot_be_read_are_refused() {
-    let text = encoded(word(0, vec![server(1), server(2)]));
+    let text = encoded(answer(0, vec![server(1), server(2)]));
     let begin = text.find("\"servers\":\"").unwrap() + "\"servers\":\"".len();
     let cut = format!("{}{}", &text[..begin], &text[begin + 8..]);
     assert!(serde_json::from_str::<WireAnswer>(&cut).is_err());
--- a/crates/cardamomwinch_forwarder/tests/real_process.rs
+++ b/crates/cardamomwinch_forwarder/tests/real_process.rs
@@ -1,5 +1,5 @@
-//! The process of a forwarding host between a caller, backend servers and a store
-//! on loopback.
+//! A real process of a forwarding host between a caller, a backend server and a store on
+//! loopback.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -35,7 +35,7 @@
     )
 }
 
-/// The entry of a server that tells when its process started.
+/// The entry of a server that contains the start time of its process.
 fn entry_of_start(address: net::SocketAddr, start: u64) -> String {
     server_entry(address, "ready").replacen('{', &format!(r#"{{"born":{start},"#), 1)
 }
@@ -56,7 +56,7 @@
 
 fn socket(address: impl net::ToSocketAddrs) -> net::UdpSocket {
     let socket = net::UdpSocket::bind(address).unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     socket
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// A store with one route and one server, `i-00000001aaaa0001`.
-struct Scene {
+struct Setup {
     store: StandInStore,
     server: net::UdpSocket,
     caller: net::SocketAddr,
@@ -76,7 +76,7 @@
 const TOKEN: u32 = 0xaaaa_0001;
 const SERVER_KEY: &str = "servers/i-1aaaa0001";
 
-impl Scene {
+impl Setup {
     fn new() -> Self {
         let store = StandInStore::start();
         let server = socket("127.0.0.1:0");
@@ -97,25 +97,25 @@
     }
 }
 
-/// The whole path: an opening gets a server and a token, data follow the token on
-/// another host that never saw the opening, and metrics tell of it.
+/// The whole path: an opening gets a server and a token, data is forwarded by the token
+/// through another host that never received the opening, and the metrics count the packets.
 #[test]
 fn flows_pass_through_any_host() {
-    let scene = Scene::new();
-    let first = HostProcess::start("first", scene.store.address, &[]);
-    let second = HostProcess::start("second", scene.store.address, &[first.peer]);
+    let setup = Setup::new();
+    let first = HostProcess::start("first", setup.store.address, &[]);
+    let second = HostProcess::start("second", setup.store.address, &[first.peer]);
     first.wait_until_ready(true);
     second.wait_until_ready(true);
-    scene.send(&first, SERVICE_PORT, OPENING, 0);
-    let opening = receive(&scene.server);
+    setup.send(&first, SERVICE_PORT, OPENING, 0);
+    let opening = receive(&setup.server);
     assert_eq!(
         opening[..8],
         [0, 0, 0, 1, 0xaa, 0xaa, 0, 1],
         "the incarnation"
     );
     assert_eq!(opening[36..40], TOKEN.to_le_bytes());
-    scene.send(&second, SERVICE_PORT, DATA, TOKEN);
-    assert_eq!(receive(&scene.server)[14], DATA);
+    setup.send(&second, SERVICE_PORT, DATA, TOKEN);
+    assert_eq!(receive(&setup.server)[14], DATA);
     let (_, metrics) = HostProcess::get(second.admin, "/metrics").unwrap();
     let counted = r#"cardamomwinch_forwarding_packets_total{outcome="forwarded"} 1"#;
     assert!(metrics.contains(counted), "{metrics}");
@@ -124,137 +124,137 @@
     assert!(metrics.contains(help), "{metrics}");
 }
 
-/// An operator asks a host what it believes and where a flow would go, with the
-/// same command as for other hosts.
+/// An operator queries what a host knows and where it would send a flow, with the same
+/// command as for other hosts.
 #[test]
-fn operators_are_told_what_a_host_believes() {
-    let scene = Scene::new();
-    let host = HostProcess::start("asked", scene.store.address, &[]);
+fn operators_can_query_what_a_host_knows() {
+    let setup = Setup::new();
+    let host = HostProcess::start("asked", setup.store.address, &[]);
     host.wait_until_ready(true);
     let admin = host.admin.to_string();
-    let ask = |arguments: &[&str]| {
-        let asked = arguments.iter().copied().chain(["--admin", &admin]);
-        let arguments: Vec<String> = asked.map(str::to_owned).collect();
+    let run = |arguments: &[&str]| {
+        let arguments = arguments.iter().copied().chain(["--admin", &admin]);
+        let arguments: Vec<String> = arguments.map(str::to_owned).collect();
         let outcome = cardamomwinch_ctl::outcome::run(&arguments);
         assert_eq!(outcome.errors, "");
         outcome.output
     };
-    let beliefs = ask(&["beliefs"]);
-    assert!(beliefs.contains("store") && beliefs.contains("00000001aaaa0001"));
+    let report = run(&["beliefs"]);
+    assert!(report.contains("store") && report.contains("00000001aaaa0001"));
     let flow = "127.0.0.1:40001->198.18.0.1:8443";
-    let opening = ask(&["explain", flow]);
+    let opening = run(&["explain", flow]);
     assert!(opening.contains("opening_placed"), "{opening}");
-    let data = ask(&["explain", flow, "--token", "aaaa0001"]);
+    let data = run(&["explain", flow, "--token", "aaaa0001"]);
     assert!(data.contains("forwarded"), "{data}");
     assert!(data.contains("00000001aaaa0001"), "{data}");
 }
 
-/// A packet comes before the host knows any route. If it were dropped its caller
-/// would wait until its own timer; it must pass as soon as the store answers.
+/// A packet arrives before the host knows any route. If it were dropped, the caller would
+/// have to wait for its own timeout; it must be forwarded as soon as the store answers.
 #[test]
 fn packets_wait_for_the_first_view() {
-    let scene = Scene::new();
-    let host = HostProcess::start("early", scene.store.address, &[]);
-    let bytes = packet(scene.caller, SERVICE_PORT, OPENING, 0);
+    let setup = Setup::new();
+    let host = HostProcess::start("early", setup.store.address, &[]);
+    let bytes = packet(setup.caller, SERVICE_PORT, OPENING, 0);
     let sender = socket("127.0.0.1:0");
     let mut buffer = [0; 2_000];
     let step = std::time::Duration::from_millis(20);
-    scene.server.set_read_timeout(Some(step)).unwrap();
+    setup.server.set_read_timeout(Some(step)).unwrap();
     wait_until("the opening", || {
         sender.send_to(&bytes, host.traffic).unwrap();
-        scene.server.recv_from(&mut buffer).is_ok()
+        setup.server.recv_from(&mut buffer).is_ok()
     });
 }
 
-/// An operator drops a route. Callers of its open flows must be told at once, at
-/// the port where callers listen.
+/// An operator drops a route. The callers of its open flows must get a reset at once, at the
+/// port where callers listen.
 #[test]
 fn a_dropped_route_resets_its_flows() {
-    let mut scene = Scene::new();
-    let host = HostProcess::start("dropping", scene.store.address, &[]);
+    let mut setup = Setup::new();
+    let host = HostProcess::start("dropping", setup.store.address, &[]);
     host.wait_until_ready(true);
     let listener = socket(("127.0.0.2", host.traffic.port()));
-    scene.caller.set_ip(net::Ipv4Addr::new(127, 0, 0, 2).into());
-    scene.send(&host, SERVICE_PORT, OPENING, 0);
-    receive(&scene.server);
+    setup.caller.set_ip(net::Ipv4Addr::new(127, 0, 0, 2).into());
+    setup.send(&host, SERVICE_PORT, OPENING, 0);
+    receive(&setup.server);
     let other = configuration(2, &[8080]);
-    scene.store.write("op/config", Some(&other));
+    setup.store.write("op/config", Some(&other));
     wait_until("version 2", || {
         let (_, metrics) = HostProcess::get(host.admin, "/metrics").unwrap();
         metrics.contains("cardamomwinch_configuration_version 2")
     });
-    scene.send(&host, SERVICE_PORT, DATA, TOKEN);
+    setup.send(&host, SERVICE_PORT, DATA, TOKEN);
     let reset = receive(&listener);
     assert_eq!((reset[6], reset.len()), (RESET, packet::HEAD_LENGTH));
 }
 
-/// A server starts again under its identifier before its entry lapses. A caller whose
-/// flow rests there must be told, at the port where callers listen, before it sends a
-/// request that may run only once into a flow that nobody holds.
+/// A server restarts under the same identifier before its entry expires. A caller with an
+/// idle flow there must get a reset at the port where callers listen, before it sends a
+/// request that may run only once on a flow that the server no longer has.
 #[test]
-fn a_flow_that_rests_on_a_restarted_server_is_reset() {
-    let mut scene = Scene::new();
-    let address = scene.server.local_addr().unwrap();
+fn an_idle_flow_on_a_restarted_server_is_reset() {
+    let mut setup = Setup::new();
+    let address = setup.server.local_addr().unwrap();
     let first = entry_of_start(address, 1_796_262_744_123);
-    scene.store.write(SERVER_KEY, Some(&first));
-    let host = HostProcess::start("seeing", scene.store.address, &[]);
+    setup.store.write(SERVER_KEY, Some(&first));
+    let host = HostProcess::start("seeing", setup.store.address, &[]);
     host.wait_until_ready(true);
     let listener = socket(("127.0.0.2", host.traffic.port()));
-    scene.caller.set_ip(net::Ipv4Addr::new(127, 0, 0, 2).into());
-    scene.send(&host, SERVICE_PORT, OPENING, 0);
-    receive(&scene.server);
-    scene.send(&host, SERVICE_PORT, DATA, TOKEN);
-    receive(&scene.server);
+    setup.caller.set_ip(net::Ipv4Addr::new(127, 0, 0, 2).into());
+    setup.send(&host, SERVICE_PORT, OPENING, 0);
+    receive(&setup.server);
+    setup.send(&host, SERVICE_PORT, DATA, TOKEN);
+    receive(&setup.server);
     let again = entry_of_start(address, 1_796_262_750_456);
-    scene.store.write(SERVER_KEY, Some(&again));
+    setup.store.write(SERVER_KEY, Some(&again));
     let reset = receive(&listener);
     assert_eq!((reset[6], reset.len()), (RESET, packet::HEAD_LENGTH));
 }
 
-/// The store goes down and a host starts. It knows nothing, and only its peer can
-/// tell it; without that, callers in its domain are refused until the store is back.
+/// A host starts during an outage of the store and has no data. It must get the data from
+/// its peer; otherwise callers in its domain are refused until the store is back.
 #[test]
-fn a_host_that_starts_without_the_store_learns_from_its_peer() {
-    let scene = Scene::new();
-    let old = HostProcess::start("old", scene.store.address, &[]);
+fn a_host_that_starts_without_the_store_gets_its_data_from_its_peer() {
+    let setup = Setup::new();
+    let old = HostProcess::start("old", setup.store.address, &[]);
     old.wait_until_ready(true);
-    scene.store.set_down(true);
-    let new = HostProcess::start("new", scene.store.address, &[old.peer]);
+    setup.store.set_down(true);
+    let new = HostProcess::start("new", setup.store.address, &[old.peer]);
     new.wait_until_ready(true);
-    scene.send(&new, SERVICE_PORT, OPENING, 0);
-    assert_eq!(receive(&scene.server)[36..40], TOKEN.to_le_bytes());
+    setup.send(&new, SERVICE_PORT, OPENING, 0);
+    assert_eq!(receive(&setup.server)[36..40], TOKEN.to_le_bytes());
 }
 
-/// A host is stopped while its fabric still sends it packets. It must say that it
-/// is not ready, forward what comes, and end by itself in time.
+/// A host is stopped while the fabric still sends it packets. It must report that it is not
+/// ready, forward the packets, and end by itself in time.
 #[test]
-fn a_stopping_host_forwards_until_it_is_left_alone() {
-    let scene = Scene::new();
-    let mut host = HostProcess::start("stopping", scene.store.address, &[]);
+fn a_stopping_host_forwards_until_no_packets_arrive() {
+    let setup = Setup::new();
+    let mut host = HostProcess::start("stopping", setup.store.address, &[]);
     host.wait_until_ready(true);
     host.terminate();
     host.wait_until_ready(false);
-    scene.send(&host, SERVICE_PORT, DATA, TOKEN);
-    assert_eq!(receive(&scene.server)[14], DATA);
+    setup.send(&host, SERVICE_PORT, DATA, TOKEN);
+    assert_eq!(receive(&setup.server)[14], DATA);
     assert_eq!(host.wait_for_end(), Some(0));
 }
 
-/// The settings file is replaced by one with a mistake. The host serves on with
-/// the old settings; ending would turn a typing error into an outage.
+/// The settings file is replaced by an invalid one. The host must keep serving with the old
+/// settings; if it ended, a typing error would cause an outage.
 #[test]
-fn settings_that_are_not_valid_change_nothing() {
-    let scene = Scene::new();
-    let mut host = HostProcess::start("reloading", scene.store.address, &[]);
+fn invalid_settings_are_ignored_on_reload() {
+    let setup = Setup::new();
+    let mut host = HostProcess::start("reloading", setup.store.address, &[]);
     host.wait_until_ready(true);
     std::fs::write(&host.settings, "{ \"host\": }").unwrap();
     host.reload();
-    scene.send(&host, SERVICE_PORT, OPENING, 0);
-    receive(&scene.server);
+    setup.send(&host, SERVICE_PORT, OPENING, 0);
+    receive(&setup.server);
     host.wait_until_ready(true);
 }
 
 #[test]
-fn settings_that_are_not_valid_end_the_start() {
+fn invalid_settings_prevent_the_start() {
     let file = std::env::temp_dir().join(format!("wrong-{}.jsonc", std::process::id()));
     std::fs::write(&file, r#"{"host": "a b"}"#).unwrap();
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_cardamomwinch-forwarder"))
--- a/crates/cardamomwinch_forwarder/tests/restored_store.rs
+++ b/crates/cardamomwinch_forwarder/tests/restored_store.rs
@@ -1,5 +1,5 @@
-//! Real host processes whose store comes back from a copy some seconds old: what it
-//! acknowledged since is gone, and its revisions are given out again.
+//! Real host processes whose store is restored from a backup some seconds old: the writes
+//! that it acknowledged since are lost, and their revisions are assigned again.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -9,10 +9,10 @@
 
 use support::*;
 
-const LEAVING: &str = "1aaaa0001";
+const DRAINING: &str = "1aaaa0001";
 const STAYING: &str = "2aaaa0002";
-/// Hosts that went to the store themselves learn from each other again within this.
-const SETTLING: time::Duration = time::Duration::from_secs(4);
+/// The time within which hosts that read the store themselves follow each other again.
+const SETTLING_TIME: time::Duration = time::Duration::from_secs(4);
 
 fn configuration(version: u64) -> String {
     format!(
@@ -29,28 +29,28 @@
 }
 
 /// A store with a configuration and two servers, and the hosts that read it.
-struct Scene {
+struct Setup {
     store: StandInStore,
     hosts: Vec<HostProcess>,
 }
 
-impl Scene {
+impl Setup {
     fn with_hosts(names: &[&str]) -> Self {
         let store = StandInStore::start();
-        let mut scene = Self {
+        let mut setup = Self {
             store,
             hosts: Vec::new(),
         };
-        scene.publish(1);
-        scene.write_entry(LEAVING, "ready");
-        scene.write_entry(STAYING, "ready");
+        setup.publish(1);
+        setup.write_entry(DRAINING, "ready");
+        setup.write_entry(STAYING, "ready");
         for name in names {
-            let seeds: Vec<_> = scene.hosts.iter().map(|host| host.peer).collect();
-            let host = HostProcess::start(name, scene.store.address, &seeds);
+            let seeds: Vec<_> = setup.hosts.iter().map(|host| host.peer).collect();
+            let host = HostProcess::start(name, setup.store.address, &seeds);
             host.wait_until_ready(true);
-            scene.hosts.push(host);
+            setup.hosts.push(host);
         }
-        scene
+        setup
     }
 
     fn publish(&self, version: u64) {
@@ -62,7 +62,7 @@
         self.store.write(&key, Some(&entry(state)));
     }
 
-    fn beliefs(host: &HostProcess) -> String {
+    fn report(host: &HostProcess) -> String {
         let admin = host.admin.to_string();
         let arguments = ["beliefs", "--admin", &admin].map(str::to_owned);
         let outcome = cardamomwinch_ctl::outcome::run(&arguments);
@@ -70,10 +70,10 @@
         outcome.output
     }
 
-    /// Waits until all hosts believe what `text` says.
-    fn wait_for_belief(&self, text: &str) {
+    /// Waits until the reports of all hosts contain `text`.
+    fn wait_for_report(&self, text: &str) {
         for host in &self.hosts {
-            wait_until(text, || Self::beliefs(host).contains(text));
+            wait_until(text, || Self::report(host).contains(text));
         }
     }
 
@@ -88,64 +88,68 @@
     }
 }
 
-/// New flows on a leaving server: followers missed changes whose revisions they had seen before.
+/// Guards against new flows on a draining server: followers missed changes whose revisions
+/// they had seen before the restore.
 #[test]
-fn followers_learn_of_a_leaving_server_after_the_store_was_restored() {
-    let scene = Scene::with_hosts(&["restored-1", "restored-2", "restored-3"]);
-    thread::sleep(SETTLING);
-    let copy = scene.store.copy();
+fn followers_know_of_a_draining_server_after_the_store_was_restored() {
+    let setup = Setup::with_hosts(&["restored-1", "restored-2", "restored-3"]);
+    thread::sleep(SETTLING_TIME);
+    let backup = setup.store.backup();
     for version in [2, 3, 4] {
-        scene.publish(version);
+        setup.publish(version);
     }
-    scene.wait_for_version(4);
-    scene.store.restore(copy);
-    thread::sleep(SETTLING);
-    scene.write_entry(LEAVING, "draining");
-    scene.wait_for_belief("draining");
+    setup.wait_for_version(4);
+    setup.store.restore(backup);
+    thread::sleep(SETTLING_TIME);
+    setup.write_entry(DRAINING, "draining");
+    setup.wait_for_report("draining");
 }
 
-/// New flows on a leaving server: a watch went on from a number that means a later change now.
+/// Guards against new flows on a draining server: a watch continued from a revision number
+/// that belongs to a newer change after the restore.
 #[test]
-fn a_host_reads_all_again_where_the_count_of_a_restored_store_has_passed_its_own() {
-    let scene = Scene::with_hosts(&["overtaken"]);
-    let copy = scene.store.copy();
-    scene.publish(2);
-    scene.wait_for_version(2);
-    scene.store.set_down(true);
-    scene.store.restore(copy);
-    scene.write_entry(LEAVING, "draining");
-    scene.publish(2);
-    scene.publish(3);
-    scene.store.set_down(false);
-    scene.wait_for_version(3);
-    scene.wait_for_belief("draining");
+fn a_host_lists_again_if_the_revision_of_a_restored_store_exceeds_its_own() {
+    let setup = Setup::with_hosts(&["overtaken"]);
+    let backup = setup.store.backup();
+    setup.publish(2);
+    setup.wait_for_version(2);
+    setup.store.set_down(true);
+    setup.store.restore(backup);
+    setup.write_entry(DRAINING, "draining");
+    setup.publish(2);
+    setup.publish(3);
+    setup.store.set_down(false);
+    setup.wait_for_version(3);
+    setup.wait_for_report("draining");
 }
 
-/// New flows on a leaving server: a record from before the restore had the higher number.
+/// Guards against new flows on a draining server: its entry from before the restore had the
+/// higher revision number.
 #[test]
-fn an_entry_is_believed_although_an_earlier_one_had_a_higher_revision() {
-    let scene = Scene::with_hosts(&["outnumbered"]);
-    let copy = scene.store.copy();
+fn an_entry_is_applied_although_an_older_one_had_a_higher_revision() {
+    let setup = Setup::with_hosts(&["outnumbered"]);
+    let backup = setup.store.backup();
     for version in [2, 3, 4] {
-        scene.publish(version);
+        setup.publish(version);
     }
-    scene.write_entry(LEAVING, "ready");
-    scene.publish(5);
-    scene.wait_for_version(5);
-    scene.store.restore(copy);
-    scene.write_entry(LEAVING, "draining");
-    scene.wait_for_belief("draining");
+    setup.write_entry(DRAINING, "ready");
+    setup.publish(5);
+    setup.wait_for_version(5);
+    setup.store.restore(backup);
+    setup.write_entry(DRAINING, "draining");
+    setup.wait_for_report("draining");
 }
 
-/// New flows on a leaving server: the copy still says that it is ready.
+/// Guards against new flows on a draining server: the backup still contains its entry as
+/// ready.
 #[test]
-fn a_server_that_said_it_leaves_gets_no_flows_because_of_an_old_copy() {
-    let scene = Scene::with_hosts(&["forgetful"]);
-    let copy = scene.store.copy();
-    scene.write_entry(LEAVING, "draining");
-    scene.wait_for_belief("draining");
-    scene.store.restore(copy);
-    scene.publish(2);
-    scene.wait_for_version(2);
-    assert!(Scene::beliefs(&scene.hosts[0]).contains("draining"));
+fn a_draining_server_stays_draining_after_a_restore_from_an_older_backup() {
+    let setup = Setup::with_hosts(&["forgetful"]);
+    let backup = setup.store.backup();
+    setup.write_entry(DRAINING, "draining");
+    setup.wait_for_report("draining");
+    setup.store.restore(backup);
+    setup.publish(2);
+    setup.wait_for_version(2);
+    assert!(Setup::report(&setup.hosts[0]).contains("draining"));
 }
--- a/crates/cardamomwinch_forwarder/tests/soak.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak.rs
@@ -1,10 +1,10 @@
-//! A randomized soak: real host processes on loopback between callers, servers and a
-//! store of the soak's own, with disruptions from outside drawn from a seed, and the
-//! promises checked from what callers and servers see.
+//! A randomized soak test: real host processes on loopback between callers, servers and a
+//! store of the test. A seed determines the disruptions, and the promises are checked from
+//! what callers and servers observe.
 //!
-//! Further seeds by hand, with the bounds in time judged, which is only fair on a
-//! machine that is not busy; `SOAK_HOSTS` says how many hosts a failure domain has, two
-//! where it is left out:
+//! Further seeds can be run by hand. `SOAK_TIMED` also checks the time bounds, which may
+//! fail on a busy machine without a fault; `SOAK_HOSTS` is the number of hosts of a failure
+//! domain, two by default:
 //!
 //! ```sh
 //! SOAK_SEEDS=1..50 SOAK_SECONDS=20 SOAK_TIMED=1 \
@@ -14,8 +14,6 @@
 
 #[path = "soak/addresses.rs"]
 mod addresses;
-#[path = "soak/book.rs"]
-mod book;
 #[path = "soak/caller.rs"]
 mod caller;
 #[path = "soak/fleet.rs"]
@@ -24,15 +22,17 @@
 mod flow_packet;
 #[path = "soak/network.rs"]
 mod network;
+#[path = "soak/observations.rs"]
+mod observations;
 #[path = "soak/plan.rs"]
 mod plan;
 #[path = "soak/planted.rs"]
 mod planted;
+#[path = "soak/run.rs"]
+mod run;
 #[path = "soak/server.rs"]
 mod server;
 mod support;
-#[path = "soak/world.rs"]
-mod world;
 
 use std::ops;
 use std::path;
@@ -40,23 +40,23 @@
 
 use plan::{DisruptionKind, SoakPlan};
 use planted::PlantedMistake;
-use world::SoakWorld;
+use run::SoakRun;
 
-/// The length of the runs that every test run plays.
+/// The length of the short runs.
 const SHORT_RUN: time::Duration = time::Duration::from_secs(8);
 const LONG_RUN_S: u64 = 20;
-/// How long a planted mistake may take to be found. On a busy machine the soak does
-/// not trust itself for some of the time.
-const PLANTED_LIMIT: time::Duration = time::Duration::from_secs(90);
+/// How long it may take to find a planted mistake. On a busy machine the times at which this
+/// process did not run are not checked.
+const PLANTED_MISTAKE_LIMIT: time::Duration = time::Duration::from_secs(90);
 
-/// Plays the plan of one seed; returns the number of broken promises.
-fn play(plan: SoakPlan, timed: bool) -> usize {
+/// Runs the plan of one seed; returns the number of broken promises.
+fn run_plan(plan: SoakPlan, timed: bool) -> usize {
     let (seed, length) = (plan.seed, plan.length);
     let log = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
-    // What an earlier run of the seed logged would only confuse.
+    // Removes the logs of an earlier run of the seed.
     std::fs::remove_dir_all(&log).ok();
     println!("seed {seed}, {length:?}, logs in {}", log.display());
-    let report = SoakWorld::start(plan, timed, None, &log).play(None);
+    let report = SoakRun::start(plan, timed, None, &log).execute(None);
     for violation in &report.violations {
         println!("  BROKEN {violation}");
     }
@@ -88,7 +88,7 @@
     assert!(plan.disruptions.is_sorted_by_key(|one| one.at));
 }
 
-/// A kind that is never drawn would never be tested.
+/// Guards against a kind of disruption that is never drawn and so never tested.
 #[test]
 fn plans_hold_every_kind_of_disruption() {
     let length = time::Duration::from_secs(20);
@@ -102,27 +102,31 @@
     assert_eq!(kinds.len(), DisruptionKind::DRAWN.len() + 1);
 }
 
-/// What holds whatever the machine does, on two short runs of fixed seeds.
+/// Checks the promises that hold on a busy machine too, in two short runs of fixed seeds.
 #[test]
 fn short_runs_break_no_promise() {
-    assert_eq!(play(SoakPlan::draw(1, SHORT_RUN), false), 0);
-    assert_eq!(play(SoakPlan::draw(2, SHORT_RUN), false), 0);
+    assert_eq!(run_plan(SoakPlan::draw(1, SHORT_RUN), false), 0);
+    assert_eq!(run_plan(SoakPlan::draw(2, SHORT_RUN), false), 0);
 }
 
-/// The same with a store that comes back from an old copy.
+/// The same with a store that is restored from an older backup.
 #[test]
 fn a_short_run_with_a_restored_store_breaks_no_promise() {
-    assert_eq!(play(SoakPlan::draw_with_restores(3, SHORT_RUN), false), 0);
+    assert_eq!(
+        run_plan(SoakPlan::draw_with_restores(3, SHORT_RUN), false),
+        0
+    );
 }
 
-/// Seeds that once broke a promise, with the bounds in time judged. Here they are not:
-/// a busy machine would break them by itself.
+/// Seeds that once broke a promise when the time bounds were checked. They aren't checked
+/// here, because a busy machine would break them without a fault.
 ///
-/// - 116: the store was away for less than any call of a host, and half of its entries
-///   were gone; hosts ended what rested on servers that served.
-/// - 140: the soak healed another host's cut than it had made, after a host was added.
-/// - 142: a caller was told that the server of its opening had gone; the check took it
-///   for the refusal of a route.
+/// - 116: an outage of the store was shorter than any call of a host, and half of its entries
+///   were missing afterwards; hosts ended idle flows on servers that still served.
+/// - 140: after a host was added, the test ended the partition of another host than the one
+///   that it had cut off.
+/// - 142: a caller was notified that the server of its opening had ended; the check counted
+///   it as the refusal of a route.
 #[yare::parameterized(
     unnoticed_outage = { 116 },
     wrong_host_healed = { 140 },
@@ -130,21 +134,24 @@
 )]
 fn seeds_that_once_failed(seed: u64) {
     let length = time::Duration::from_secs(LONG_RUN_S);
-    assert_eq!(play(SoakPlan::draw(seed, length), false), 0);
+    assert_eq!(run_plan(SoakPlan::draw(seed, length), false), 0);
 }
 
-/// The same with a store that comes back from copies.
+/// The same with a store that is restored from backups.
 ///
-/// - 950: hosts that learn from others did not know a server whose entry had a number that
-///   was given out before, and ended a flow that it held.
+/// - 950: hosts that follow others did not know a server whose entry had a revision number
+///   that was assigned before the restore, and ended a flow that the server had.
 #[test]
 fn a_seed_with_a_restored_store_that_once_failed() {
     let length = time::Duration::from_secs(LONG_RUN_S);
-    assert_eq!(play(SoakPlan::draw_with_restores(950, length), false), 0);
+    assert_eq!(
+        run_plan(SoakPlan::draw_with_restores(950, length), false),
+        0
+    );
 }
 
-/// A check that cannot fail shows nothing. Each promise is broken by a host, a server
-/// or a process of the soak's own, beside the real ones, and must be found broken.
+/// Guards against a check that never fails. A host, a server or a process of the test breaks
+/// each promise while the real ones run, and the violation must be found.
 #[yare::parameterized(
     other_service = { PlantedMistake::OtherService },
     changed_data = { PlantedMistake::ChangedData },
@@ -163,16 +170,16 @@
     let length = if mistake.shows_at_end() {
         SHORT_RUN
     } else {
-        PLANTED_LIMIT
+        PLANTED_MISTAKE_LIMIT
     };
-    let mut world = SoakWorld::start(SoakPlan::calm(length), true, Some(mistake), &log);
-    world.misbehave();
-    let violations = world.play(Some(promise)).violations;
+    let mut run = SoakRun::start(SoakPlan::minimal(length), true, Some(mistake), &log);
+    run.plant_mistake();
+    let violations = run.execute(Some(promise)).violations;
     let found = violations.iter().any(|one| one.promise == promise);
     assert!(found, "{promise:?} is not found broken: {violations:?}");
 }
 
-/// Plays the seeds of the environment, if there are any.
+/// Runs the seeds in the environment variable `SOAK_SEEDS`, if it is set.
 #[test]
 fn by_hand() {
     let Ok(seeds) = std::env::var("SOAK_SEEDS") else {
@@ -186,7 +193,7 @@
     let timed = std::env::var("SOAK_TIMED").is_ok();
     let length = time::Duration::from_secs(seconds);
     let broken: Vec<u64> = seeds
-        .filter(|seed| play(SoakPlan::draw_with_restores(*seed, length), timed) > 0)
+        .filter(|seed| run_plan(SoakPlan::draw_with_restores(*seed, length), timed) > 0)
         .collect();
     assert_eq!(broken, Vec::<u64>::new(), "seeds that broke a promise");
 }
--- a/crates/cardamomwinch_forwarder/tests/soak/addresses.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/addresses.rs
@@ -1,21 +1,21 @@
-//! Addresses of one run.
+//! The addresses of one run.
 
 use std::net;
 use std::sync::atomic;
 
 static BLOCKS: atomic::AtomicU32 = atomic::AtomicU32::new(0);
 
-/// Addresses of the loopback network that only this run uses.
+/// A block of addresses of the loopback network that only this run uses.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AddressBlock {
     pub(crate) first: [u8; 3],
-    /// The port of packets, alike for hosts, servers and callers.
+    /// The port for packets, the same for hosts, servers and callers.
     port: u16,
 }
 
 impl AddressBlock {
-    /// The last numbers of addresses: hosts, a host that makes a mistake, servers and
-    /// callers from there on.
+    /// The last numbers of addresses at which those of hosts, of the host with a planted
+    /// mistake, of servers and of callers begin.
     pub(crate) const HOSTS: u8 = 1;
     pub(crate) const MISTAKEN: u8 = 50;
     pub(crate) const SERVERS: u8 = 60;
@@ -35,7 +35,7 @@
 
     pub(crate) fn address(&self, number: u8, offset: u16) -> net::SocketAddrV4 {
         let [a, b, c] = self.first;
-        // Three ports follow that of packets.
+        // Leaves space for the three ports after the one for packets.
         net::SocketAddrV4::new([a, b, c, number].into(), self.port.min(65_000) + offset)
     }
 }
--- a/crates/cardamomwinch_forwarder/tests/soak/caller.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's end of flows: opens them, asks on them, and copes with losses.
+//! A caller: it opens flows, sends requests on them, and resends lost packets.
 
 use std::net;
 use std::sync;
@@ -6,57 +6,57 @@
 
 use rand::Rng;
 
-use crate::book::{Promise, SoakBook};
 use crate::flow_packet::{ACK, EndPacket, FIN, RST, SYN};
 use crate::network::SoakNetwork;
+use crate::observations::{Promise, SoakObservations};
 
 /// When an opening and its copies are sent, and when the caller gives up.
 const OPENING_TIMES_MS: [u64; 4] = [0, 200, 600, 1_400];
-/// The first pause before data are sent again, and the longest.
+/// The first and the longest pause before data is resent.
 const RESEND_PAUSE: time::Duration = time::Duration::from_millis(200);
-const LONGEST_PAUSE: time::Duration = time::Duration::from_millis(1_600);
-/// How long a caller waits for an answer.
-const DEADLINE: time::Duration = time::Duration::from_secs(3);
+const MAX_RESEND_PAUSE: time::Duration = time::Duration::from_millis(1_600);
+/// How long a caller waits for the answer to a request.
+const REQUEST_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 /// The pauses between the requests of a flow, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 20..300;
-/// A host's reset is good within this distance of what was acknowledged.
+const IDLE_TIME_MS: std::ops::Range<u64> = 20..300;
+/// A reset of a host is accepted within this distance from the acknowledged position.
 const RESET_WINDOW: u32 = 76_800;
 const FIRST_PORT: u16 = 20_000;
 
-/// What a caller does.
+/// The behavior of a caller.
 #[derive(Debug, Clone)]
-pub(crate) struct CallerHabit {
-    /// Begins the names of its requests.
+pub(crate) struct CallerBehavior {
+    /// The prefix of the names of its requests.
     pub(crate) name: String,
     pub(crate) service: net::SocketAddrV4,
     pub(crate) domain: usize,
-    /// Requests before it closes a flow.
+    /// The number of requests before it closes a flow.
     pub(crate) requests: u32,
-    /// Whether its openings are answered everywhere; those of others say nothing
-    /// about the recovery.
+    /// Whether its requests count for the recovery. They don't if its route is sometimes
+    /// dropped.
     pub(crate) counts: bool,
 }
 
-/// How an opening ended.
-enum OpeningEnd {
+/// The outcome of an opening.
+enum OpeningOutcome {
     Open(OpenFlow),
     Refused,
     Unanswered,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RequestEnd {
+enum RequestOutcome {
     Answered,
-    /// The flow is over.
+    /// The flow was reset.
     Reset,
     Unanswered,
 }
 
 #[derive(Debug, Clone)]
 struct OpenFlow {
-    end: net::SocketAddrV4,
-    /// Where its server answers from.
+    address: net::SocketAddrV4,
+    /// The address from which its server answers.
     server: net::SocketAddr,
     token: u32,
     sequence: u32,
@@ -67,9 +67,9 @@
 
 /// The thread of one caller.
 pub(crate) struct SoakCaller {
-    habit: CallerHabit,
+    behavior: CallerBehavior,
     socket: net::UdpSocket,
-    book: SoakBook,
+    observations: SoakObservations,
     network: sync::Arc<SoakNetwork>,
     address: net::Ipv4Addr,
     port: u16,
@@ -77,18 +77,18 @@
 }
 
 impl SoakCaller {
-    /// A caller that takes packets at `address`.
+    /// A caller that receives packets at `address`.
     pub(crate) fn new(
-        habit: CallerHabit,
+        behavior: CallerBehavior,
         address: net::SocketAddrV4,
-        book: SoakBook,
+        observations: SoakObservations,
         network: sync::Arc<SoakNetwork>,
     ) -> Self {
         let socket = net::UdpSocket::bind(address).expect("the address is the soak's own");
         Self {
-            habit,
+            behavior,
             socket,
-            book,
+            observations,
             network,
             address: *address.ip(),
             port: FIRST_PORT,
@@ -96,32 +96,33 @@
         }
     }
 
-    /// Opens flows and asks on them until the network ends.
+    /// Opens flows and sends requests on them until the network ends.
     pub(crate) fn run(mut self) {
         while !self.network.is_ended() {
             match self.open() {
-                OpeningEnd::Open(flow) => self.use_flow(flow),
-                OpeningEnd::Refused | OpeningEnd::Unanswered => {
-                    if self.habit.counts {
-                        self.book.note_request(false);
+                OpeningOutcome::Open(flow) => self.use_flow(flow),
+                OpeningOutcome::Refused | OpeningOutcome::Unanswered => {
+                    if self.behavior.counts {
+                        self.observations.note_request(false);
                     }
-                    self.rest(None);
+                    self.idle(None);
                 }
             }
         }
     }
 
     fn use_flow(&mut self, mut flow: OpenFlow) {
-        for _ in 0..self.habit.requests {
-            self.rest(Some(&mut flow));
+        for _ in 0..self.behavior.requests {
+            self.idle(Some(&mut flow));
             if flow.reset || self.network.is_ended() {
                 break;
             }
-            let end = self.ask(&mut flow);
-            if self.habit.counts {
-                self.book.note_request(end == RequestEnd::Answered);
+            let outcome = self.send_request(&mut flow);
+            if self.behavior.counts {
+                self.observations
+                    .note_request(outcome == RequestOutcome::Answered);
             }
-            if end != RequestEnd::Answered {
+            if outcome != RequestOutcome::Answered {
                 return;
             }
         }
@@ -130,16 +131,16 @@
         }
     }
 
-    fn open(&mut self) -> OpeningEnd {
+    fn open(&mut self) -> OpeningOutcome {
         self.port = self.port.checked_add(1).unwrap_or(FIRST_PORT);
-        let end = net::SocketAddrV4::new(self.address, self.port);
+        let address = net::SocketAddrV4::new(self.address, self.port);
         let sequence: u32 = rand::rng().random();
         let start = time::Instant::now();
         let times = OPENING_TIMES_MS.map(time::Duration::from_millis);
         for (copy, next) in times.iter().skip(1).enumerate() {
             let opening = EndPacket {
-                from: end,
-                to: self.habit.service,
+                from: address,
+                to: self.behavior.service,
                 flags: SYN,
                 sequence,
                 acknowledged: copy as u32,
@@ -147,18 +148,18 @@
                 data: Vec::new(),
             };
             self.network
-                .send(&self.socket, self.habit.domain, &opening.encode());
-            while let Some((packet, from_end, sender)) = self.receive(end, start + *next) {
+                .send(&self.socket, self.behavior.domain, &opening.encode());
+            while let Some((packet, from_server, sender)) = self.receive(address, start + *next) {
                 if packet.is(RST) {
-                    if !from_end {
-                        let route = self.habit.service.port();
-                        self.book.note_refusal(end, route, sender);
+                    if !from_server {
+                        let route = self.behavior.service.port();
+                        self.observations.note_refusal(address, route, sender);
                     }
-                    return OpeningEnd::Refused;
+                    return OpeningOutcome::Refused;
                 }
                 if packet.is(SYN) {
                     let flow = OpenFlow {
-                        end,
+                        address,
                         server: sender,
                         token: packet.token,
                         sequence: sequence.wrapping_add(1),
@@ -166,30 +167,31 @@
                         reset: false,
                     };
                     self.send(&flow, ACK, Vec::new());
-                    return OpeningEnd::Open(flow);
+                    return OpeningOutcome::Open(flow);
                 }
             }
         }
-        OpeningEnd::Unanswered
+        OpeningOutcome::Unanswered
     }
 
-    fn ask(&mut self, flow: &mut OpenFlow) -> RequestEnd {
+    fn send_request(&mut self, flow: &mut OpenFlow) -> RequestOutcome {
         self.requests += 1;
-        let data = format!("{}{}-{}", self.habit.name, flow.end, self.requests).into_bytes();
+        let data = format!("{}{}-{}", self.behavior.name, flow.address, self.requests).into_bytes();
         let start = time::Instant::now();
-        let (limit, mut pause) = (start + DEADLINE, RESEND_PAUSE);
+        let (limit, mut pause) = (start + REQUEST_TIMEOUT, RESEND_PAUSE);
         let mut next = start;
         while time::Instant::now() < limit {
             if time::Instant::now() >= next {
                 self.send(flow, ACK, data.clone());
                 next = time::Instant::now() + pause;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_RESEND_PAUSE);
             }
-            let Some((packet, from_end, sender)) = self.receive(flow.end, next.min(limit)) else {
+            let Some((packet, from_server, sender)) = self.receive(flow.address, next.min(limit))
+            else {
                 continue;
             };
-            if self.is_reset(flow, &packet, from_end, sender) {
-                return RequestEnd::Reset;
+            if self.is_reset(flow, &packet, from_server, sender) {
+                return RequestOutcome::Reset;
             }
             if packet.data.is_empty() || packet.sequence != flow.expected {
                 continue;
@@ -199,20 +201,20 @@
             flow.token = packet.token;
             self.send(flow, ACK, Vec::new());
             if packet.data != [b"done ", data.as_slice()].concat() {
-                let what = format!("{} got another answer", flow.end);
-                self.book.break_promise(Promise::Unchanged, what);
+                let what = format!("{} got another answer", flow.address);
+                self.observations.record_violation(Promise::Unchanged, what);
             }
-            return RequestEnd::Answered;
+            return RequestOutcome::Answered;
         }
-        RequestEnd::Unanswered
+        RequestOutcome::Unanswered
     }
 
-    /// Waits a while, during which a flow may be ended.
-    fn rest(&self, flow: Option<&mut OpenFlow>) {
-        let pause = rand::rng().random_range(PAUSE_MS);
+    /// Waits for a random pause, and handles a reset of the flow meanwhile.
+    fn idle(&self, flow: Option<&mut OpenFlow>) {
+        let pause = rand::rng().random_range(IDLE_TIME_MS);
         let until = time::Instant::now() + time::Duration::from_millis(pause);
         let mut none = OpenFlow {
-            end: net::SocketAddrV4::new(self.address, 0),
+            address: net::SocketAddrV4::new(self.address, 0),
             server: net::SocketAddrV4::new(self.address, 0).into(),
             token: 0,
             sequence: 0,
@@ -220,40 +222,40 @@
             reset: false,
         };
         let flow = flow.unwrap_or(&mut none);
-        while let Some((packet, from_end, sender)) = self.receive(flow.end, until) {
-            if self.is_reset(flow, &packet, from_end, sender) {
+        while let Some((packet, from_server, sender)) = self.receive(flow.address, until) {
+            if self.is_reset(flow, &packet, from_server, sender) {
                 return;
             }
         }
     }
 
-    /// Whether `packet` ends the open `flow`; notes who did.
+    /// Whether `packet` resets the open `flow`; records the sender of the reset.
     fn is_reset(
         &self,
         flow: &mut OpenFlow,
         packet: &EndPacket,
-        from_end: bool,
+        from_server: bool,
         sender: net::SocketAddr,
     ) -> bool {
         let distance = packet.sequence.wrapping_sub(flow.expected);
         let near = distance <= RESET_WINDOW || distance.wrapping_neg() <= RESET_WINDOW;
-        if !packet.is(RST) || !(from_end || near) {
+        if !packet.is(RST) || !(from_server || near) {
             return false;
         }
         flow.reset = true;
-        if !from_end {
-            let route = self.habit.service.port();
-            self.book.note_reset(flow.end, route, sender);
+        if !from_server {
+            let route = self.behavior.service.port();
+            self.observations.note_reset(flow.address, route, sender);
         } else if sender != flow.server {
-            self.book.note_foreign_reset(flow.end, sender);
+            self.observations.note_foreign_reset(flow.address, sender);
         }
         true
     }
 
     fn send(&self, flow: &OpenFlow, flags: u8, data: Vec<u8>) {
         let packet = EndPacket {
-            from: flow.end,
-            to: self.habit.service,
+            from: flow.address,
+            to: self.behavior.service,
             flags,
             sequence: flow.sequence,
             acknowledged: flow.expected,
@@ -261,14 +263,14 @@
             data,
         };
         self.network
-            .send(&self.socket, self.habit.domain, &packet.encode());
+            .send(&self.socket, self.behavior.domain, &packet.encode());
     }
 
-    /// The next packet to `end` before `until`, whether a server wrote it, and
-    /// where it came from. What concerns earlier flows is passed over.
+    /// The next packet to `address` before `until`, whether a server wrote it, and its sender.
+    /// Packets of earlier flows are skipped.
     fn receive(
         &self,
-        end: net::SocketAddrV4,
+        address: net::SocketAddrV4,
         until: time::Instant,
     ) -> Option<(EndPacket, bool, net::SocketAddr)> {
         let mut buffer = [0; 2_048];
@@ -281,15 +283,15 @@
             let Ok((length, from)) = self.socket.recv_from(&mut buffer) else {
                 continue;
             };
-            let Some((packet, from_end)) = EndPacket::decode(&buffer[..length]) else {
+            let Some((packet, from_server)) = EndPacket::decode(&buffer[..length]) else {
                 continue;
             };
             let own_reset = packet.flags == RST && packet.data.is_empty();
-            if !from_end && !own_reset {
+            if !from_server && !own_reset {
                 let what = format!("{packet:?} from {from}");
-                self.book.break_promise(Promise::Unchanged, what);
-            } else if packet.to == end {
-                return Some((packet, from_end, from));
+                self.observations.record_violation(Promise::Unchanged, what);
+            } else if packet.to == address {
+                return Some((packet, from_server, from));
             }
         }
     }
--- a/crates/cardamomwinch_forwarder/tests/soak/fleet.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/fleet.rs
@@ -11,24 +11,24 @@
 use cardamomwinch_standin::faults::{CutMode, DatagramFaults};
 use cardamomwinch_standin::proxy::{ProxyPair, ProxyRules, ProxyStandin, RulesOrder};
 
-use crate::book::{DisturbanceGuard, DisturbedPart, Promise, SoakBook};
 use crate::network::SoakNetwork;
-use crate::support::{HostOrder, HostProcess};
+use crate::observations::{DisturbanceGuard, DisturbedPart, Promise, SoakObservations};
+use crate::support::{HostProcess, HostSpec};
 
-/// How long a host may take to end after SIGTERM: what its settings give it to
-/// drain, three seconds, and as much again for a busy machine.
-const STOP_LIMIT: time::Duration = time::Duration::from_secs(6);
-/// How long a host that was started may take to be ready.
-const START_LIMIT: time::Duration = time::Duration::from_secs(30);
+/// How long a host may take to end after SIGTERM: the three seconds for draining in its
+/// settings, and three more for a busy machine.
+const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(6);
+/// How long a host may take to be ready after its start.
+const START_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// One host and its way to the store.
+/// One host and its connection to the store.
 pub(crate) struct SoakHost {
-    pub(crate) order: HostOrder,
+    pub(crate) spec: HostSpec,
     process: Option<HostProcess>,
     paused: bool,
-    /// When it was told to stop.
+    /// When it got the signal to stop.
     stopping: Option<time::Instant>,
-    /// Held until it is ready.
+    /// Kept until the host is ready.
     start_guard: Option<DisturbanceGuard>,
     started: time::Instant,
 }
@@ -36,7 +36,7 @@
 /// All hosts of a run.
 pub(crate) struct HostFleet {
     pub(crate) hosts: Vec<SoakHost>,
-    book: SoakBook,
+    observations: SoakObservations,
     network: sync::Arc<SoakNetwork>,
     proxies: ProxyStandin,
     executor: sync::Arc<Executor<'static>>,
@@ -45,7 +45,7 @@
 
 impl HostFleet {
     pub(crate) fn new(
-        book: SoakBook,
+        observations: SoakObservations,
         network: sync::Arc<SoakNetwork>,
         proxies: ProxyStandin,
         executor: sync::Arc<Executor<'static>>,
@@ -53,7 +53,7 @@
     ) -> Self {
         Self {
             hosts: Vec::new(),
-            book,
+            observations,
             network,
             proxies,
             executor,
@@ -61,27 +61,25 @@
         }
     }
 
-    /// Starts a host that reaches the store at `order.store` through a proxy of
-    /// its own.
-    pub(crate) fn add(&mut self, mut order: HostOrder, domain: usize) {
+    /// Starts a host that is connected to the store at `spec.store` through its own proxy.
+    pub(crate) fn add(&mut self, mut spec: HostSpec, domain: usize) {
         let listen = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
         let pair = ProxyPair {
             listen,
-            to: order.store,
+            to: spec.store,
         };
         let added = async_io::block_on(self.executor.run(self.proxies.add(pair)));
-        order.store = added.expect("any port is free").listen;
-        self.network
-            .add_host(order.traffic, order.readiness, domain);
+        spec.store = added.expect("any port is free").listen;
+        self.network.add_host(spec.traffic, spec.readiness, domain);
         let mut host = SoakHost {
-            order,
+            spec,
             process: None,
             paused: false,
             stopping: None,
             start_guard: None,
             started: time::Instant::now(),
         };
-        host.start(&self.book);
+        host.start(&self.observations);
         self.hosts.push(host);
     }
 
@@ -90,21 +88,22 @@
         &mut self.hosts[pick % count]
     }
 
-    /// The position of a host, by `pick`. It stays the same when hosts are added.
+    /// The index of the host that `pick` currently selects. The index selects the same host
+    /// after others are added.
     pub(crate) fn position(&self, pick: usize) -> usize {
         pick % self.hosts.len()
     }
 
-    /// The address of a host's traffic, by `pick`.
+    /// The traffic address of the host for `pick`.
     pub(crate) fn traffic(&mut self, pick: usize) -> net::SocketAddr {
-        self.host(pick).order.traffic
+        self.host(pick).spec.traffic
     }
 
     pub(crate) fn kill(&mut self, pick: usize) {
-        let book = self.book.clone();
+        let observations = self.observations.clone();
         let host = self.host(pick);
         if let Some(mut process) = host.process.take() {
-            let guard = book.disturb(DisturbedPart::Host(host.order.traffic));
+            let guard = observations.disturb(DisturbedPart::Host(host.spec.traffic));
             process
                 .child
                 .kill()
@@ -121,7 +120,7 @@
         }
     }
 
-    /// Ends a process behind the back of the book.
+    /// Kills a process without recording a disturbance.
     pub(crate) fn end_suddenly(&mut self, pick: usize) {
         if let Some(process) = &mut self.host(pick).process {
             process
@@ -158,9 +157,9 @@
         host.paused = false;
     }
 
-    /// Tells a host to stop. It starts again once it has ended.
+    /// Sends a host the signal to stop. It is started again after it has ended.
     pub(crate) fn terminate(&mut self, pick: usize) {
-        let book = self.book.clone();
+        let observations = self.observations.clone();
         let host = self.host(pick);
         if host.paused || host.stopping.is_some() {
             return;
@@ -168,8 +167,8 @@
         if let Some(process) = &mut host.process {
             process.terminate();
             host.stopping = Some(time::Instant::now());
-            let part = DisturbedPart::StoppingHost(host.order.traffic);
-            host.start_guard = Some(book.disturb(part));
+            let part = DisturbedPart::StoppingHost(host.spec.traffic);
+            host.start_guard = Some(observations.disturb(part));
         }
     }
 
@@ -190,11 +189,11 @@
             forward: faults(forward),
             backward: faults(backward),
         };
-        let listen = Some(self.host(pick).order.store);
+        let listen = Some(self.host(pick).spec.store);
         self.proxies.set_rules(RulesOrder { listen, rules });
     }
 
-    /// Ends every pause and cut.
+    /// Ends all pauses and partitions.
     pub(crate) fn heal(&mut self) {
         for pick in 0..self.hosts.len() {
             self.resume(pick);
@@ -204,51 +203,51 @@
         }
     }
 
-    /// Takes note of processes that ended and of what hosts logged, and starts again
-    /// what is not running.
-    pub(crate) fn look_after(&mut self) {
-        let (book, log) = (self.book.clone(), self.log.clone());
+    /// Checks for processes that have ended, saves the logs of hosts, and starts hosts again
+    /// that are not running.
+    pub(crate) fn maintain(&mut self) {
+        let (observations, log) = (self.observations.clone(), self.log.clone());
         for host in &mut self.hosts {
-            host.keep_log(&book, &log);
-            host.look_at_end(&book);
+            host.save_log(&observations, &log);
+            host.check_end(&observations);
             if host.process.is_none() {
-                host.start(&book);
+                host.start(&observations);
             }
-            host.look_at_start(&book);
+            host.check_start(&observations);
         }
     }
 }
 
 impl SoakHost {
-    fn start(&mut self, book: &SoakBook) {
+    fn start(&mut self, observations: &SoakObservations) {
         if self.start_guard.is_none() {
-            let part = DisturbedPart::Host(self.order.traffic);
-            self.start_guard = Some(book.disturb(part));
+            let part = DisturbedPart::Host(self.spec.traffic);
+            self.start_guard = Some(observations.disturb(part));
         }
-        self.process = Some(HostProcess::start_as(&self.order));
+        self.process = Some(HostProcess::start_with(&self.spec));
         self.started = time::Instant::now();
     }
 
-    /// A host counts as starting until it says that it is ready.
-    fn look_at_start(&mut self, book: &SoakBook) {
+    /// Checks whether a starting host is ready. It counts as starting until then.
+    fn check_start(&mut self, observations: &SoakObservations) {
         if self.start_guard.is_none() || self.paused || self.stopping.is_some() {
             return;
         }
         let limit = time::Duration::from_millis(200);
-        if HostProcess::is_ready_within(self.order.readiness, limit) {
+        if HostProcess::is_ready_within(self.spec.readiness, limit) {
             self.start_guard = None;
-        } else if self.started.elapsed() > START_LIMIT {
-            let what = format!("{} is not ready after {START_LIMIT:?}", self.order.name);
-            book.break_promise(Promise::Recovery, what);
+        } else if self.started.elapsed() > START_TIMEOUT {
+            let what = format!("{} is not ready after {START_TIMEOUT:?}", self.spec.name);
+            observations.record_violation(Promise::Recovery, what);
             self.started = time::Instant::now();
         }
     }
 
-    fn look_at_end(&mut self, book: &SoakBook) {
+    fn check_end(&mut self, observations: &SoakObservations) {
         let Some(process) = &mut self.process else {
             return;
         };
-        let name = &self.order.name;
+        let name = &self.spec.name;
         let ended = process
             .child
             .ended()
@@ -257,35 +256,36 @@
             (Some(status), stopping) => {
                 if stopping.is_none() || status.code() != Some(0) {
                     let what = format!("{name} ended with {status}, stopping: {stopping:?}");
-                    book.break_promise(Promise::CleanStop, what);
+                    observations.record_violation(Promise::CleanStop, what);
                 }
                 self.stopping = None;
                 self.process = None;
-                let part = DisturbedPart::Host(self.order.traffic);
-                self.start_guard = Some(book.disturb(part));
+                let part = DisturbedPart::Host(self.spec.traffic);
+                self.start_guard = Some(observations.disturb(part));
             }
-            (None, Some(since)) if since.elapsed() > STOP_LIMIT && book.is_timed() => {
-                let what = format!("{name} has not ended {STOP_LIMIT:?} after it was told to");
-                book.break_promise(Promise::CleanStop, what);
+            (None, Some(since)) if since.elapsed() > STOP_TIMEOUT && observations.is_timed() => {
+                let what =
+                    format!("{name} is still running {STOP_TIMEOUT:?} after the signal to stop");
+                observations.record_violation(Promise::CleanStop, what);
                 self.stopping = Some(time::Instant::now());
             }
             (None, _) => {}
         }
     }
 
-    fn keep_log(&self, book: &SoakBook, log: &path::Path) {
+    fn save_log(&self, observations: &SoakObservations, log: &path::Path) {
         let Some(process) = &self.process else {
             return;
         };
-        let file = log.join(format!("{}.jsonl", self.order.name));
+        let file = log.join(format!("{}.jsonl", self.spec.name));
         let opened = fs::File::options().create(true).append(true).open(file);
-        let mut kept = opened.expect("the directory of logs is there");
+        let mut saved = opened.expect("the directory of logs is there");
         while let Some(line) = process.child.next_line(time::Duration::ZERO) {
             if serde_json::from_str::<serde_json::Value>(&line).is_err() {
-                let what = format!("{} wrote {line:?}", self.order.name);
-                book.break_promise(Promise::ReadableLog, what);
+                let what = format!("{} wrote {line:?}", self.spec.name);
+                observations.record_violation(Promise::ReadableLog, what);
             }
-            writeln!(kept, "{line}").expect("the disk has room");
+            writeln!(saved, "{line}").expect("the disk has room");
         }
     }
 }
--- a/crates/cardamomwinch_forwarder/tests/soak/network.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/network.rs
@@ -1,5 +1,5 @@
-//! The fabric: hands each packet of a caller to some host in rotation, and loses,
-//! doubles and delays some.
+//! The fabric: sends each packet of a caller to a random host in rotation, and loses,
+//! duplicates and delays some packets.
 
 use std::net;
 use std::sync;
@@ -15,30 +15,30 @@
 use crate::planted::MistakenHost;
 use crate::support::HostProcess;
 
-/// How often hosts are asked whether they are ready.
+/// The interval of the readiness probes, and the timeout of each.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(500);
-/// A host is out of rotation after so many probes without a good answer.
-const MISSES: u32 = 2;
+/// The number of successive failed probes after which a host is out of rotation.
+const MISSED_PROBES_THRESHOLD: u32 = 2;
 
 #[derive(Debug, Clone)]
 struct RotationEntry {
     readiness: net::SocketAddr,
     domain: usize,
-    misses: u32,
+    missed_probes: u32,
 }
 
 #[derive(Debug, Default)]
 struct FabricState {
     hosts: SortedVector<net::SocketAddr, RotationEntry>,
     faults: DatagramFaults,
-    /// Hosts whose packets no server gets.
+    /// Hosts whose packets to servers are lost.
     cut: Vec<net::SocketAddr>,
 }
 
-/// What callers and servers share of the network.
+/// The network, which callers and servers share.
 #[derive(Debug)]
 pub(crate) struct SoakNetwork {
-    /// A host that makes a mistake, where one is planted.
+    /// The host with a planted mistake, if any.
     mistaken: Option<MistakenHost>,
     state: sync::Mutex<FabricState>,
     random: sync::Mutex<SmallRng>,
@@ -70,7 +70,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// The host that makes a mistake, where one is planted.
+    /// The host with a planted mistake, if any.
     pub(crate) const fn mistaken(&self) -> Option<&MistakenHost> {
         self.mistaken.as_ref()
     }
@@ -83,18 +83,18 @@
         self.ended.load(atomic::Ordering::Relaxed)
     }
 
-    /// Adds a host; it comes into rotation when it says that it is ready.
+    /// Adds a host; it is in rotation once it reports that it is ready.
     pub(crate) fn add_host(
         &self,
         traffic: net::SocketAddr,
         readiness: net::SocketAddr,
         domain: usize,
     ) {
-        let misses = MISSES;
+        let missed_probes = MISSED_PROBES_THRESHOLD;
         let entry = RotationEntry {
             readiness,
             domain,
-            misses,
+            missed_probes,
         };
         self.state().hosts.insert(traffic, entry);
     }
@@ -107,7 +107,7 @@
                 .map(|(traffic, entry)| (*traffic, entry.readiness))
                 .collect()
         };
-        // Each in its own thread: one that stands still must not hold up the rest.
+        // Each probe has its own thread, because a paused host must not delay the others.
         let probes = hosts.into_iter().map(|(traffic, readiness)| {
             thread::spawn(move || {
                 (
@@ -119,7 +119,7 @@
         let probes: Vec<_> = probes.collect();
         for (traffic, ready) in probes.into_iter().filter_map(|probe| probe.join().ok()) {
             if let Some(entry) = self.state().hosts.get_mut(&traffic) {
-                entry.misses = if ready { 0 } else { entry.misses + 1 };
+                entry.missed_probes = if ready { 0 } else { entry.missed_probes + 1 };
             }
         }
     }
@@ -128,7 +128,7 @@
         self.state().faults = faults;
     }
 
-    /// Loses the packets of `host` to servers from now on, or no longer.
+    /// Sets whether the packets of `host` to servers are lost.
     pub(crate) fn cut(&self, host: net::SocketAddr, cut: bool) {
         let mut state = self.state();
         state.cut.retain(|held| *held != host);
@@ -141,14 +141,16 @@
         self.state().cut.contains(&host)
     }
 
-    /// The host that gets the next packet of a caller in `domain`: any in rotation
-    /// there; any at all where none is.
+    /// The host that gets the next packet of a caller in `domain`: a random one of those in
+    /// rotation in the domain, or of all hosts if there is none.
     fn host(&self, domain: usize) -> Option<net::SocketAddr> {
         let pick: usize = self.random().random_range(0..usize::MAX);
         let state = self.state();
-        let ready = |entry: &RotationEntry| entry.misses < MISSES;
-        let near = state.hosts.iter().filter(|(_, entry)| ready(entry));
-        let mut hosts: Vec<_> = near.filter(|(_, entry)| entry.domain == domain).collect();
+        let ready = |entry: &RotationEntry| entry.missed_probes < MISSED_PROBES_THRESHOLD;
+        let in_rotation = state.hosts.iter().filter(|(_, entry)| ready(entry));
+        let mut hosts: Vec<_> = in_rotation
+            .filter(|(_, entry)| entry.domain == domain)
+            .collect();
         if hosts.is_empty() {
             hosts = state.hosts.iter().collect();
         }
@@ -161,10 +163,10 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Hands `packet` of a caller in `domain` to some host.
+    /// Sends `packet` of a caller in `domain` to a host.
     pub(crate) fn send(&self, socket: &net::UdpSocket, domain: usize, packet: &[u8]) {
         if let Some(mistaken) = &self.mistaken
-            && mistaken.take(packet)
+            && mistaken.handle_packet(packet)
         {
             return;
         }
@@ -175,7 +177,7 @@
                 return;
             };
             if delay.is_zero() {
-                // A host that is gone loses the packet, as on a network.
+                // A packet to a host that has ended is lost, as on a network.
                 drop(socket.send_to(packet, host));
                 continue;
             }
--- a/crates/cardamomwinch_forwarder/tests/soak/plan.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a soak does and when, drawn from a seed.
+//! The plan of a run: its disruptions and their times, drawn from a seed.
 
 use std::fmt;
 use std::time;
@@ -13,63 +13,64 @@
 /// [`SERIES_PAUSE_MS`]: faults come in series and overlap.
 const SERIES_SHARE: f64 = 0.4;
 const SERIES_PAUSE_MS: u64 = 300;
-/// How long a disruption lasts.
-const SHORTEST_MS: u64 = 300;
-const LONGEST_MS: u64 = 5_000;
-/// The time for which one restore of the store is drawn.
+/// The shortest and the longest duration of a disruption.
+const MIN_DURATION_MS: u64 = 300;
+const MAX_DURATION_MS: u64 = 5_000;
+/// One restore of the store is drawn for each span of this length.
 const RESTORE_SPAN_MS: u64 = 20_000;
-/// How long after the changes that it loses the store goes away, at most.
-const LOSS_PAUSE_MS: u64 = 1_500;
-/// The longest restore; what follows is judged only once the store was calm for a while.
-const LONGEST_RESTORE_MS: u64 = 1_500;
-/// A server leaves so long after the store is back: what was lost is written again, and
+/// The maximum time between the changes that a restore loses and the start of the outage.
+const MAX_LOSS_PAUSE_MS: u64 = 1_500;
+/// The maximum duration of a restore. What follows is checked only after the store has been
+/// undisturbed for some time.
+const MAX_RESTORE_MS: u64 = 1_500;
+/// The time from a restore until a server drains: the lost writes have been repeated, and
 /// nothing has disturbed the store for four seconds.
-const LEAVING_AFTER_MS: u64 = 5_700;
-/// Makes the draw of restores independent of the other draws.
+const DRAIN_DELAY_MS: u64 = 5_700;
+/// Makes the drawing of restores independent of the other disruptions.
 const RESTORE_SALT: u64 = 0x7e57_0e7a;
-/// The path serves in peace before the first disruption.
+/// The time without disruptions at the start.
 const QUIET_START_MS: u64 = 1_500;
 
 /// A kind of disruption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DisruptionKind {
-    /// A host gets SIGKILL and starts again.
+    /// A host gets SIGKILL and is restarted.
     HostKilled,
-    /// All hosts get SIGKILL and start again.
+    /// All hosts get SIGKILL and are restarted.
     AllHostsKilled,
     /// A host gets SIGSTOP, and SIGCONT later.
     HostPaused,
-    /// A host gets SIGTERM, ends by itself and starts again.
+    /// A host gets SIGTERM, ends by itself and is restarted.
     HostStopped,
-    /// The settings file of a host is written anew, and it gets SIGHUP.
+    /// A host gets SIGHUP and reloads its settings.
     HostReloaded,
     /// A host is added.
     HostAdded,
-    /// The store answers nothing, refuses, or resets connections.
+    /// The store doesn't answer, refuses calls, or resets connections.
     StoreDown,
-    /// The store takes its time.
+    /// The store answers slowly.
     StoreSlow,
-    /// The store forgets its history.
+    /// The store drops its history of changes.
     HistoryDropped,
-    /// The store is away, and comes back from a copy some seconds old. What it lost is
-    /// written again soon after.
+    /// The store has an outage and is restored from a backup some seconds old. The lost writes
+    /// are repeated soon after.
     StoreRestored,
     /// The connections of one host to the store are closed and refused.
     StoreRefusesHost,
-    /// The connections of one host to the store go silent.
+    /// The connections of one host to the store carry no data.
     StoreSilentForHost,
-    /// The store hears one host, but its answers do not come back.
+    /// The store receives the calls of one host, but its answers don't arrive.
     StoreOneWayForHost,
-    /// Packets of the fabric are lost, doubled and late.
+    /// Packets of the fabric are lost, duplicated and delayed.
     FabricPoor,
     /// One host's packets to servers are lost.
     HostCutFromServers,
-    /// A server falls silent, and its entry lapses; it comes back as another
+    /// A server stops responding, and its entry expires; it is replaced by another
     /// incarnation.
     ServerCrashed,
-    /// The same, but its address goes to a server of another service.
+    /// The same, but its address is reused by a server of another service.
     AddressReused,
-    /// A server announces that it leaves, and leaves.
+    /// A server announces that it drains, and ends later.
     ServerDrained,
     /// A server is added.
     ServerAdded,
@@ -77,12 +78,12 @@
     RouteAdded,
     /// A route is dropped.
     RouteDropped,
-    /// Many versions of the configuration follow each other.
+    /// Many versions of the configuration are published in succession.
     ConfigurationStorm,
 }
 
 impl DisruptionKind {
-    /// Each kind that is drawn among others; [`Self::StoreRestored`] is drawn apart.
+    /// All kinds that are drawn together; [`Self::StoreRestored`] is drawn separately.
     pub(crate) const DRAWN: [Self; 21] = [
         Self::HostKilled,
         Self::AllHostsKilled,
@@ -107,8 +108,8 @@
         Self::ConfigurationStorm,
     ];
 
-    /// Whether it concerns one host for as long as it lasts.
-    pub(crate) const fn concerns_host(self) -> bool {
+    /// Whether it affects one host while it lasts.
+    pub(crate) const fn affects_host(self) -> bool {
         matches!(
             self,
             Self::HostPaused
@@ -125,11 +126,11 @@
 pub(crate) struct PlannedDisruption {
     /// When it begins, from the start of traffic.
     pub(crate) at: time::Duration,
-    /// How long it lasts, where it lasts.
+    /// How long it lasts; unused for kinds without a duration.
     pub(crate) lasts: time::Duration,
     /// What happens.
     pub(crate) kind: DisruptionKind,
-    /// Chooses what it happens to.
+    /// Selects what it affects.
     pub(crate) pick: usize,
 }
 
@@ -148,18 +149,18 @@
 /// A run of the soak.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SoakPlan {
-    /// What it was drawn from.
+    /// The seed that the plan was drawn from.
     pub(crate) seed: u64,
-    /// How long disruptions go on.
+    /// The time within which disruptions begin.
     pub(crate) length: time::Duration,
-    /// The disruptions in the order of their beginnings.
+    /// The disruptions, in the order of their start.
     pub(crate) disruptions: Vec<PlannedDisruption>,
 }
 
 impl SoakPlan {
-    /// A plan that only changes routes and drains a server: the rest is calm, so that
-    /// a planted mistake is the only one.
-    pub(crate) fn calm(length: time::Duration) -> Self {
+    /// A plan that only changes routes and drains a server, so that a planted mistake is the
+    /// only fault.
+    pub(crate) fn minimal(length: time::Duration) -> Self {
         let planned = |seconds, kind| PlannedDisruption {
             at: time::Duration::from_secs(seconds),
             lasts: time::Duration::ZERO,
@@ -178,14 +179,14 @@
         }
     }
 
-    /// Draws a plan in which the store comes back from copies, too. These are drawn apart,
-    /// so that the plan of a seed without them stays as it was.
+    /// Draws a plan in which the store is restored from backups too. The restores are drawn
+    /// separately, so that the other disruptions are those of the plan without them.
     pub(crate) fn draw_with_restores(seed: u64, length: time::Duration) -> Self {
         let mut plan = Self::draw(seed, length);
         let mut random = SmallRng::seed_from_u64(seed ^ RESTORE_SALT);
         let spans = 1.max(length.as_millis() as u64 / RESTORE_SPAN_MS);
         for span in 0..spans {
-            let latest = QUIET_START_MS + LOSS_PAUSE_MS;
+            let latest = QUIET_START_MS + MAX_LOSS_PAUSE_MS;
             let begin = span * RESTORE_SPAN_MS + random.random_range(QUIET_START_MS..latest);
             plan.disruptions.extend(draw_restore(&mut random, begin));
         }
@@ -201,7 +202,9 @@
         while at < length {
             disruptions.push(PlannedDisruption {
                 at,
-                lasts: time::Duration::from_millis(random.random_range(SHORTEST_MS..=LONGEST_MS)),
+                lasts: time::Duration::from_millis(
+                    random.random_range(MIN_DURATION_MS..=MAX_DURATION_MS),
+                ),
                 kind: *DisruptionKind::DRAWN
                     .choose(&mut random)
                     .expect("there are kinds"),
@@ -222,11 +225,11 @@
     }
 }
 
-/// The store loses many changes at once, and soon after a server leaves, whose change gets
-/// a number that was given out before.
+/// Draws a restore: the store loses many changes at once, and soon after a server drains,
+/// and its change gets a revision number that was assigned before.
 fn draw_restore(random: &mut SmallRng, begin_ms: u64) -> [PlannedDisruption; 3] {
-    let away_at = begin_ms + random.random_range(SHORTEST_MS..=LOSS_PAUSE_MS);
-    let away_ms = random.random_range(SHORTEST_MS..=LONGEST_RESTORE_MS);
+    let outage_at = begin_ms + random.random_range(MIN_DURATION_MS..=MAX_LOSS_PAUSE_MS);
+    let outage_ms = random.random_range(MIN_DURATION_MS..=MAX_RESTORE_MS);
     let mut planned = |at, lasts, kind| PlannedDisruption {
         at: time::Duration::from_millis(at),
         lasts: time::Duration::from_millis(lasts),
@@ -235,9 +238,9 @@
     };
     [
         planned(begin_ms, 0, DisruptionKind::ConfigurationStorm),
-        planned(away_at, away_ms, DisruptionKind::StoreRestored),
+        planned(outage_at, outage_ms, DisruptionKind::StoreRestored),
         planned(
-            away_at + away_ms + LEAVING_AFTER_MS,
+            outage_at + outage_ms + DRAIN_DELAY_MS,
             0,
             DisruptionKind::ServerDrained,
         ),
--- a/crates/cardamomwinch_forwarder/tests/soak/planted.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/planted.rs
@@ -1,5 +1,5 @@
-//! Mistakes that are planted to show that the soak finds them: a host of the soak's
-//! own that does one thing wrong, beside the real ones.
+//! Planted mistakes, which show that the checks find violations: a host of the test that
+//! makes one mistake while the real hosts run.
 
 use std::fmt;
 use std::net;
@@ -9,19 +9,19 @@
 use cardamomwinch_platform::prelude::FlowToken;
 use cardamomwinch_state::prelude::BackendId;
 
-use crate::book::Promise;
 use crate::flow_packet::{EndPacket, RST, SYN};
+use crate::observations::Promise;
 use crate::server::ServerIdentity;
 
-/// One of so many flows meets the mistake, with all its packets.
+/// One of this number of flows is affected by the mistake, with all its packets.
 const FLOWS_PER_MISTAKE: u16 = 3;
 
-/// What is done wrong.
+/// The mistake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlantedMistake {
     /// Openings go to servers of another service.
     OtherService,
-    /// Data are changed.
+    /// Data is changed.
     ChangedData,
     /// A server runs each request twice.
     RunTwice,
@@ -29,20 +29,20 @@
     ResetFlow,
     /// Packets of open flows go to other servers.
     OtherServer,
-    /// Openings go to servers that leave.
+    /// Openings go to draining servers.
     LeavingServer,
-    /// Openings pass though their route was dropped.
+    /// Openings are forwarded although their route was dropped.
     DroppedRoute,
-    /// A process ends without having been told to.
+    /// A process ends without a signal to stop.
     SuddenEnd,
-    /// The store is written.
+    /// A request writes to the store.
     StoreWrite,
-    /// Packets are lost for good.
+    /// All packets are lost.
     LostPackets,
 }
 
 impl PlantedMistake {
-    /// The promise that it breaks.
+    /// The promise that the mistake breaks.
     pub(crate) const fn breaks(self) -> Promise {
         match self {
             Self::OtherService => Promise::OwnService,
@@ -58,17 +58,17 @@
         }
     }
 
-    /// Whether it is looked for at the end of a run only.
+    /// Whether the violation is only found at the end of a run.
     pub(crate) const fn shows_at_end(self) -> bool {
         matches!(self, Self::StoreWrite | Self::LostPackets)
     }
 }
 
-/// A server as the mistaken host knows it.
+/// A server that the host with the mistake knows.
 #[derive(Debug, Clone)]
 struct KnownServer {
     identity: ServerIdentity,
-    leaving: bool,
+    draining: bool,
 }
 
 /// A host that makes a mistake.
@@ -102,20 +102,20 @@
     }
 
     pub(crate) fn add_server(&self, identity: ServerIdentity) {
-        let leaving = false;
-        self.servers().push(KnownServer { identity, leaving });
+        let draining = false;
+        self.servers().push(KnownServer { identity, draining });
     }
 
-    /// A server says that it leaves.
-    pub(crate) fn note_leaving(&self, number: u64) {
+    /// Records that a server is draining.
+    pub(crate) fn note_draining(&self, number: u64) {
         for known in self.servers().iter_mut() {
-            known.leaving |= known.identity.number == number;
+            known.draining |= known.identity.number == number;
         }
     }
 
-    /// Whether this host takes `packet` of a caller, and has done with it what it
-    /// should not.
-    pub(crate) fn take(&self, bytes: &[u8]) -> bool {
+    /// Handles the packet of a caller in `bytes` with the mistake. Returns whether it did;
+    /// otherwise a real host has to handle it.
+    pub(crate) fn handle_packet(&self, bytes: &[u8]) -> bool {
         let Some((packet, _)) = EndPacket::decode(bytes) else {
             return false;
         };
@@ -124,8 +124,8 @@
             return false;
         }
         let opening = packet.is(SYN);
-        let own = |known: &KnownServer| known.identity.number as u32 == packet.token;
-        let other = |known: &KnownServer| !own(known);
+        let is_own = |known: &KnownServer| known.identity.number as u32 == packet.token;
+        let is_other = |known: &KnownServer| !is_own(known);
         match self.mistake {
             PlantedMistake::OtherService if opening => {
                 self.send_to(bytes, |known| known.identity.service == "vault")
@@ -133,15 +133,15 @@
             PlantedMistake::ChangedData if !packet.data.is_empty() => {
                 let mut changed = bytes.to_vec();
                 changed[packet::HEAD_LENGTH] ^= 1;
-                self.send_to(&changed, own)
+                self.send_to(&changed, is_own)
             }
             PlantedMistake::ResetFlow if !packet.data.is_empty() => self.reset(&packet),
-            PlantedMistake::OtherServer if !packet.data.is_empty() => self.send_to(bytes, other),
+            PlantedMistake::OtherServer if !packet.data.is_empty() => self.send_to(bytes, is_other),
             PlantedMistake::LeavingServer if opening => self.send_to(bytes, |known| {
-                known.leaving && known.identity.service == "desk"
+                known.draining && known.identity.service == "desk"
             }),
             PlantedMistake::DroppedRoute if opening => self.send_to(bytes, |known| {
-                !known.leaving && known.identity.service == "desk"
+                !known.draining && known.identity.service == "desk"
             }),
             PlantedMistake::LostPackets => true,
             _ => false,
@@ -158,7 +158,7 @@
         datagram.extend_from_slice(packet);
         let token = FlowToken::new(number as u32);
         packet::prepare_for_server(&mut datagram, BackendId::new(number), token);
-        // A server that is gone loses the packet, as on a network.
+        // A packet to a server that has ended is lost, as on a network.
         drop(self.socket.send_to(&datagram, known.identity.address));
         true
     }
@@ -174,7 +174,7 @@
             data: Vec::new(),
         };
         let mut bytes = reset.encode();
-        // A host has no key for sums.
+        // A host doesn't know the key of checksums.
         bytes[2..6].fill(0);
         let caller = net::SocketAddrV4::new(*packet.from.ip(), self.caller_port);
         drop(self.socket.send_to(&bytes, caller));
--- a/crates/cardamomwinch_forwarder/tests/soak/world.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! Everything around the hosts of one run, and what its disruptions do to it.
+//! One run: its hosts and everything around them, and how its disruptions are carried out.
 
 use std::collections;
 use std::fs;
@@ -13,93 +13,96 @@
 use cardamomwinch_standin::proxy::ProxyStandin;
 
 use crate::addresses::AddressBlock;
-use crate::book::{DisturbanceGuard, DisturbedPart, Promise, RequestCounts, SoakBook, Violation};
-use crate::caller::{CallerHabit, SoakCaller};
+use crate::caller::{CallerBehavior, SoakCaller};
 use crate::fleet::HostFleet;
 use crate::network::SoakNetwork;
+use crate::observations::{
+    DisturbanceGuard, DisturbedPart, Promise, RequestCounts, SoakObservations, Violation,
+};
 use crate::plan::{DisruptionKind, PlannedDisruption, SoakPlan};
 use crate::planted::{MistakenHost, PlantedMistake};
 use crate::server::{IDEMPOTENT_PREFIX, ServerIdentity, SoakServer};
-use crate::support::store::{LostWrites, StoreCopy, StoreFault};
-use crate::support::{HostOrder, StandInStore};
+use crate::support::store::{LostWrites, StoreBackup, StoreFault};
+use crate::support::{HostSpec, StandInStore};
 
 const DOMAINS: [&str; 3] = ["north", "south", "west"];
-/// Hosts of a failure domain where nothing else is said.
+/// The default number of hosts of a failure domain.
 const HOSTS_PER_DOMAIN: usize = 2;
-/// And at most; more have no addresses in a block.
-const MOST_HOSTS_PER_DOMAIN: usize = 15;
-/// Added at most, beside those of the start.
-const ADDED_HOSTS: usize = 3;
+/// The maximum number; there are no addresses for more in a block.
+const MAX_HOSTS_PER_DOMAIN: usize = 15;
+/// The maximum number of hosts that are added to those of the start.
+const MAX_ADDED_HOSTS: usize = 3;
 const CALLERS_PER_DOMAIN: usize = 4;
 const SERVERS_PER_SERVICE: usize = 6;
 const SERVICES: [&str; 2] = ["desk", "vault"];
-/// The public address, and the ports of routes that stay.
+/// The public address, and the ports of the permanent routes.
 const PUBLIC: net::Ipv4Addr = net::Ipv4Addr::new(198, 18, 0, 1);
 const SAFE_PORT: u16 = 443;
 const ONCE_PORT: u16 = 444;
 const VAULT_PORT: u16 = 445;
-/// Routes that come and go, one for the callers of each failure domain.
+/// The ports of routes that are added and dropped, one for the callers of each failure domain.
 const EXTRA_PORTS: [u16; DOMAINS.len()] = [501, 502, 503];
 /// The idle timeout of the configuration, in milliseconds.
 const IDLE_TIMEOUT_MS: u32 = 15_000;
-/// After a server fell silent its entry lapses, after three heartbeats of the
-/// platform.
-const LAPSE: time::Duration = time::Duration::from_millis(3_600);
-/// Servers that cannot tell the store that they live lapse after so long of an
-/// outage: two heartbeats, where the last one came just before it.
-const LAPSE_IN_OUTAGE: time::Duration = time::Duration::from_millis(2_400);
-/// For so long a server that announced its end goes on.
-const DRAIN: time::Duration = time::Duration::from_millis(4_000);
-/// An address is used again after so long.
-const REUSE: time::Duration = time::Duration::from_secs(2);
-/// Entries that lapsed in an outage are back so long after it.
-const RETURN: time::Duration = time::Duration::from_millis(1_500);
-/// A copy of the store is made so often.
-const COPY_PERIOD: time::Duration = time::Duration::from_secs(1);
-/// And so many are kept: a restore takes back some seconds.
-const KEPT_COPIES: usize = 5;
-/// How often the run looks at its processes and at what is due.
-const STEP: time::Duration = time::Duration::from_millis(20);
-/// A step that takes longer shows that this process did not run.
+/// The time from when a server stops responding until its entry expires: three heartbeats of
+/// the platform.
+const ENTRY_EXPIRY: time::Duration = time::Duration::from_millis(3_600);
+/// The time from the start of an outage of the store until the entries of live servers expire:
+/// two heartbeats, if the last one was just before the outage.
+const OUTAGE_ENTRY_EXPIRY: time::Duration = time::Duration::from_millis(2_400);
+/// How long a draining server keeps serving.
+const DRAIN_DURATION: time::Duration = time::Duration::from_millis(4_000);
+/// The time after which an address is reused.
+const REUSE_DELAY: time::Duration = time::Duration::from_secs(2);
+/// The time from the end of an outage until expired entries and lost writes are written again.
+const REWRITE_DELAY: time::Duration = time::Duration::from_millis(1_500);
+/// The interval of backups of the store.
+const BACKUP_PERIOD: time::Duration = time::Duration::from_secs(1);
+/// The number of backups that are kept: a restore loses some seconds.
+const MAX_BACKUPS: usize = 5;
+/// The interval at which the run checks its processes and performs due actions.
+const STEP_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// If a step takes longer than its interval by this time, this process did not run meanwhile.
 const STALL: time::Duration = time::Duration::from_millis(150);
-/// The time to serve again after the last disruption, where time is judged.
-const RECOVERY: time::Duration = time::Duration::from_secs(12);
-/// The same where it is not.
-const PATIENCE: time::Duration = time::Duration::from_secs(90);
-/// So many answers in a row, without a request that fails, show the recovery.
-const GOOD_ANSWERS: u64 = 60;
-
-/// What happens later, in the order of its making.
+/// The time limit of the recovery after the last disruption if time bounds are checked.
+const TIMED_RECOVERY_LIMIT: time::Duration = time::Duration::from_secs(12);
+/// The same if they aren't.
+const UNTIMED_RECOVERY_LIMIT: time::Duration = time::Duration::from_secs(90);
+/// The number of successive answers, without a failed request, that show the recovery.
+const RECOVERY_ANSWERS: u64 = 60;
+
+/// An action that is performed later. Due actions are performed in the order in which they
+/// were added.
 enum DueAction {
-    /// The guard ends with it.
+    /// The guard is dropped afterwards.
     EndDisruption(PlannedDisruption, Option<DisturbanceGuard>),
     RemoveEntry(u64),
-    /// The address of a server that has gone is used by one of another service.
+    /// A server of another service reuses the address of a server that has ended.
     Reuse(net::SocketAddrV4, usize),
     EndServer(u64),
     StartServer(&'static str),
-    /// Entries of servers that live lapse while the store is away.
-    LapseEntries,
+    /// Entries of live servers expire during an outage of the store.
+    ExpireEntries,
     RestoreEntries,
-    /// What a restored store lost is written again; the guard ends with it.
+    /// The writes that a restored store lost are repeated; the guard is dropped afterwards.
     WriteAgain(LostWrites, Option<DisturbanceGuard>),
 }
 
 /// One run of the soak.
-pub(crate) struct SoakWorld {
+pub(crate) struct SoakRun {
     plan: SoakPlan,
-    book: SoakBook,
+    observations: SoakObservations,
     store: StandInStore,
-    /// The latest one last.
-    copies: collections::VecDeque<StoreCopy>,
-    copied_at: time::Instant,
+    /// The latest one is the last.
+    backups: collections::VecDeque<StoreBackup>,
+    backed_up_at: time::Instant,
     network: sync::Arc<SoakNetwork>,
     fleet: HostFleet,
     block: AddressBlock,
     hosts_per_domain: usize,
     servers: Vec<SoakServer>,
-    /// Servers whose entries are not to be written any more.
-    gone: Vec<u64>,
+    /// Servers whose entries are no longer written, because they have crashed or drain.
+    removed: Vec<u64>,
     next_server: u64,
     next_address: u8,
     next_host: u8,
@@ -109,16 +112,16 @@
     callers: Vec<thread::JoinHandle<()>>,
 }
 
-/// How many hosts a failure domain has: `SOAK_HOSTS`, or two.
+/// The number of hosts of a failure domain: `SOAK_HOSTS`, or two.
 fn hosts_per_domain() -> usize {
-    let asked = std::env::var("SOAK_HOSTS").ok();
-    let asked = asked.and_then(|text| text.parse().ok());
-    asked
+    let count = std::env::var("SOAK_HOSTS").ok();
+    let count = count.and_then(|text| text.parse().ok());
+    count
         .unwrap_or(HOSTS_PER_DOMAIN)
-        .clamp(1, MOST_HOSTS_PER_DOMAIN)
+        .clamp(1, MAX_HOSTS_PER_DOMAIN)
 }
 
-/// What a run showed.
+/// The results of a run.
 pub(crate) struct SoakReport {
     pub(crate) violations: Vec<Violation>,
     pub(crate) counts: RequestCounts,
@@ -126,8 +129,8 @@
     pub(crate) calls: u64,
 }
 
-impl SoakWorld {
-    /// Starts everything; returns once all processes run.
+impl SoakRun {
+    /// Starts everything; returns when all processes are running.
     pub(crate) fn start(
         plan: SoakPlan,
         timed: bool,
@@ -135,7 +138,7 @@
         log: &path::Path,
     ) -> Self {
         fs::create_dir_all(log).expect("logs can be written");
-        let book = SoakBook::new(timed);
+        let observations = SoakObservations::new(timed);
         let block = AddressBlock::choose();
         let mistaken_address = block.address(AddressBlock::MISTAKEN, 0);
         let mistaken = mistake.map(|mistake| MistakenHost::new(mistake, mistaken_address));
@@ -148,29 +151,29 @@
         thread::spawn(move || {
             async_io::block_on(running.run(async {
                 while !ended.is_ended() {
-                    async_io::Timer::after(STEP).await;
+                    async_io::Timer::after(STEP_INTERVAL).await;
                 }
             }));
         });
         let fleet = HostFleet::new(
-            book.clone(),
+            observations.clone(),
             network.clone(),
             proxies,
             executor,
             log.to_owned(),
         );
-        let mut world = Self {
+        let mut run = Self {
             plan,
-            book,
+            observations,
             store: StandInStore::start(),
-            copies: collections::VecDeque::new(),
-            copied_at: time::Instant::now(),
+            backups: collections::VecDeque::new(),
+            backed_up_at: time::Instant::now(),
             network,
             fleet,
             block,
             hosts_per_domain: hosts_per_domain(),
             servers: Vec::new(),
-            gone: Vec::new(),
+            removed: Vec::new(),
             next_server: 1,
             next_address: AddressBlock::SERVERS,
             next_host: AddressBlock::HOSTS,
@@ -181,7 +184,7 @@
         };
         for service in SERVICES {
             for _ in 0..SERVERS_PER_SERVICE {
-                world.add_server(service);
+                run.add_server(service);
             }
         }
         for (port, service) in [
@@ -189,25 +192,25 @@
             (ONCE_PORT, "desk"),
             (VAULT_PORT, "vault"),
         ] {
-            world.book.note_route(port, Some(service));
+            run.observations.note_route(port, Some(service));
         }
-        world.publish();
-        for _ in 0..DOMAINS.len() * world.hosts_per_domain {
-            world.add_host();
+        run.publish();
+        for _ in 0..DOMAINS.len() * run.hosts_per_domain {
+            run.add_host();
         }
-        world.start_callers();
-        world
+        run.start_callers();
+        run
     }
 
-    /// Plays the plan, ends all disruptions, and waits for the recovery. It ends
-    /// early where `until` is broken.
-    pub(crate) fn play(mut self, until: Option<Promise>) -> SoakReport {
+    /// Executes the plan, ends all disruptions, and waits for the recovery. The plan is cut
+    /// short if the promise `until` is broken.
+    pub(crate) fn execute(mut self, until: Option<Promise>) -> SoakReport {
         let start = time::Instant::now();
         let disruptions = self.plan.disruptions.clone();
         let mut disruptions = disruptions.into_iter().peekable();
         while start.elapsed() < self.plan.length && !until.is_some_and(|one| self.is_broken(one)) {
             while let Some(next) = disruptions.next_if(|next| next.at <= start.elapsed()) {
-                println!("  {:?}: {next}", self.book.now());
+                println!("  {:?}: {next}", self.observations.now());
                 self.begin(next);
             }
             self.step();
@@ -215,30 +218,31 @@
         self.end_disruptions();
         let recovered = self.wait_for_recovery();
         for written in self.store.writes() {
-            self.book.break_promise(Promise::StoreOnlyRead, written);
+            self.observations
+                .record_violation(Promise::StoreOnlyRead, written);
         }
         self.network.end();
         for caller in self.callers.drain(..) {
             if caller.join().is_err() {
                 let what = "a caller's thread panicked".to_owned();
-                self.book.break_promise(Promise::Recovery, what);
+                self.observations.record_violation(Promise::Recovery, what);
             }
         }
         SoakReport {
-            violations: self.book.violations(),
-            counts: self.book.counts(),
+            violations: self.observations.violations(),
+            counts: self.observations.counts(),
             recovered,
             calls: self.store.calls(),
         }
     }
 
     fn is_broken(&self, promise: Promise) -> bool {
-        let violations = self.book.violations();
+        let violations = self.observations.violations();
         violations.iter().any(|one| one.promise == promise)
     }
 
-    /// Makes the planted mistake that no packet shows.
-    pub(crate) fn misbehave(&mut self) {
+    /// Makes the planted mistake if it is one that doesn't concern packets.
+    pub(crate) fn plant_mistake(&mut self) {
         match self.network.mistaken().map(|host| host.mistake) {
             Some(PlantedMistake::SuddenEnd) => self.fleet.end_suddenly(0),
             Some(PlantedMistake::StoreWrite) => self.store.note_write("POST /x"),
@@ -247,19 +251,19 @@
     }
 
     fn step(&mut self) {
-        let from = self.book.now();
-        thread::sleep(STEP);
-        if self.book.now() - from > STEP + STALL {
-            self.book.note_stall(from);
+        let from = self.observations.now();
+        thread::sleep(STEP_INTERVAL);
+        if self.observations.now() - from > STEP_INTERVAL + STALL {
+            self.observations.note_stall(from);
         }
-        self.fleet.look_after();
+        self.fleet.maintain();
         let now = time::Instant::now();
-        if now - self.copied_at >= COPY_PERIOD {
-            self.copied_at = now;
-            if self.copies.len() == KEPT_COPIES {
-                self.copies.pop_front();
+        if now - self.backed_up_at >= BACKUP_PERIOD {
+            self.backed_up_at = now;
+            if self.backups.len() == MAX_BACKUPS {
+                self.backups.pop_front();
             }
-            self.copies.push_back(self.store.copy());
+            self.backups.push_back(self.store.backup());
         }
         let (due, later) = std::mem::take(&mut self.due)
             .into_iter()
@@ -267,7 +271,7 @@
         self.due = later;
         let due: Vec<_> = due;
         for (_, action) in due {
-            self.act(action);
+            self.perform(action);
         }
     }
 
@@ -281,7 +285,7 @@
         let at = |offset| net::SocketAddr::from(self.block.address(self.next_host, offset));
         let first = net::SocketAddr::from(self.block.address(AddressBlock::HOSTS, 1));
         let second = net::SocketAddr::from(self.block.address(AddressBlock::HOSTS + 1, 1));
-        let order = HostOrder {
+        let spec = HostSpec {
             name: format!("host-{}-{index}", self.block.first[2]),
             domain: DOMAINS[domain].to_owned(),
             traffic: at(0),
@@ -292,7 +296,7 @@
             seeds: vec![first, second],
         };
         self.next_host += 1;
-        self.fleet.add(order, domain);
+        self.fleet.add(spec, domain);
     }
 
     fn add_server(&mut self, service: &'static str) {
@@ -312,7 +316,7 @@
             address,
             caller_port: self.block.address(0, 0).port(),
         };
-        let server = SoakServer::start(identity, self.book.clone(), self.network.clone());
+        let server = SoakServer::start(identity, self.observations.clone(), self.network.clone());
         self.write_entry(&server.identity, "ready");
         if let Some(mistaken) = self.network.mistaken() {
             mistaken.add_server(server.identity.clone());
@@ -374,7 +378,7 @@
                     2 => (IDEMPOTENT_PREFIX, VAULT_PORT, 1),
                     _ => (IDEMPOTENT_PREFIX, extra_port, 3),
                 };
-                let habit = CallerHabit {
+                let behavior = CallerBehavior {
                     name: prefix.to_owned(),
                     service: net::SocketAddrV4::new(PUBLIC, port),
                     domain,
@@ -383,39 +387,37 @@
                 };
                 let address = self.block.address(number, 0);
                 number += 1;
-                let (book, network) = (self.book.clone(), self.network.clone());
-                let caller = SoakCaller::new(habit, address, book, network);
+                let (observations, network) = (self.observations.clone(), self.network.clone());
+                let caller = SoakCaller::new(behavior, address, observations, network);
                 self.callers.push(thread::spawn(move || caller.run()));
             }
         }
     }
 
-    /// A server that serves, by `pick`, where its service can spare one.
+    /// The serving server for `pick`, if enough others of its service remain.
     fn spare_server(&self, pick: usize) -> Option<ServerIdentity> {
         let mut serving: Vec<_> = self.servers.iter().map(|server| &server.identity).collect();
-        serving.retain(|identity| !self.gone.contains(&identity.number));
+        serving.retain(|identity| !self.removed.contains(&identity.number));
         let chosen = *serving.get(pick % serving.len().max(1))?;
         let left = serving.iter().filter(|one| one.service == chosen.service);
         (left.count() > SERVERS_PER_SERVICE / 2).then(|| chosen.clone())
     }
 
-    /// Notes what `disruption` disturbs for as long as it lasts.
+    /// Records what `disruption` disturbs; the guard ends the record.
     fn disturb(&mut self, disruption: PlannedDisruption) -> Option<DisturbanceGuard> {
         let part = match disruption.kind {
             DisruptionKind::StoreDown
             | DisruptionKind::StoreSlow
             | DisruptionKind::StoreRestored => DisturbedPart::Store,
             DisruptionKind::FabricPoor => DisturbedPart::Everything,
-            kind if kind.concerns_host() => {
-                DisturbedPart::Host(self.fleet.traffic(disruption.pick))
-            }
+            kind if kind.affects_host() => DisturbedPart::Host(self.fleet.traffic(disruption.pick)),
             _ => return None,
         };
-        Some(self.book.disturb(part))
+        Some(self.observations.disturb(part))
     }
 
     fn begin(&mut self, mut disruption: PlannedDisruption) {
-        if disruption.kind.concerns_host() {
+        if disruption.kind.affects_host() {
             disruption.pick = self.fleet.position(disruption.pick);
         }
         let guard = self.disturb(disruption);
@@ -429,7 +431,7 @@
             DisruptionKind::HostStopped => self.fleet.terminate(pick),
             DisruptionKind::HostReloaded => self.fleet.reload(pick),
             DisruptionKind::HostAdded => {
-                let limit = DOMAINS.len() * self.hosts_per_domain + ADDED_HOSTS;
+                let limit = DOMAINS.len() * self.hosts_per_domain + MAX_ADDED_HOSTS;
                 if self.fleet.hosts.len() < limit {
                     self.add_host();
                 }
@@ -437,9 +439,9 @@
             DisruptionKind::StoreDown => {
                 let faults = [StoreFault::Reset, StoreFault::Busy, StoreFault::Silent];
                 self.store.set_fault(faults[pick % faults.len()]);
-                if pick % 2 == 0 && lasts > LAPSE_IN_OUTAGE {
-                    self.after(LAPSE_IN_OUTAGE, DueAction::LapseEntries);
-                    self.after(lasts + RETURN, DueAction::RestoreEntries);
+                if pick % 2 == 0 && lasts > OUTAGE_ENTRY_EXPIRY {
+                    self.after(OUTAGE_ENTRY_EXPIRY, DueAction::ExpireEntries);
+                    self.after(lasts + REWRITE_DELAY, DueAction::RestoreEntries);
                 }
             }
             DisruptionKind::StoreSlow => {
@@ -483,12 +485,12 @@
         self.after(lasts, DueAction::EndDisruption(disruption, guard));
     }
 
-    /// Removes or restores the entries of every second server that lives.
-    fn lapse_entries(&self, lapse: bool) {
-        let living = self.servers.iter().map(|one| &one.identity);
-        let living = living.filter(|one| !self.gone.contains(&one.number));
-        for identity in living.step_by(2) {
-            if lapse {
+    /// Removes or restores the entries of every second live server.
+    fn expire_entries(&self, expire: bool) {
+        let live = self.servers.iter().map(|one| &one.identity);
+        let live = live.filter(|one| !self.removed.contains(&one.number));
+        for identity in live.step_by(2) {
+            if expire {
                 self.remove_entry(identity.number);
             } else {
                 self.write_entry(identity, "ready");
@@ -500,39 +502,39 @@
         let Some(identity) = self.spare_server(pick) else {
             return;
         };
-        self.gone.push(identity.number);
-        self.book.note_ended(identity.number);
+        self.removed.push(identity.number);
+        self.observations.note_ended(identity.number);
         let crashed = self
             .servers
             .iter()
             .find(|one| one.identity.number == identity.number);
         if let Some(server) = crashed {
-            server.fall_silent();
+            server.go_silent();
         }
-        self.after(LAPSE, DueAction::RemoveEntry(identity.number));
-        self.after(LAPSE, DueAction::EndServer(identity.number));
+        self.after(ENTRY_EXPIRY, DueAction::RemoveEntry(identity.number));
+        self.after(ENTRY_EXPIRY, DueAction::EndServer(identity.number));
         if reuse {
             let other = SERVICES
                 .iter()
                 .position(|service| *service != identity.service);
             let action = DueAction::Reuse(identity.address, other.unwrap_or_default());
-            self.after(LAPSE + REUSE, action);
+            self.after(ENTRY_EXPIRY + REUSE_DELAY, action);
         }
-        self.after(LAPSE, DueAction::StartServer(identity.service));
+        self.after(ENTRY_EXPIRY, DueAction::StartServer(identity.service));
     }
 
     fn drain_server(&mut self, pick: usize) {
         let Some(identity) = self.spare_server(pick) else {
             return;
         };
-        self.gone.push(identity.number);
+        self.removed.push(identity.number);
         self.write_entry(&identity, "draining");
-        self.book.note_draining(identity.number);
+        self.observations.note_draining(identity.number);
         if let Some(mistaken) = self.network.mistaken() {
-            mistaken.note_leaving(identity.number);
+            mistaken.note_draining(identity.number);
         }
-        self.after(DRAIN, DueAction::RemoveEntry(identity.number));
-        self.after(DRAIN, DueAction::EndServer(identity.number));
+        self.after(DRAIN_DURATION, DueAction::RemoveEntry(identity.number));
+        self.after(DRAIN_DURATION, DueAction::EndServer(identity.number));
         self.after(
             time::Duration::ZERO,
             DueAction::StartServer(identity.service),
@@ -543,7 +545,7 @@
         let port = EXTRA_PORTS[pick % EXTRA_PORTS.len()];
         if !self.extra.contains(&port) {
             self.extra.push(port);
-            self.book.note_route(port, Some("desk"));
+            self.observations.note_route(port, Some("desk"));
         }
         self.publish();
     }
@@ -554,11 +556,11 @@
         self.extra.retain(|held| *held != port);
         self.publish();
         if self.extra.len() < before {
-            self.book.note_route(port, None);
+            self.observations.note_route(port, None);
         }
     }
 
-    fn act(&mut self, action: DueAction) {
+    fn perform(&mut self, action: DueAction) {
         match action {
             DueAction::EndDisruption(disruption, guard) => {
                 if disruption.kind == DisruptionKind::StoreRestored {
@@ -575,23 +577,23 @@
             DueAction::RemoveEntry(number) => self.remove_entry(number),
             DueAction::Reuse(address, service) => self.add_server_at(SERVICES[service], address),
             DueAction::EndServer(number) => {
-                self.book.note_ended(number);
+                self.observations.note_ended(number);
                 self.servers.retain(|one| one.identity.number != number);
             }
             DueAction::StartServer(service) => self.add_server(service),
-            DueAction::LapseEntries => self.lapse_entries(true),
-            DueAction::RestoreEntries => self.lapse_entries(false),
+            DueAction::ExpireEntries => self.expire_entries(true),
+            DueAction::RestoreEntries => self.expire_entries(false),
         }
     }
 
-    /// Brings the store back from a copy. It counts as disturbed until what it lost is
-    /// written again.
+    /// Restores the store from a backup. The store counts as disturbed until the lost writes
+    /// are repeated.
     fn restore_store(&mut self, pick: usize, guard: Option<DisturbanceGuard>) {
-        if let Some(copy) = self.copies.get(pick % self.copies.len().max(1)) {
-            let lost = self.store.restore(copy.clone());
-            // Copies of the life that the store has left behind.
-            self.copies.clear();
-            self.after(RETURN, DueAction::WriteAgain(lost, guard));
+        if let Some(backup) = self.backups.get(pick % self.backups.len().max(1)) {
+            let lost = self.store.restore(backup.clone());
+            // The other backups contain revisions from before the restore.
+            self.backups.clear();
+            self.after(REWRITE_DELAY, DueAction::WriteAgain(lost, guard));
         }
         self.store.set_fault(StoreFault::None);
     }
@@ -623,24 +625,24 @@
         self.fleet.heal();
     }
 
-    /// How long it took until all was served again.
+    /// Waits until all requests are served again; returns how long that took.
     fn wait_for_recovery(&mut self) -> Option<time::Duration> {
         let start = time::Instant::now();
-        let limit = if self.book.is_timed() {
-            RECOVERY
+        let limit = if self.observations.is_timed() {
+            TIMED_RECOVERY_LIMIT
         } else {
-            PATIENCE
+            UNTIMED_RECOVERY_LIMIT
         };
-        let mut counts = self.book.counts();
+        let mut counts = self.observations.counts();
         let mut good_since = start;
         while start.elapsed() < limit + time::Duration::from_secs(3) {
             self.step();
-            let now = self.book.counts();
+            let now = self.observations.counts();
             if now.unanswered > counts.unanswered {
                 counts = now;
                 good_since = time::Instant::now();
             }
-            if now.answered >= counts.answered + GOOD_ANSWERS {
+            if now.answered >= counts.answered + RECOVERY_ANSWERS {
                 let took = good_since - start;
                 if took <= limit {
                     return Some(took);
@@ -648,7 +650,7 @@
             }
         }
         let what = format!("requests still fail {limit:?} after the last disruption");
-        self.book.break_promise(Promise::Recovery, what);
+        self.observations.record_violation(Promise::Recovery, what);
         None
     }
 }
--- a/crates/cardamomwinch_forwarder/tests/soak/server.rs
+++ b/crates/cardamomwinch_forwarder/tests/soak/server.rs
@@ -1,4 +1,4 @@
-//! A backend server's end of flows.
+//! A backend server.
 
 use std::net;
 use std::sync;
@@ -10,29 +10,29 @@
 use cardamomwinch_state::prelude::SortedVector;
 use rand::Rng;
 
-use crate::book::{FlowEnd, Promise, ServerNumber, SoakBook};
 use crate::flow_packet::{ACK, EndPacket, FIN, RST, SYN};
 use crate::network::SoakNetwork;
+use crate::observations::{FlowAddress, Promise, ServerNumber, SoakObservations};
 use crate::planted::PlantedMistake;
 
-/// How long the thread waits for a packet before it looks at what is due.
-const PATIENCE: time::Duration = time::Duration::from_millis(5);
-/// How long a request takes, in milliseconds.
+/// How long the thread waits for a packet before it sends the answers that are due.
+const RECEIVE_TIMEOUT: time::Duration = time::Duration::from_millis(5);
+/// The duration of a request, in milliseconds.
 const WORK_MS: std::ops::Range<u64> = 3..25;
-/// The first pause before an answer is sent again; it doubles.
+/// The first pause before an answer is resent; it doubles each time.
 const RESEND_PAUSE: time::Duration = time::Duration::from_millis(200);
-const RESEND_LIMIT: u32 = 8;
-/// Requests whose name begins so may run more than once.
+const MAX_RESENDS: u32 = 8;
+/// The prefix of the names of requests that may run more than once.
 pub(crate) const IDEMPOTENT_PREFIX: &str = "any-";
 
-/// What is fixed of a server.
+/// The properties of a server that don't change.
 #[derive(Debug, Clone)]
 pub(crate) struct ServerIdentity {
     pub(crate) number: ServerNumber,
     pub(crate) service: &'static str,
     pub(crate) domain: usize,
     pub(crate) address: net::SocketAddrV4,
-    /// The port at which callers take packets.
+    /// The port at which callers receive packets.
     pub(crate) caller_port: u16,
 }
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct SoakServer {
     pub(crate) identity: ServerIdentity,
-    dark: sync::Arc<atomic::AtomicBool>,
+    silent: sync::Arc<atomic::AtomicBool>,
     ended: sync::Arc<atomic::AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
@@ -48,36 +48,36 @@
 impl SoakServer {
     pub(crate) fn start(
         identity: ServerIdentity,
-        book: SoakBook,
+        observations: SoakObservations,
         network: sync::Arc<SoakNetwork>,
     ) -> Self {
         let socket = net::UdpSocket::bind(identity.address).expect("the address is the soak's own");
         socket
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(RECEIVE_TIMEOUT))
             .expect("the pause is not zero");
-        let dark = sync::Arc::<atomic::AtomicBool>::default();
+        let silent = sync::Arc::<atomic::AtomicBool>::default();
         let ended = sync::Arc::<atomic::AtomicBool>::default();
-        let end = ServerEnd {
+        let end = ServerThread {
             identity: identity.clone(),
             socket,
-            book,
+            observations,
             network,
             flows: SortedVector::new(),
             due: Vec::new(),
         };
-        let (is_dark, is_ended) = (dark.clone(), ended.clone());
-        let thread = thread::spawn(move || end.run(&is_dark, &is_ended));
+        let (is_silent, is_ended) = (silent.clone(), ended.clone());
+        let thread = thread::spawn(move || end.run(&is_silent, &is_ended));
         Self {
             identity,
-            dark,
+            silent,
             ended,
             thread: Some(thread),
         }
     }
 
-    /// From now on the server takes and sends nothing, and its flows are gone.
-    pub(crate) fn fall_silent(&self) {
-        self.dark.store(true, atomic::Ordering::Relaxed);
+    /// Makes the server lose its flows and neither handle nor send packets any longer.
+    pub(crate) fn go_silent(&self) {
+        self.silent.store(true, atomic::Ordering::Relaxed);
     }
 }
 
@@ -85,7 +85,7 @@
     fn drop(&mut self) {
         self.ended.store(true, atomic::Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has printed why.
+            // If the thread panicked, it has printed the reason.
             drop(thread.join());
         }
     }
@@ -98,39 +98,39 @@
     expected: u32,
     /// The position of the next byte to the caller.
     sequence: u32,
-    /// What the caller has acknowledged.
+    /// The position that the caller has acknowledged.
     acknowledged: u32,
-    /// Whether the caller has chosen this server's answer to its opening.
+    /// Whether the caller has acknowledged this server's answer to its opening.
     opened: bool,
     token: u32,
 }
 
-/// An answer that is to be sent, until it is acknowledged.
+/// An answer that is sent or resent until it is acknowledged.
 #[derive(Debug)]
 struct DueAnswer {
-    flow: FlowEnd,
+    flow: FlowAddress,
     at: time::Instant,
     tries: u32,
-    /// Absent until the request is done.
+    /// `None` until the request is done.
     sequence: Option<u32>,
     data: Vec<u8>,
 }
 
-struct ServerEnd {
+struct ServerThread {
     identity: ServerIdentity,
     socket: net::UdpSocket,
-    book: SoakBook,
+    observations: SoakObservations,
     network: sync::Arc<SoakNetwork>,
-    flows: SortedVector<FlowEnd, ServedFlow>,
+    flows: SortedVector<FlowAddress, ServedFlow>,
     due: Vec<DueAnswer>,
 }
 
-impl ServerEnd {
-    fn run(mut self, dark: &atomic::AtomicBool, ended: &atomic::AtomicBool) {
+impl ServerThread {
+    fn run(mut self, silent: &atomic::AtomicBool, ended: &atomic::AtomicBool) {
         let mut buffer = [0; 2_048];
         while !ended.load(atomic::Ordering::Relaxed) {
             let received = self.socket.recv_from(&mut buffer);
-            if dark.load(atomic::Ordering::Relaxed) {
+            if silent.load(atomic::Ordering::Relaxed) {
                 self.flows.clear();
                 self.due.clear();
                 continue;
@@ -138,18 +138,18 @@
             if let Ok((length, host)) = received
                 && !self.network.is_cut(host)
             {
-                self.take(&buffer[..length], host);
+                self.handle_datagram(&buffer[..length], host);
             }
             self.send_due();
         }
     }
 
-    fn take(&mut self, datagram: &[u8], host: net::SocketAddr) {
+    fn handle_datagram(&mut self, datagram: &[u8], host: net::SocketAddr) {
         let Some((prefix, packet)) = datagram.split_at_checked(SERVER_PREFIX_LENGTH) else {
             return;
         };
-        let meant = u64::from_be_bytes(prefix.try_into().expect("eight bytes"));
-        if meant != 0 && meant != self.identity.number {
+        let addressee = u64::from_be_bytes(prefix.try_into().expect("eight bytes"));
+        if addressee != 0 && addressee != self.identity.number {
             return;
         }
         let Some((packet, intact)) = EndPacket::decode(packet) else {
@@ -157,7 +157,7 @@
         };
         if !intact {
             let what = format!("{packet:?} at {:x} from {host}", self.identity.number);
-            return self.book.break_promise(Promise::Unchanged, what);
+            return self.observations.record_violation(Promise::Unchanged, what);
         }
         if packet.is(SYN) {
             self.open(&packet, host);
@@ -169,7 +169,7 @@
     fn open(&mut self, packet: &EndPacket, host: net::SocketAddr) {
         let identity = &self.identity;
         let (flow, route) = (packet.from, packet.to.port());
-        self.book
+        self.observations
             .note_opening(flow, route, identity.number, identity.service, host);
         let sequence: u32 = rand::rng().random();
         let fresh = || ServedFlow {
@@ -194,13 +194,14 @@
 
     fn continue_flow(&mut self, packet: EndPacket) {
         let (flow, number) = (packet.from, self.identity.number);
-        let held = self.flows.get_mut(&flow).and_then(|served| {
+        let open_flow = self.flows.get_mut(&flow).and_then(|served| {
             served.opened |= packet.acknowledged == served.sequence;
             served.opened.then_some(served)
         });
-        self.book.note_packet(flow, number, held.is_some());
-        let Some(served) = held else {
-            // What was sent after an end that this server forgot is told so.
+        self.observations
+            .note_packet(flow, number, open_flow.is_some());
+        let Some(served) = open_flow else {
+            // Resets a flow that this server no longer has, unless the packet ends it.
             if !packet.is(FIN) && !packet.is(RST) {
                 self.reply(
                     flow,
@@ -234,16 +235,16 @@
         }
     }
 
-    fn run_request(&mut self, flow: FlowEnd, data: Vec<u8>) {
+    fn run_request(&mut self, flow: FlowAddress, data: Vec<u8>) {
         let request = String::from_utf8_lossy(&data).into_owned();
         let once = !request.starts_with(IDEMPOTENT_PREFIX);
-        self.book.note_run(&request, once);
+        self.observations.note_run(&request, once);
         if self
             .network
             .mistaken()
             .is_some_and(|host| host.mistake == PlantedMistake::RunTwice)
         {
-            self.book.note_run(&request, once);
+            self.observations.note_run(&request, once);
         }
         let work = time::Duration::from_millis(rand::rng().random_range(WORK_MS));
         self.due.push(DueAnswer {
@@ -262,11 +263,11 @@
             let Some(served) = self.flows.get_mut(&answer.flow) else {
                 return false;
             };
-            let sent_at = answer.sequence;
-            let end = sent_at.map(|at| at.wrapping_add(answer.data.len() as u32));
+            let start = answer.sequence;
+            let end = start.map(|start| start.wrapping_add(answer.data.len() as u32));
             let confirmed =
                 end.is_some_and(|end| served.acknowledged.wrapping_sub(end) < u32::MAX / 2);
-            if confirmed || answer.tries > RESEND_LIMIT {
+            if confirmed || answer.tries > MAX_RESENDS {
                 return false;
             }
             if answer.at > now {
@@ -295,7 +296,7 @@
 
     fn reply(
         &self,
-        flow: FlowEnd,
+        flow: FlowAddress,
         route: net::SocketAddrV4,
         flags: u8,
         sequence: u32,
@@ -313,7 +314,7 @@
             data,
         };
         let caller = net::SocketAddrV4::new(*flow.ip(), self.identity.caller_port);
-        // A caller that is gone loses the packet, as on a network.
+        // A packet to a caller that has ended is lost, as on a network.
         drop(self.socket.send_to(&packet.encode(), caller));
     }
 }
--- a/crates/cardamomwinch_forwarder/tests/support/mod.rs
+++ b/crates/cardamomwinch_forwarder/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! The surroundings of a forwarding host on loopback: a store that answers from
-//! memory, and the process itself.
+//! Support for tests of a forwarding host on loopback: a store that answers from memory, and
+//! the process of the host.
 #![allow(clippy::unwrap_used, missing_docs, dead_code, unreachable_pub)]
 
 pub mod store;
@@ -16,12 +16,12 @@
 
 pub use store::StandInStore;
 
-/// How long a test waits for something that must come.
-pub const PATIENCE: time::Duration = time::Duration::from_secs(20);
+/// How long a test waits for something that must happen.
+pub const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Where a host listens and what it is told of the rest.
+/// The addresses of a host, and the other settings that differ between hosts.
 #[derive(Debug, Clone)]
-pub struct HostOrder {
+pub struct HostSpec {
     pub name: String,
     pub domain: String,
     pub traffic: net::SocketAddr,
@@ -32,10 +32,10 @@
     pub seeds: Vec<net::SocketAddr>,
 }
 
-impl HostOrder {
-    /// A host at ports that the system chooses. A port that a test finds free may
-    /// be taken before the host listens there, and the host would end.
-    pub fn anywhere(name: &str, store: net::SocketAddr, seeds: &[net::SocketAddr]) -> Self {
+impl HostSpec {
+    /// A host at ports that the operating system chooses. A port that a test finds free may
+    /// be in use before the host listens there, and the host would end.
+    pub fn at_any_ports(name: &str, store: net::SocketAddr, seeds: &[net::SocketAddr]) -> Self {
         let any = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
         Self {
             name: name.to_owned(),
@@ -73,7 +73,7 @@
     }
 }
 
-/// The process of a forwarding host. Dropping it ends it.
+/// The process of a forwarding host. It is ended when this is dropped.
 pub struct HostProcess {
     pub child: ChildProcess,
     pub settings: path::PathBuf,
@@ -84,15 +84,15 @@
 }
 
 impl HostProcess {
-    /// Starts a host of the domain `near` at ports that the system chooses.
+    /// Starts a host of the domain `near` at ports that the operating system chooses.
     pub fn start(name: &str, store: net::SocketAddr, seeds: &[net::SocketAddr]) -> Self {
-        Self::start_as(&HostOrder::anywhere(name, store, seeds))
+        Self::start_with(&HostSpec::at_any_ports(name, store, seeds))
     }
 
-    pub fn start_as(order: &HostOrder) -> Self {
-        let file = format!("forwarder-{}-{}.jsonc", process::id(), order.name);
+    pub fn start_with(spec: &HostSpec) -> Self {
+        let file = format!("forwarder-{}-{}.jsonc", process::id(), spec.name);
         let settings = std::env::temp_dir().join(file);
-        fs::write(&settings, order.text()).unwrap();
+        fs::write(&settings, spec.text()).unwrap();
         let binary = env!("CARGO_BIN_EXE_cardamomwinch-forwarder");
         let arguments = ["--settings".as_ref(), settings.as_os_str()];
         let child = ChildProcess::start(binary, arguments).unwrap();
@@ -106,10 +106,11 @@
         }
     }
 
-    /// The status of `GET path` at `address`; `None` where nobody answers.
+    /// The status and the text of the answer to `GET path` at `address`; `None` if nobody
+    /// answers.
     pub fn get(address: net::SocketAddr, path: &str) -> Option<(u16, String)> {
         let mut stream = net::TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let request = format!("GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).ok()?;
         let mut answer = String::new();
@@ -118,9 +119,9 @@
         Some((status, answer))
     }
 
-    /// Whether the host at `readiness` says within `limit` that it is ready.
+    /// Whether the host at `readiness` reports within `limit` that it is ready.
     pub fn is_ready_within(readiness: net::SocketAddr, limit: time::Duration) -> bool {
-        let ask = || -> std::io::Result<bool> {
+        let probe = || -> std::io::Result<bool> {
             let mut stream = net::TcpStream::connect_timeout(&readiness, limit)?;
             stream.set_read_timeout(Some(limit))?;
             stream.write_all(b"GET /readyz HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")?;
@@ -128,10 +129,10 @@
             stream.read_exact(&mut status)?;
             Ok(status.ends_with(b" 200"))
         };
-        ask().unwrap_or(false)
+        probe().unwrap_or(false)
     }
 
-    /// Waits until the host tells `ready`.
+    /// Waits until the host reports the readiness `ready`.
     pub fn wait_until_ready(&self, ready: bool) {
         let expected = if ready { 200 } else { 503 };
         wait_until("readiness", || {
@@ -144,29 +145,32 @@
         self.child.terminate().unwrap();
     }
 
-    /// Tells the process to read its settings again.
+    /// Makes the process reload its settings.
     pub fn reload(&mut self) {
         self.child.reload().unwrap();
     }
 
     /// Waits until the process has ended, and returns its exit code.
     pub fn wait_for_end(&mut self) -> Option<i32> {
-        self.child.wait(PATIENCE).unwrap()?.code()
+        self.child.wait(TEST_TIMEOUT).unwrap()?.code()
     }
 }
 
 impl Drop for HostProcess {
     fn drop(&mut self) {
-        // Nobody else has this file, and the next run writes it anew.
+        // Nothing else uses this file, and the next run writes it again.
         fs::remove_file(&self.settings).ok();
     }
 }
 
-/// Waits until `holds`, and fails with `what` where it never does.
+/// Waits until `holds` returns true; fails with `what` after [`TEST_TIMEOUT`].
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = time::Instant::now() + PATIENCE;
+    let deadline = time::Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(time::Instant::now() < deadline, "waited in vain for {what}");
+        assert!(
+            time::Instant::now() < deadline,
+            "timed out waiting for {what}"
+        );
         thread::sleep(time::Duration::from_millis(20));
     }
 }
--- a/crates/cardamomwinch_forwarder/tests/support/store.rs
+++ b/crates/cardamomwinch_forwarder/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A store that answers from memory and misbehaves on demand.
+//! A stand-in for the store that answers from memory and simulates faults.
 
 use std::io::{Read, Write};
 use std::net;
@@ -9,24 +9,24 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 
-/// Items of a page; small, so that tests see several pages.
+/// The maximum number of items of a page; small, so that tests read several pages.
 const PAGE_ITEMS: usize = 12;
-/// How long a watch waits at most.
-const LONGEST_WAIT: time::Duration = time::Duration::from_millis(500);
+/// The maximum wait of a watch.
+const MAX_WATCH_WAIT: time::Duration = time::Duration::from_millis(500);
 
-/// How the store misbehaves.
+/// A fault of the store.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It serves.
+    /// None: the store serves.
     #[default]
     None,
-    /// It closes connections without an answer.
+    /// The store closes connections without an answer.
     Reset,
-    /// It refuses with 503.
+    /// The store refuses calls with 503.
     Busy,
-    /// It never answers.
+    /// The store never answers.
     Silent,
-    /// Each answer takes so long.
+    /// Each answer is delayed by this time.
     Slow(time::Duration),
 }
 
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone)]
 struct StoredItem {
     key: String,
-    /// Absent where the item was deleted.
+    /// `None` if the item was deleted.
     value: Option<String>,
     revision: u64,
 }
@@ -57,18 +57,18 @@
     }
 }
 
-/// What the store held at one moment.
+/// A backup of the store.
 #[derive(Debug, Clone)]
-pub struct StoreCopy {
+pub struct StoreBackup {
     items: Vec<StoredItem>,
     revision: u64,
 }
 
-/// What the store has lost by coming back from a copy.
+/// The writes that the store lost because it was restored from a backup.
 #[derive(Debug, Clone)]
 pub struct LostWrites {
     writes: Vec<StoredItem>,
-    /// Its revision right after it came back.
+    /// The revision right after the restore.
     restored_at: u64,
 }
 
@@ -76,17 +76,17 @@
 struct StoreState {
     items: Vec<StoredItem>,
     revision: u64,
-    /// How often the store came back from a copy.
+    /// How often the store was restored from a backup.
     era: u64,
-    /// Changes up to this one are no longer told.
-    forgotten: u64,
+    /// The history up to this revision is dropped.
+    dropped: u64,
     fault: StoreFault,
     /// Requests that would have changed something.
     writes: Vec<String>,
     calls: u64,
 }
 
-/// A store that can be written by the test.
+/// A store that the test can write to.
 #[derive(Debug, Clone)]
 pub struct StandInStore {
     pub address: net::SocketAddr,
@@ -142,7 +142,7 @@
         })
     }
 
-    /// From now on connections are closed without an answer, or no longer.
+    /// Sets whether connections are closed without an answer.
     pub fn set_down(&self, down: bool) {
         self.set_fault(if down {
             StoreFault::Reset
@@ -151,41 +151,41 @@
         });
     }
 
-    /// Misbehaves so from now on.
+    /// Sets the fault.
     pub fn set_fault(&self, fault: StoreFault) {
         self.change(|state| state.fault = fault);
     }
 
-    /// Forgets all changes up to now; what is stored stays.
+    /// Drops the history of changes up to now; the items stay.
     pub fn drop_history(&self) {
-        self.change(|state| state.forgotten = state.revision);
+        self.change(|state| state.dropped = state.revision);
     }
 
-    /// A copy of what the store holds now.
-    pub fn copy(&self) -> StoreCopy {
-        self.change(|state| StoreCopy {
+    /// A backup of the current items.
+    pub fn backup(&self) -> StoreBackup {
+        self.change(|state| StoreBackup {
             items: state.items.clone(),
             revision: state.revision,
         })
     }
 
-    /// Comes back from `copy`: what was written since is gone, revisions are given out
-    /// again, and calls that wait are cut. Returns what was lost.
-    pub fn restore(&self, copy: StoreCopy) -> LostWrites {
+    /// Restores the store from `backup`: later writes are lost, their revisions are assigned
+    /// again, and waiting calls are aborted. Returns the lost writes.
+    pub fn restore(&self, backup: StoreBackup) -> LostWrites {
         self.change(|state| {
-            let lost = std::mem::replace(&mut state.items, copy.items);
-            state.revision = copy.revision;
-            state.forgotten = state.forgotten.min(copy.revision);
+            let lost = std::mem::replace(&mut state.items, backup.items);
+            state.revision = backup.revision;
+            state.dropped = state.dropped.min(backup.revision);
             state.era += 1;
-            let is_lost = |item: &StoredItem| item.revision > copy.revision;
+            let is_lost = |item: &StoredItem| item.revision > backup.revision;
             LostWrites {
                 writes: lost.into_iter().filter(is_lost).collect(),
-                restored_at: copy.revision,
+                restored_at: backup.revision,
             }
         })
     }
 
-    /// Writes again what was lost, but for keys that have been written since.
+    /// Repeats the lost writes, except for keys that have been written since the restore.
     pub fn write_again(&self, lost: LostWrites) {
         for write in lost.writes {
             let is_newer =
@@ -196,17 +196,17 @@
         }
     }
 
-    /// Requests that would have changed something. A host must make none.
+    /// Requests that would have changed something. A host must not send any.
     pub fn writes(&self) -> Vec<String> {
         self.change(|state| state.writes.clone())
     }
 
-    /// Notes `request` as one that would have changed something.
+    /// Records `request` as one that would have changed something.
     pub fn note_write(&self, request: &str) {
         self.change(|state| state.writes.push(request.to_owned()));
     }
 
-    /// How many calls came.
+    /// The number of calls.
     pub fn calls(&self) -> u64 {
         self.change(|state| state.calls)
     }
@@ -278,7 +278,7 @@
     fn watch(&self, after: u64) -> Option<String> {
         let (state, changed) = &*self.state;
         let mut state = state.lock().unwrap();
-        let deadline = time::Instant::now() + LONGEST_WAIT;
+        let deadline = time::Instant::now() + MAX_WATCH_WAIT;
         let era = state.era;
         if after > state.revision {
             return Some(respond(era, "410 Gone", ""));
@@ -293,11 +293,11 @@
         if state.fault.is_outage() || state.era != era {
             return None;
         }
-        if after < state.forgotten {
+        if after < state.dropped {
             return Some(respond(era, "410 Gone", ""));
         }
-        let news = state.items.iter().filter(|item| item.revision > after);
-        let events: Vec<_> = news.map(StoredItem::json).collect();
+        let newer = state.items.iter().filter(|item| item.revision > after);
+        let events: Vec<_> = newer.map(StoredItem::json).collect();
         let (events, revision) = (events.join(","), state.revision);
         let body = format!(r#"{{"events":[{events}],"as-of":{revision}}}"#);
         Some(respond(era, "200 OK", &body))
