--- a/crates/cardamomwinch_model/tests/conformance_homes.rs
+++ b/crates/cardamomwinch_model/tests/conformance_homes.rs
@@ -8,7 +8,7 @@
 
 use cardamomwinch_coordination::control::event::TakeOverReport;
 use cardamomwinch_coordination::control::homes::voters::{HostIncarnation, VoterTable};
-use cardamomwinch_coordination::control::homes::{HomeAction, HomeTable, HomeContext};
+use cardamomwinch_coordination::control::homes::{HomeAction, HomeContext, HomeTable};
 use cardamomwinch_coordination::control::membership::PeerMembership;
 use cardamomwinch_coordination::prelude::*;
 use cardamomwinch_model::homes::{RunningGrant, VoterFacts};
@@ -345,19 +345,19 @@
     };
     let first = chunk_of(now);
     let message = HomeMessage::HandOver(first.clone());
-    table.take(now, &context, holder, &message, &mut out);
+    table.handle_message(now, &context, holder, &message, &mut out);
     let message = HomeMessage::Commit(HandOverCommit {
         hand_over: first.hand_over,
         released: now,
         records_since: BEGIN,
     });
-    table.take(now, &context, holder, &message, &mut out);
+    table.handle_message(now, &context, holder, &message, &mut out);
     let report = TakeOverReport {
         hand_over: first.hand_over,
         position: 0,
         records_since: None,
     };
-    table.take_imported(now, &context, report, &mut out);
+    table.handle_imported(now, &context, report, &mut out);
     let mut rounds = out.iter().filter_map(|action| match action {
         HomeAction::Send {
             message: HomeMessage::Request(request),
@@ -372,7 +372,7 @@
     now = now.after(SHORT_TIME * 5);
     table.note_event(now, &context);
     let message = HomeMessage::HandOver(chunk_of(now));
-    table.take(now, &context, holder, &message, &mut out);
+    table.handle_message(now, &context, holder, &message, &mut out);
     now = now.after(SHORT_TIME);
     for voter in [0, 2] {
         let voter = HostIncarnation::new(host(voter), Incarnation::new(1));
@@ -382,7 +382,7 @@
             granted: only_shard(),
             earlier: Vec::new(),
         });
-        table.take(now, &context, voter, &message, &mut out);
+        table.handle_message(now, &context, voter, &message, &mut out);
     }
     let lease = table.leases().lease(now, shard);
     let since = lease
