--- a/crates/cardamomwinch_forwarder/src/control_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/control_thread.rs
@@ -27,7 +27,7 @@
 use crate::peer_calls;
 use crate::view_cell::ViewCell;
 
-/// How often old data expires, and queries whose wait time is over are answered.
+/// The period of the tick, which expires old data and answers queries whose wait is over.
 const TICK_PERIOD: time::Duration = time::Duration::from_millis(500);
 /// The pause after reports were sent, during which further ones are collected. It is short
 /// compared with the half second after which reports take effect, but keeps the number of
@@ -74,10 +74,10 @@
 }
 
 impl ControlState {
-    /// Runs `decide` on the engine, then logs the changes, publishes the view and answers the
+    /// Calls `update` on the engine, then logs the changes, publishes the view and answers the
     /// queries that are due.
-    fn decide<T>(&mut self, decide: impl FnOnce(&mut DiscoveryEngine) -> T) -> T {
-        let outcome = decide(&mut self.engine);
+    fn update_engine<T>(&mut self, update: impl FnOnce(&mut DiscoveryEngine) -> T) -> T {
+        let outcome = update(&mut self.engine);
         let now = self.clock.now();
         for change in self.engine.take_changes() {
             self.logger.log(now, &DiscoveryLine::from(&change));
@@ -93,7 +93,7 @@
 
     /// Adds reports, and wakes the task that sends reports to peers if any of them is new.
     fn add_reports(&mut self, now: Timestamp, reports: impl Iterator<Item = ServerReport>) {
-        if self.decide(|engine| engine.add_reports(now, reports)) {
+        if self.update_engine(|engine| engine.add_reports(now, reports)) {
             self.wake_reporting();
         }
     }
@@ -119,6 +119,7 @@
 #[derive(Clone)]
 pub struct ControlThread {
     state: rc::Rc<cell::RefCell<ControlState>>,
+    /// Receives a unit when there may be reports to send to peers.
     reported: Receiver<()>,
     timers: TimerService<HostClock>,
 }
@@ -175,7 +176,7 @@
             let call = {
                 let mut state = self.state.borrow_mut();
                 let now = state.clock.now();
-                state.decide(|engine| engine.next_store_call(now))
+                state.update_engine(|engine| engine.next_store_call(now))
             };
             let outcome = match &call {
                 StoreCall::Pause(pause) => {
@@ -197,7 +198,7 @@
             let mut state = self.state.borrow_mut();
             let now = state.clock.now();
             let sent_at = now.before(client.body_time());
-            state.decide(|engine| engine.handle_store_answer(now, sent_at, outcome));
+            state.update_engine(|engine| engine.handle_store_answer(now, sent_at, outcome));
         }
     }
 
@@ -213,7 +214,7 @@
             ticks.next().await;
             let mut state = self.state.borrow_mut();
             let now = state.clock.now();
-            state.decide(|engine| engine.tick(now));
+            state.update_engine(|engine| engine.tick(now));
             state.logger.report_left_out(now);
         }
     }
@@ -231,7 +232,7 @@
         let next = {
             let mut state = self.state.borrow_mut();
             let now = state.clock.now();
-            state.decide(|engine| engine.next_query(now))
+            state.update_engine(|engine| engine.next_query(now))
         };
         let Some((peer, query)) = next else {
             return;
@@ -249,9 +250,9 @@
     fn handle_answer(&self, peer: net::SocketAddr, answer: Option<PeerAnswer>) {
         let mut state = self.state.borrow_mut();
         let now = state.clock.now();
-        let serial = state.engine.view().reports.serial();
-        state.decide(|engine| engine.handle_answer(now, peer, answer));
-        if state.engine.view().reports.serial() != serial {
+        let serial_before = state.engine.view().reports.serial();
+        state.update_engine(|engine| engine.handle_answer(now, peer, answer));
+        if state.engine.view().reports.serial() != serial_before {
             state.wake_reporting();
         }
     }
--- a/crates/cardamomwinch_forwarder/src/discovery_lines.rs
+++ b/crates/cardamomwinch_forwarder/src/discovery_lines.rs
@@ -14,14 +14,14 @@
 #[serde(untagged)]
 pub enum DiscoveryLine {
     /// A configuration is now in force.
-    Configuration {
+    ConfigurationInForce {
         /// Its version.
         version: u64,
         /// The number of its routes.
         routes: usize,
     },
     /// The known state of a server changed.
-    Server {
+    ServerChanged {
         /// The incarnation.
         server: String,
         /// The address at which it receives packets.
@@ -38,7 +38,7 @@
         revision: String,
     },
     /// The store sent a change of a server, but a newer one is known.
-    Outdated {
+    ChangeOutdated {
         /// The incarnation.
         server: String,
         /// The revision of the change that the store sent.
@@ -47,7 +47,7 @@
         known_revision: String,
     },
     /// An evacuation began or ended.
-    Evacuation {
+    EvacuationChanged {
         /// The failure domain, by identifier.
         domain: String,
         /// Whether its servers now get no new flows.
@@ -56,7 +56,7 @@
         revision: String,
     },
     /// A complete listing was applied.
-    Listing {
+    ServersListed {
         /// Its revision.
         revision: String,
         /// The number of its servers.
@@ -102,12 +102,12 @@
         service: String,
     },
     /// The host now gets its data from another source.
-    Source {
+    SourceChanged {
         /// `store`, or the address of the peer.
         source: String,
     },
     /// Newer data of a peer was applied.
-    Peer {
+    PeerDataApplied {
         /// The peer.
         peer: net::SocketAddr,
         /// The revision of its data.
@@ -130,7 +130,7 @@
 
 impl From<&ServerRecord> for DiscoveryLine {
     fn from(server: &ServerRecord) -> Self {
-        Self::Server {
+        Self::ServerChanged {
             server: server.id.to_string(),
             address: server.address,
             service: server.service.to_string(),
@@ -145,26 +145,28 @@
 impl From<&DiscoveryChange> for DiscoveryLine {
     fn from(change: &DiscoveryChange) -> Self {
         match change {
-            DiscoveryChange::ConfigurationInForce { version, routes } => Self::Configuration {
-                version: version.get(),
-                routes: *routes,
-            },
+            DiscoveryChange::ConfigurationInForce { version, routes } => {
+                Self::ConfigurationInForce {
+                    version: version.get(),
+                    routes: *routes,
+                }
+            }
             DiscoveryChange::ServerChanged { server } => server.into(),
             DiscoveryChange::ChangeOutdated {
                 server,
                 revision,
                 known,
-            } => Self::Outdated {
+            } => Self::ChangeOutdated {
                 server: server.to_string(),
                 revision: revision.to_string(),
                 known_revision: known.to_string(),
             },
-            DiscoveryChange::EvacuationChanged { evacuation } => Self::Evacuation {
+            DiscoveryChange::EvacuationChanged { evacuation } => Self::EvacuationChanged {
                 domain: evacuation.domain.to_string(),
                 evacuated: evacuation.is_active(),
                 revision: evacuation.changed.to_string(),
             },
-            DiscoveryChange::ServersListed { revision, servers } => Self::Listing {
+            DiscoveryChange::ServersListed { revision, servers } => Self::ServersListed {
                 revision: revision.to_string(),
                 servers: *servers,
             },
@@ -185,14 +187,14 @@
             DiscoveryChange::OwnServersRegained { service } => Self::OwnServersRegained {
                 service: service.to_string(),
             },
-            DiscoveryChange::SourceChanged { source } => Self::Source {
+            DiscoveryChange::SourceChanged { source } => Self::SourceChanged {
                 source: source.to_string(),
             },
             DiscoveryChange::PeerDataApplied {
                 peer,
                 revision,
                 version,
-            } => Self::Peer {
+            } => Self::PeerDataApplied {
                 peer: *peer,
                 revision: revision.to_string(),
                 version: version.get(),
@@ -204,16 +206,16 @@
 impl DecisionRecord for DiscoveryLine {
     fn event(&self) -> &'static str {
         match self {
-            Self::Configuration { .. } => "configuration_in_force",
-            Self::Server { .. } => "server_changed",
-            Self::Outdated { .. } => "change_outdated",
-            Self::Evacuation {
+            Self::ConfigurationInForce { .. } => "configuration_in_force",
+            Self::ServerChanged { .. } => "server_changed",
+            Self::ChangeOutdated { .. } => "change_outdated",
+            Self::EvacuationChanged {
                 evacuated: true, ..
             } => "evacuation_begun",
-            Self::Evacuation {
+            Self::EvacuationChanged {
                 evacuated: false, ..
             } => "evacuation_ended",
-            Self::Listing { .. } => "servers_listed",
+            Self::ServersListed { .. } => "servers_listed",
             Self::ManyVanished { .. } => "many_vanished",
             Self::PeerLost { .. } => "peer_lost",
             Self::PeerRegained { .. } => "peer_regained",
@@ -222,8 +224,8 @@
             Self::StoreLost {} => "store_lost",
             Self::StoreRegained { .. } => "store_regained",
             Self::StoreRestored { .. } => "store_restored",
-            Self::Source { .. } => "source_changed",
-            Self::Peer { .. } => "peer_believed",
+            Self::SourceChanged { .. } => "source_changed",
+            Self::PeerDataApplied { .. } => "peer_believed",
         }
     }
 }
--- a/crates/cardamomwinch_forwarder/src/launch.rs
+++ b/crates/cardamomwinch_forwarder/src/launch.rs
@@ -40,7 +40,7 @@
 /// in bytes. It holds the packets that a busy host receives in a second; packets that wait
 /// longer are useless.
 const RECEIVE_BUFFER: usize = 1024 * 1024;
-/// The name of the thread that forwards packets.
+/// The name of the traffic thread.
 const TRAFFIC_THREAD: &str = "traffic";
 /// The maximum number of log lines that wait to be written.
 const LOG_QUEUE: usize = 1024;
@@ -164,7 +164,7 @@
         let traffic_address = socket.local_address().context(SocketSnafu)?;
         let (sender, messages) = async_channel::bounded(CONTROL_QUEUE);
         let traffic = self.traffic_thread(socket, traffic_address, sender.clone());
-        // The thread forwards until the process ends.
+        // The traffic thread forwards until the process ends.
         let builder = thread::Builder::new().name(TRAFFIC_THREAD.to_owned());
         let started = builder.spawn(move || traffic_thread::run(traffic));
         drop(started.context(ThreadSnafu)?);
@@ -281,8 +281,14 @@
         stopping::wait_for_stop(&mut signals, &mut file).await;
         log::info!("stopping");
         let clock = *self.timers.clock();
-        let within = settings.stop_within;
-        let drained = stopping::drain(&mut signals, &self.views, &self.last_packet, within, &clock);
+        let stop_within = settings.stop_within;
+        let drained = stopping::drain(
+            &mut signals,
+            &self.views,
+            &self.last_packet,
+            stop_within,
+            &clock,
+        );
         let cause = drained.await;
         log::info!("stopped: {cause:?}");
         Ok(cause)
--- a/crates/cardamomwinch_forwarder/src/peer_wire/kinds.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/kinds.rs
@@ -3,8 +3,8 @@
 use snafu::{OptionExt, Snafu};
 
 /// The maximum number of kinds that are compared with each entry. Deployments have a handful
-/// of kinds. The limit bounds the time for one with thousands; further entries each get
-/// a kind of their own.
+/// of kinds. The limit bounds the time of encoding for a deployment with thousands; further
+/// entries each get a kind of their own.
 const MAX_COMPARED_KINDS: usize = 64;
 
 /// An entry refers to a kind that is missing.
--- a/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
+++ b/crates/cardamomwinch_forwarder/src/peer_wire/mod.rs
@@ -1,9 +1,9 @@
-//! The messages between hosts, as JSON, with servers in a shorter form.
+//! The messages between hosts, as JSON, with servers packed in Base64.
 //!
 //! Properties that many routes or servers share are sent once as a kind, and each route or
 //! server refers to its kind by an index. Hosts with slow links send a configuration to
-//! several others; in full, 1,700 new routes filled a link of 10 Mbit/s for a second, and
-//! packets of callers were lost meanwhile.
+//! several others; written in full, 1,700 new routes filled a link of 10 Mbit/s for a
+//! second, and packets of callers were lost meanwhile.
 
 mod kinds;
 mod packed;
--- a/crates/cardamomwinch_forwarder/src/stopping.rs
+++ b/crates/cardamomwinch_forwarder/src/stopping.rs
@@ -12,18 +12,18 @@
 use crate::traffic_thread::LastPacket;
 use crate::view_cell::ViewCell;
 
-/// How often a stopping host checks whether packets still arrive, and a serving host
-/// whether its settings file has changed.
-const STOP_POLL: time::Duration = time::Duration::from_millis(100);
-const SETTINGS_POLL: time::Duration = time::Duration::from_secs(2);
+/// How often a stopping host checks whether packets still arrive.
+const STOP_POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// How often a serving host checks whether its settings file has changed.
+const SETTINGS_POLL_INTERVAL: time::Duration = time::Duration::from_secs(2);
 /// The fabric takes a host out of rotation after two failed probes, half a second apart.
 /// Packets that arrive before would be lost if the process ended.
 const MIN_DRAIN_TIME: time::Duration = time::Duration::from_millis(1_300);
 /// A stopping host that received no packet for this time is out of rotation. Under load
 /// packets arrive every few milliseconds.
 const QUIET_PERIOD: time::Duration = time::Duration::from_millis(400);
-/// How long before the time limit for stopping the process ends by itself; at the limit it
-/// would be killed.
+/// How long before the end of `stop_within` the process ends by itself. After `stop_within`
+/// it may be killed.
 const KILL_MARGIN: time::Duration = time::Duration::from_millis(400);
 
 /// Why the process ends.
@@ -46,17 +46,17 @@
 }
 
 /// What to do after a signal, or after a time without one.
-enum HostRequest {
+enum SignalAction {
     Stop,
     Reload,
     Poll,
 }
 
-async fn next_request(signals: &mut Signals, interval: time::Duration) -> HostRequest {
+async fn next_action(signals: &mut Signals, interval: time::Duration) -> SignalAction {
     let signal = async {
         match signals.next().await {
-            Some(Ok(Signal::Hup)) => HostRequest::Reload,
-            Some(Ok(_)) => HostRequest::Stop,
+            Some(Ok(Signal::Hup)) => SignalAction::Reload,
+            Some(Ok(_)) => SignalAction::Stop,
             Some(Err(error)) => {
                 log::error!("signals cannot be received: {error}");
                 future::pending().await
@@ -66,7 +66,7 @@
     };
     let poll = async {
         Timer::after(interval).await;
-        HostRequest::Poll
+        SignalAction::Poll
     };
     future::or(signal, poll).await
 }
@@ -74,16 +74,16 @@
 /// Waits for the signal to stop, and reloads the settings meanwhile.
 pub async fn wait_for_stop(signals: &mut Signals, settings: &mut SettingsFile) {
     loop {
-        match next_request(signals, SETTINGS_POLL).await {
-            HostRequest::Stop => return,
-            HostRequest::Reload => settings.reload(),
-            HostRequest::Poll => settings.reload_if_changed(),
+        match next_action(signals, SETTINGS_POLL_INTERVAL).await {
+            SignalAction::Stop => return,
+            SignalAction::Reload => settings.reload(),
+            SignalAction::Poll => settings.reload_if_changed(),
         }
     }
 }
 
-/// Makes the host not ready, so that the fabric takes it out of rotation, and waits until
-/// no more packets arrive. Packets are forwarded meanwhile.
+/// Drains the host: makes it not ready, so that the fabric takes it out of rotation, and
+/// waits until no more packets arrive. Packets are forwarded meanwhile.
 pub async fn drain(
     signals: &mut Signals,
     views: &ViewCell,
@@ -95,7 +95,10 @@
     let begun = clock.now();
     let deadline = begun.after(stop_within.saturating_sub(KILL_MARGIN));
     loop {
-        if matches!(next_request(signals, STOP_POLL).await, HostRequest::Stop) {
+        if matches!(
+            next_action(signals, STOP_POLL_INTERVAL).await,
+            SignalAction::Stop
+        ) {
             return StopCause::SecondSignal;
         }
         let now = clock.now();
--- a/crates/cardamomwinch_forwarder/src/traffic_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/traffic_thread.rs
@@ -23,7 +23,7 @@
 
 /// How long the thread waits for a packet before it checks whether a tick is due.
 const IDLE_WAIT: time::Duration = time::Duration::from_millis(100);
-/// The same while packets are held until the next view.
+/// The same wait while packets are held for the next view.
 const HELD_WAIT: time::Duration = time::Duration::from_millis(2);
 /// Space for the prefix and the longest packet, in bytes. One extra byte shows that a
 /// packet is too long.
@@ -82,6 +82,7 @@
 
 struct PacketSink<'a> {
     action: PacketAction,
+    /// Flows to reset, with the position that the caller acknowledged last.
     ended: Vec<(FlowKey, u32)>,
     now: Timestamp,
     counters: &'a OutcomeCounters,
@@ -134,7 +135,7 @@
 struct TrafficDriver {
     thread: TrafficThread,
     held: HeldPackets,
-    /// The last view, which the held packets were evaluated with.
+    /// The view with which the held packets were evaluated last.
     last_view: sync::Arc<ForwardingView>,
     tick_at: Timestamp,
     counters: OutcomeCounters,
--- a/crates/cardamomwinch_forwarder/src/view_cell.rs
+++ b/crates/cardamomwinch_forwarder/src/view_cell.rs
@@ -51,7 +51,7 @@
         previous != unreachable
     }
 
-    /// Makes the host not ready for the rest of its run.
+    /// Makes the host not ready until the process ends, because it is stopping.
     pub fn begin_stop(&self) {
         self.stopping.store(true, atomic::Ordering::Relaxed);
     }
