--- a/crates/cardamomwinch_configuration/src/claims.rs
+++ b/crates/cardamomwinch_configuration/src/claims.rs
@@ -46,7 +46,7 @@
             claim(ClaimedResource::Address(service.address), name);
             for (name, backend) in service.backends.iter() {
                 let domain = DomainId::from_name(&backend.domain);
-                let backend_id = BackendId::from_role(id, name, backend.address);
+                let backend_id = BackendId::from_parts(id, name, backend.address);
                 claim(ClaimedResource::Domain(domain), &backend.domain);
                 claim(ClaimedResource::Address(backend.address), name);
                 claim(ClaimedResource::Backend(backend_id), name);
--- a/crates/cardamomwinch_configuration/src/compare.rs
+++ b/crates/cardamomwinch_configuration/src/compare.rs
@@ -264,7 +264,7 @@
         let mut totals: SortedVector<_, _> = self.services.keys().map(|name| (*name, 0)).collect();
         for (name, entry) in self.backends.iter() {
             if let Some(total) = totals.get_mut(&name.service)
-                && entry.takes_new_flows()
+                && entry.accepts_new_flows()
             {
                 *total += u64::from(entry.weight.get());
             }
@@ -342,7 +342,7 @@
         .backends_missing_from(new)
         .map(|(location, entry)| BackendRemoval {
             location,
-            accepts_new_flows: entry.takes_new_flows(),
+            accepts_new_flows: entry.accepts_new_flows(),
         });
     removed.collect()
 }
--- a/crates/cardamomwinch_configuration/src/flow_share.rs
+++ b/crates/cardamomwinch_configuration/src/flow_share.rs
@@ -36,7 +36,7 @@
     /// Returns the share of `backend` if the weights of all servers that accept
     /// new flows add up to `total`.
     pub(crate) fn of(backend: &BackendEntry, total: u64) -> Self {
-        if total == 0 || !backend.takes_new_flows() {
+        if total == 0 || !backend.accepts_new_flows() {
             return Self::default();
         }
         let weight = u64::from(backend.weight.get());
--- a/crates/cardamomwinch_configuration/src/fragment.rs
+++ b/crates/cardamomwinch_configuration/src/fragment.rs
@@ -142,7 +142,7 @@
             continue;
         };
         names.push(IdentifiedName {
-            id: BackendId::from_role(service, entry.name, backend.address),
+            id: BackendId::from_parts(service, entry.name, backend.address),
             name: entry.name.to_owned(),
         });
         backends.push((entry.name.to_owned(), backend));
--- a/crates/cardamomwinch_configuration/src/resolve.rs
+++ b/crates/cardamomwinch_configuration/src/resolve.rs
@@ -224,7 +224,7 @@
 
 fn backend_entry(service: ServiceId, name: &str, backend: &BackendDefinition) -> BackendEntry {
     BackendEntry {
-        id: BackendId::from_role(service, name, backend.address),
+        id: BackendId::from_parts(service, name, backend.address),
         name: name.to_owned(),
         service,
         domain: DomainId::from_name(&backend.domain),
--- a/crates/cardamomwinch_coordination/benches/bench_common/mod.rs
+++ b/crates/cardamomwinch_coordination/benches/bench_common/mod.rs
@@ -77,7 +77,7 @@
     let name = format!("server-{index}");
     let address = address(120, index);
     BackendEntry {
-        id: BackendId::from_role(service, &name, address),
+        id: BackendId::from_parts(service, &name, address),
         name,
         service,
         domain: identity().domain,
--- a/crates/cardamomwinch_coordination/examples/health_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/health_cost.rs
@@ -32,7 +32,7 @@
     let service = ServiceId::from_name(&format!("service-{}", index % 250));
     let name = format!("server-{index}");
     BackendEntry {
-        id: BackendId::from_role(service, &name, address),
+        id: BackendId::from_parts(service, &name, address),
         name,
         service,
         domain: domain(index % domains),
--- a/crates/cardamomwinch_coordination/examples/lookup_table_figures.rs
+++ b/crates/cardamomwinch_coordination/examples/lookup_table_figures.rs
@@ -16,7 +16,7 @@
         let address = net::SocketAddr::from((net::Ipv4Addr::from(0x0a00_0000 + number), 7000));
         let name = format!("server-{number}");
         BackendEntry {
-            id: BackendId::from_role(service, &name, address),
+            id: BackendId::from_parts(service, &name, address),
             name,
             service,
             domain: DomainId::from_name("a"),
--- a/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/mod.rs
@@ -255,7 +255,7 @@
         let message = ConfigurationMessage::Want {
             asked,
             known,
-            wants_earlier: self.earlier_tables.is_open(asked),
+            needs_earlier_tables: self.earlier_tables.is_open(asked),
         };
         AdoptionEffect::Send {
             host,
@@ -324,10 +324,10 @@
             ConfigurationMessage::Want {
                 asked,
                 known,
-                wants_earlier,
+                needs_earlier_tables,
             } => {
                 // A host that has not compared its own state may lack them too.
-                if *wants_earlier && self.confirmation.is_done() {
+                if *needs_earlier_tables && self.confirmation.is_done() {
                     effects.push(AdoptionEffect::SendEarlierTables { host: sender });
                 }
                 self.handle_want(now, sender, *asked, known, effects);
--- a/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
+++ b/crates/cardamomwinch_coordination/src/control/homes/incoming.rs
@@ -7,7 +7,7 @@
 
 use std::time;
 
-use cardamomwinch_protocol::peer::hand_over::{CHUNK_LIMIT, HandOverChunk};
+use cardamomwinch_protocol::peer::hand_over::{HandOverChunk, MAX_CHUNKS};
 use cardamomwinch_protocol::peer::homes::{
     ChunkReceipt, HandOverCommit, HandOverId, HomeMessage, LeaseRound,
 };
@@ -67,7 +67,7 @@
     ) {
         let id = chunk.hand_over;
         let position = chunk.position;
-        let in_bounds = chunk.total <= CHUNK_LIMIT && position < chunk.total;
+        let in_bounds = chunk.total <= MAX_CHUNKS && position < chunk.total;
         if !in_bounds || self.done.get(&id.shard).is_some_and(|done| *done >= id) {
             return;
         }
--- a/crates/cardamomwinch_coordination/src/routing/generations.rs
+++ b/crates/cardamomwinch_coordination/src/routing/generations.rs
@@ -6,7 +6,7 @@
 use std::time;
 
 use cardamomwinch_protocol::peer::earlier_tables::{
-    EarlierGeneration, LISTED_LIMIT, ListedServer, ListedService,
+    EarlierGeneration, ListedServer, ListedService, MAX_LISTED_SERVERS,
 };
 use cardamomwinch_protocol::prelude::SEARCH_LIMIT;
 use cardamomwinch_state::prelude::{
@@ -86,7 +86,7 @@
     /// newest first. The oldest are left out if one message cannot hold all.
     pub fn listed(&self) -> Vec<EarlierGeneration> {
         let mut listed = Vec::new();
-        let mut capacity = LISTED_LIMIT;
+        let mut capacity = MAX_LISTED_SERVERS;
         let mut newer = None;
         for kept in &self.generations {
             let services = difference(newer, &kept.tables);
--- a/crates/cardamomwinch_coordination/src/routing/lookup_table.rs
+++ b/crates/cardamomwinch_coordination/src/routing/lookup_table.rs
@@ -27,7 +27,7 @@
 
     /// Like [`Self::fill`], with the given method, for comparisons.
     pub fn fill_with<'e, F: TableFill>(servers: impl Iterator<Item = &'e BackendEntry>) -> Self {
-        let accepting = servers.filter(|entry| entry.takes_new_flows());
+        let accepting = servers.filter(|entry| entry.accepts_new_flows());
         let listed = accepting.map(|entry| ListedServer {
             backend: entry.id,
             weight: entry.weight,
@@ -141,7 +141,7 @@
             let accepting: Vec<&BackendEntry> = entries
                 .iter()
                 .copied()
-                .filter(|entry| entry.takes_new_flows())
+                .filter(|entry| entry.accepts_new_flows())
                 .collect();
             let shared = earlier
                 .and_then(|tables| tables.tables.get(service))
--- a/crates/cardamomwinch_coordination/src/traffic/opening.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/opening.rs
@@ -77,7 +77,7 @@
             search.candidate = TokenClaim::from(first);
             return self.continue_search(context, routed, search);
         }
-        search.unsettled &= snapshot.history_missing;
+        search.history_missing &= snapshot.history_missing;
         let Some(next) = resolve::next_candidate(snapshot, CallerKind::Open, routed, &search)
         else {
             return self.place_opening(context, routed, search);
@@ -112,7 +112,7 @@
                 claim: next,
                 shard: resolve::shard_of(context.snapshot, &search.candidate),
                 role: PinRole::Redirect,
-                disputed: search.skipped,
+                disputed: search.home_skipped,
                 since: context.now,
                 last_seen: context.now,
                 counted: false,
@@ -130,7 +130,7 @@
                     routed,
                     &search.candidate,
                     reason,
-                    search.skipped,
+                    search.home_skipped,
                 );
             }
             context.count(Counter::OpeningRedirected);
@@ -144,7 +144,8 @@
         routed: &RoutedDatagram<'_, '_>,
         search: FlowSearch,
     ) {
-        if search.unsettled && (routed.datagram.request.is_some() || !routed.datagram.echoes_token)
+        if search.history_missing
+            && (routed.datagram.request.is_some() || !routed.datagram.echoes_token)
         {
             // Neither this home nor a host before it knows which homes would be chosen by
             // hosts with an outdated configuration, so one of those homes may place the
@@ -153,13 +154,19 @@
             return context.count(Counter::OpeningHeld);
         }
         if let Some((claim, reason)) = self.place(context, routed, search.candidate) {
-            return self.open_at(context, routed, claim, reason, search.skipped);
+            return self.open_at(context, routed, claim, reason, search.home_skipped);
         }
         if let Some(next) = self.overflow_candidate(context, routed, &search) {
             return self.redirect(context, routed, search, next);
         }
         let reason = RefusalReason::Full;
-        self.refuse_opening(context, routed, &search.candidate, reason, search.skipped);
+        self.refuse_opening(
+            context,
+            routed,
+            &search.candidate,
+            reason,
+            search.home_skipped,
+        );
     }
 
     /// Refuses an opening at the home of the server of `claim`. If another home may have
@@ -370,7 +377,8 @@
         preferred: TokenClaim,
     ) -> Option<(TokenClaim, DecisionReason)> {
         let first = context.snapshot.backend(preferred.backend);
-        let first = first.filter(|entry| entry.takes_new_flows() && self.has_room(context, entry));
+        let first =
+            first.filter(|entry| entry.accepts_new_flows() && self.has_room(context, entry));
         if let Some(entry) = first.filter(|_| !routed.datagram.echoes_token) {
             return Some((TokenClaim::from(entry), DecisionReason::PlacedByTable));
         }
--- a/crates/cardamomwinch_coordination/src/traffic/packing.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/packing.rs
@@ -3,7 +3,7 @@
 
 use cardamomwinch_protocol::codec;
 use cardamomwinch_protocol::peer::hand_over::{
-    CHUNK_BYTES, CHUNK_LIMIT, HandOverChunk, HandOverItem,
+    HandOverChunk, HandOverItem, MAX_CHUNK_BYTES, MAX_CHUNKS,
 };
 use cardamomwinch_protocol::peer::homes::HandOverId;
 use cardamomwinch_state::prelude::Timestamp;
@@ -32,7 +32,7 @@
         Self {
             chunks: vec![Vec::new()],
             used: 0,
-            scratch: vec![0; CHUNK_BYTES],
+            scratch: vec![0; MAX_CHUNK_BYTES],
             records_since: None,
         }
     }
@@ -47,7 +47,7 @@
     /// # Errors
     /// Returns an error if the item does not fit.
     pub(crate) fn add(&mut self, item: HandOverItem) -> Result<(), HandOverFullError> {
-        self.add_within(item, usize::from(CHUNK_LIMIT) - RESERVED_CHUNKS)
+        self.add_within(item, usize::from(MAX_CHUNKS) - RESERVED_CHUNKS)
     }
 
     /// Adds an item that may use the reserved chunks.
@@ -55,7 +55,7 @@
     /// # Errors
     /// Returns an error if the item does not fit.
     pub(crate) fn add_last(&mut self, item: HandOverItem) -> Result<(), HandOverFullError> {
-        self.add_within(item, CHUNK_LIMIT.into())
+        self.add_within(item, MAX_CHUNKS.into())
     }
 
     fn add_within(&mut self, item: HandOverItem, limit: usize) -> Result<(), HandOverFullError> {
@@ -63,7 +63,7 @@
             return Err(HandOverFullError);
         };
         let size = encoded.len();
-        if self.used + size > CHUNK_BYTES {
+        if self.used + size > MAX_CHUNK_BYTES {
             if self.chunks.len() >= limit {
                 return Err(HandOverFullError);
             }
--- a/crates/cardamomwinch_coordination/src/traffic/resolve.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/resolve.rs
@@ -80,8 +80,8 @@
             stage: SearchStage::Homes,
             candidate,
             tried: TriedServers::default(),
-            skipped: false,
-            unsettled: snapshot.history_missing,
+            home_skipped: false,
+            history_missing: snapshot.history_missing,
         }
     }
 
--- a/crates/cardamomwinch_coordination/src/traffic/searching.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/searching.rs
@@ -96,7 +96,7 @@
         mut search: FlowSearch,
         next: TokenClaim,
     ) {
-        if search.tried.contains(next.backend) || !search.tried.note(search.candidate.backend) {
+        if search.tried.contains(next.backend) || !search.tried.add(search.candidate.backend) {
             return context.count(Counter::HopLimit);
         }
         search.candidate = next;
@@ -239,7 +239,7 @@
             context.count(Counter::SearchMoved);
             return self.search_next(context, routed, search, next);
         }
-        if search.skipped {
+        if search.home_skipped {
             // The flow may be on a server whose home is unreachable.
             return Self::answer_without_home(context, routed, None);
         }
@@ -263,7 +263,7 @@
         mut search: FlowSearch,
     ) {
         let kind = routed.datagram.kind;
-        search.skipped = true;
+        search.home_skipped = true;
         if kind == CallerKind::Open {
             return self.skip_home_of_opening(context, routed, search);
         }
--- a/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/unknown_flows.rs
@@ -216,7 +216,7 @@
         if search.candidate.backend != reply.backend {
             return false;
         }
-        pending.refused.note(reply.backend);
+        pending.refused.add(reply.backend);
         if let Some(payload) = pending.held.take() {
             self.resume_search(context, reply.flow, &payload, None, search);
         }
@@ -260,7 +260,7 @@
         claim: TokenClaim,
     ) {
         let mut refused = TriedServers::default();
-        refused.note(claim.backend);
+        refused.add(claim.backend);
         let pending = PendingSearch {
             search: self.new_search(context.snapshot, claim),
             since: context.now,
@@ -316,7 +316,7 @@
             claim: search.candidate,
             shard: resolve::shard_of(context.snapshot, &search.candidate),
             role: PinRole::Placed,
-            disputed: search.skipped,
+            disputed: search.home_skipped,
             since: context.now,
             last_seen: context.now,
             counted: true,
--- a/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/admission_support/mod.rs
@@ -348,7 +348,7 @@
     let address = net::SocketAddr::from(([10, 1, 0, 1], 9000 + index));
     let name = format!("renewal-{index}");
     BackendEntry {
-        id: BackendId::from_role(service(), &name, address),
+        id: BackendId::from_parts(service(), &name, address),
         name,
         service: service(),
         domain: domain(),
--- a/crates/cardamomwinch_coordination/tests/routing_support/mod.rs
+++ b/crates/cardamomwinch_coordination/tests/routing_support/mod.rs
@@ -47,7 +47,7 @@
     let address = net::SocketAddr::from(([10, 2, 0, number], 7000));
     let name = format!("server-{number}");
     BackendEntry {
-        id: BackendId::from_role(service, &name, address),
+        id: BackendId::from_parts(service, &name, address),
         name,
         service,
         domain: domain(domain_name),
--- a/crates/cardamomwinch_ctl/src/host_command.rs
+++ b/crates/cardamomwinch_ctl/src/host_command.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use cardamomwinch_protocol::administration::{
-    self, BackendReport, BeliefReport, ExplainReport, FlowsReport, MemberReport, StatusReport,
+    self, BackendReport, DiscoveryReport, ExplainReport, FlowsReport, MemberReport, StatusReport,
     StopReport,
 };
 use serde::Serialize;
@@ -14,7 +14,7 @@
 use crate::exit::CommandExit;
 use crate::outcome::{self, CommandOutcome};
 use crate::report_text::{
-    BackendsText, BeliefsText, ExplainText, FlowsText, MembersText, StatusText,
+    BackendsText, DiscoveryText, ExplainText, FlowsText, MembersText, StatusText,
 };
 
 /// No parameters.
@@ -65,7 +65,7 @@
         HostRequest::Beliefs => printer.print(
             administration::BELIEFS_METHOD,
             NONE,
-            |report: &BeliefReport| BeliefsText(report).to_string(),
+            |report: &DiscoveryReport| DiscoveryText(report).to_string(),
         ),
         HostRequest::Explain(parameters) => printer.print(
             administration::EXPLAIN_METHOD,
--- a/crates/cardamomwinch_ctl/src/report_text.rs
+++ b/crates/cardamomwinch_ctl/src/report_text.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use cardamomwinch_protocol::administration::{
-    BackendReport, BeliefReport, ExplainReport, FlowsReport, MemberReport, StatusReport,
+    BackendReport, DiscoveryReport, ExplainReport, FlowsReport, MemberReport, StatusReport,
 };
 
 use crate::text_table::{TextTable, or_dash, printable};
@@ -81,7 +81,7 @@
                 member.domain.clone(),
                 or_dash(member.published_phase),
                 member.reachability.to_string(),
-                or_dash(member.last_heard_ms),
+                or_dash(member.last_received_ms),
                 or_dash(member.configuration_version),
                 or_dash(member.incarnation),
             ]);
@@ -177,9 +177,9 @@
 }
 
 /// What a forwarding host knows, and from which source.
-pub(crate) struct BeliefsText<'r>(pub(crate) &'r BeliefReport);
+pub(crate) struct DiscoveryText<'r>(pub(crate) &'r DiscoveryReport);
 
-impl fmt::Display for BeliefsText<'_> {
+impl fmt::Display for DiscoveryText<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let report = self.0;
         let complete = if report.complete { "yes" } else { "no" };
--- a/crates/cardamomwinch_daemon/src/administration/reports.rs
+++ b/crates/cardamomwinch_daemon/src/administration/reports.rs
@@ -111,7 +111,7 @@
             true => Some(engine.identity().incarnation),
             false => known.map(|known| known.incarnation),
         },
-        last_heard_ms: known.map(|known| now.since(known.last_received).as_millis() as u64),
+        last_received_ms: known.map(|known| now.since(known.last_received).as_millis() as u64),
         configuration_version: own_version.or(known.map(|known| known.digest.version)),
     }
 }
--- a/crates/cardamomwinch_daemon/tests/decision_line.rs
+++ b/crates/cardamomwinch_daemon/tests/decision_line.rs
@@ -29,7 +29,7 @@
     };
     let address = "127.0.0.1:9001".parse().unwrap();
     let backend = BackendEntry {
-        id: BackendId::from_role(service.id, "dv-1", address),
+        id: BackendId::from_parts(service.id, "dv-1", address),
         name: "dv-1".to_owned(),
         service: service.id,
         domain: DomainId::from_name("bud-angyal"),
--- a/crates/cardamomwinch_experiment/src/baseline/pinned_hash.rs
+++ b/crates/cardamomwinch_experiment/src/baseline/pinned_hash.rs
@@ -33,7 +33,7 @@
     fn adopt(&mut self, configuration: &InForceConfiguration) {
         self.servers = SortedVector::new();
         let accepting = configuration.backends.values();
-        for entry in accepting.filter(|entry| entry.takes_new_flows()) {
+        for entry in accepting.filter(|entry| entry.accepts_new_flows()) {
             let servers = self.servers.get_or_insert_with(entry.service, Vec::new);
             servers.push(entry.id);
         }
--- a/crates/cardamomwinch_forwarder/src/administration.rs
+++ b/crates/cardamomwinch_forwarder/src/administration.rs
@@ -55,9 +55,9 @@
 }
 
 /// Describes what `engine` knows at `now`.
-pub fn describe_discovery(engine: &DiscoveryEngine, now: Timestamp) -> api::BeliefReport {
+pub fn describe_discovery(engine: &DiscoveryEngine, now: Timestamp) -> api::DiscoveryReport {
     let view = engine.view();
-    let servers = view.directory.iter().map(|server| api::BelievedServer {
+    let servers = view.directory.iter().map(|server| api::KnownServer {
         server: server.id.to_string(),
         address: server.address,
         service: server.service.to_string(),
@@ -67,7 +67,7 @@
     let evacuated = view.directory.evacuations().iter();
     let evacuated = evacuated.filter(|evacuation| evacuation.is_active());
     let hosts = engine.peers().hosts();
-    api::BeliefReport {
+    api::DiscoveryReport {
         version: view.routes.version().get(),
         store_era: engine.revision().era().get(),
         revision: engine.revision().get(),
--- a/crates/cardamomwinch_forwarder/src/control_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/control_thread.rs
@@ -16,7 +16,7 @@
 use cardamomwinch_coordination::forwarding::discovery::waiting_queries::WaitingQueries;
 use cardamomwinch_coordination::forwarding::server_reports::ServerReport;
 use cardamomwinch_platform::prelude::StoreClient;
-use cardamomwinch_protocol::administration::BeliefReport;
+use cardamomwinch_protocol::administration::DiscoveryReport;
 use cardamomwinch_state::prelude::Timestamp;
 use cardamomwinch_transport::prelude::{
     Clock, DecisionLogger, HostClock, PeerClient, TickPlan, TimerService,
@@ -56,7 +56,7 @@
     /// An operator queries what the host knows.
     OperatorQuery {
         /// Receives the answer.
-        answer: Sender<BeliefReport>,
+        answer: Sender<DiscoveryReport>,
     },
 }
 
--- a/crates/cardamomwinch_forwarder/src/launch.rs
+++ b/crates/cardamomwinch_forwarder/src/launch.rs
@@ -20,9 +20,9 @@
 use cardamomwinch_state::flow;
 use cardamomwinch_state::prelude::{FlowHasher, HostId};
 use cardamomwinch_transport::prelude::{
-    Clock, DatagramError, DatagramOptions, DecisionLogger, EndpointError, EndpointLimits,
-    HostClock, LogError, LogSink, MetricsError, MetricsSink, PeerClient, PeerLimits, PeerRpcError,
-    PeerServer, RpcEndpoint, TimerService, WaitingSocket,
+    BlockingSocket, Clock, DatagramError, DatagramOptions, DecisionLogger, EndpointError,
+    EndpointLimits, HostClock, LogError, LogSink, MetricsError, MetricsSink, PeerClient,
+    PeerLimits, PeerRpcError, PeerServer, RpcEndpoint, TimerService,
 };
 use jsonrpsee::RpcModule;
 use jsonrpsee::core::RegisterMethodError;
@@ -135,7 +135,7 @@
     let store = settings.platform.addresses.first().copied();
     let store = store.context(NoPlatformSnafu)?;
     // The socket is opened first, so that packets that arrive during the start wait in it.
-    let socket = WaitingSocket::bind(DatagramOptions {
+    let socket = BlockingSocket::bind(DatagramOptions {
         address: settings.traffic_address,
         receive_buffer: RECEIVE_BUFFER,
         shared: false,
@@ -160,7 +160,7 @@
 }
 
 impl HostParts {
-    fn serve(self, socket: WaitingSocket) -> Result<StopCause, LaunchError> {
+    fn serve(self, socket: BlockingSocket) -> Result<StopCause, LaunchError> {
         let traffic_address = socket.local_address().context(SocketSnafu)?;
         let (sender, messages) = async_channel::bounded(CONTROL_QUEUE);
         let traffic = self.traffic_thread(socket, traffic_address, sender.clone());
@@ -175,7 +175,7 @@
 
     fn traffic_thread(
         &self,
-        socket: WaitingSocket,
+        socket: BlockingSocket,
         traffic_address: net::SocketAddr,
         control: Sender<ControlMessage>,
     ) -> TrafficThread {
--- a/crates/cardamomwinch_forwarder/src/traffic_thread.rs
+++ b/crates/cardamomwinch_forwarder/src/traffic_thread.rs
@@ -14,7 +14,7 @@
 use cardamomwinch_coordination::forwarding::view::ForwardingView;
 use cardamomwinch_platform::packet;
 use cardamomwinch_state::prelude::{BackendId, FlowKey, Timestamp};
-use cardamomwinch_transport::prelude::{Clock, DecisionLogger, HostClock, WaitingSocket};
+use cardamomwinch_transport::prelude::{BlockingSocket, Clock, DecisionLogger, HostClock};
 
 use crate::control_thread::ControlMessage;
 use crate::decision_lines::DecisionLine;
@@ -54,7 +54,7 @@
     /// Receives the reports about servers.
     pub control: Sender<ControlMessage>,
     /// Receives and sends packets.
-    pub socket: WaitingSocket,
+    pub socket: BlockingSocket,
     /// The port at which callers receive packets.
     pub caller_port: u16,
     /// The views that the control thread publishes.
--- a/crates/cardamomwinch_model/tests/conformance_faults.rs
+++ b/crates/cardamomwinch_model/tests/conformance_faults.rs
@@ -148,7 +148,7 @@
     let other = ServiceId::from_name("benchmark-desk");
     let spare_address: net::SocketAddr = "127.0.0.1:9101".parse().unwrap();
     let spare = BackendEntry {
-        id: BackendId::from_role(support::service(), "two", spare_address),
+        id: BackendId::from_parts(support::service(), "two", spare_address),
         address: spare_address,
         ..removed.clone()
     };
--- a/crates/cardamomwinch_model/tests/support/mod.rs
+++ b/crates/cardamomwinch_model/tests/support/mod.rs
@@ -136,7 +136,7 @@
 pub(crate) fn server(layout: WorldLayout) -> BackendEntry {
     let address = SERVER_ADDRESS.parse().unwrap();
     BackendEntry {
-        id: BackendId::from_role(service(), "one", address),
+        id: BackendId::from_parts(service(), "one", address),
         name: "one".to_owned(),
         service: service(),
         domain: domain(),
--- a/crates/cardamomwinch_protocol/src/administration.rs
+++ b/crates/cardamomwinch_protocol/src/administration.rs
@@ -20,7 +20,7 @@
 pub const FLOWS_METHOD: &str = "flows";
 /// Method that takes [`ExplainParameters`] and returns an [`ExplainReport`].
 pub const EXPLAIN_METHOD: &str = "explain";
-/// Method that returns a [`BeliefReport`]. Only forwarding hosts have it. It takes no
+/// Method that returns a [`DiscoveryReport`]. Only forwarding hosts have it. It takes no
 /// parameters.
 pub const BELIEFS_METHOD: &str = "beliefs";
 /// Method that begins a graceful stop and returns a [`StopReport`]. It takes no parameters.
@@ -144,7 +144,7 @@
     pub incarnation: Option<Incarnation>,
     /// Milliseconds since its last sign of being alive.
     #[serde(rename = "last_heard_ms")]
-    pub last_heard_ms: Option<u64>,
+    pub last_received_ms: Option<u64>,
     /// The version of the configuration that it announced last.
     pub configuration_version: Option<ConfigurationVersion>,
 }
@@ -279,7 +279,7 @@
 /// A backend server as a forwarding host knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct BelievedServer {
+pub struct KnownServer {
     /// The identifier of its incarnation.
     pub server: String,
     /// Its address.
@@ -297,7 +297,7 @@
 /// What a forwarding host knows from the store and its peers, and how old that data is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct BeliefReport {
+pub struct DiscoveryReport {
     /// The version of the configuration in force.
     pub version: u64,
     /// The era of the store: how often it has been restored from a backup, by its own count.
@@ -320,7 +320,7 @@
     /// The addresses of all hosts that it knows, including itself.
     pub peers: Vec<net::SocketAddr>,
     /// The backend servers that it knows.
-    pub servers: Vec<BelievedServer>,
+    pub servers: Vec<KnownServer>,
 }
 
 /// The result of [`STOP_METHOD`].
--- a/crates/cardamomwinch_protocol/src/peer/configuration.rs
+++ b/crates/cardamomwinch_protocol/src/peer/configuration.rs
@@ -138,7 +138,8 @@
         /// The documents that the sender has.
         known: KnownDocuments,
         /// Whether the sender has just started and needs the earlier lookup tables.
-        wants_earlier: bool,
+        #[serde(rename = "wants_earlier")]
+        needs_earlier_tables: bool,
     },
     /// The answer to a request.
     Offer(ConfigurationOffer),
--- a/crates/cardamomwinch_protocol/src/peer/earlier_tables.rs
+++ b/crates/cardamomwinch_protocol/src/peer/earlier_tables.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The most servers in one message, so that it fits into one call.
-pub const LISTED_LIMIT: usize = 64 * 1024;
+pub const MAX_LISTED_SERVERS: usize = 64 * 1024;
 
 /// A server that accepted new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/cardamomwinch_protocol/src/peer/hand_over.rs
+++ b/crates/cardamomwinch_protocol/src/peer/hand_over.rs
@@ -10,9 +10,9 @@
 use crate::token::TokenClaim;
 
 /// The most bytes that the items of one chunk take when encoded.
-pub const CHUNK_BYTES: usize = 30 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 30 * 1024;
 /// The most chunks of one hand-over.
-pub const CHUNK_LIMIT: u16 = 64;
+pub const MAX_CHUNKS: u16 = 64;
 
 /// A part of a hand-over, sent as one message of at most 32 KiB.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/cardamomwinch_protocol/src/relay.rs
+++ b/crates/cardamomwinch_protocol/src/relay.rs
@@ -29,13 +29,13 @@
 
 impl TriedServers {
     /// Adds `backend`; returns false if there is no room for it.
-    pub fn note(&mut self, backend: BackendId) -> bool {
+    pub fn add(&mut self, backend: BackendId) -> bool {
         if self.contains(backend) {
             return true;
         }
         let free = self.0.iter_mut().find(|tried| **tried == NO_SERVER);
-        let noted = free.map(|tried| *tried = backend);
-        noted.is_some()
+        let added = free.map(|tried| *tried = backend);
+        added.is_some()
     }
 
     /// Whether `backend` was tried.
@@ -83,10 +83,12 @@
     pub tried: TriedServers,
     /// Whether the search for an opening skipped a home that could not be reached. The flow
     /// may then have been placed by another host as well.
-    pub skipped: bool,
+    #[serde(rename = "skipped")]
+    pub home_skipped: bool,
     /// Whether every host that handled the search so far had started so recently that other
     /// hosts may still place new flows by lookup tables that the started host does not know.
-    pub unsettled: bool,
+    #[serde(rename = "unsettled")]
+    pub history_missing: bool,
 }
 
 /// The content of a relayed datagram.
--- a/crates/cardamomwinch_standin/src/caller.rs
+++ b/crates/cardamomwinch_standin/src/caller.rs
@@ -178,7 +178,7 @@
     }
 
     /// The first unexpected replies.
-    pub fn strays(&self) -> Vec<UnexpectedReply> {
+    pub fn unexpected_replies(&self) -> Vec<UnexpectedReply> {
         runtime::locked(&self.shared.state).unexpected.clone()
     }
 
--- a/crates/cardamomwinch_standin/src/deployment.rs
+++ b/crates/cardamomwinch_standin/src/deployment.rs
@@ -126,7 +126,7 @@
         programs: ProgramDirectory,
         wait: time::Duration,
     ) -> Result<Self, StandinError> {
-        let mut deployment = Self::start_surroundings(plan, programs)?;
+        let mut deployment = Self::start_platform_and_fabric(plan, programs)?;
         for service in 0..deployment.plan.services.len() {
             for index in 0..deployment.plan.services[service].backends {
                 deployment.start_backend(service, index)?;
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// Fails if a program cannot be started or does not become ready.
-    pub fn start_surroundings(
+    pub fn start_platform_and_fabric(
         plan: DeploymentPlan,
         programs: ProgramDirectory,
     ) -> Result<Self, StandinError> {
--- a/crates/cardamomwinch_standin/src/deployment/publishing.rs
+++ b/crates/cardamomwinch_standin/src/deployment/publishing.rs
@@ -21,7 +21,7 @@
         }
         self.publish_root().await?;
         self.publish_hosts().await?;
-        self.tell_fabric().await
+        self.send_hosts_to_fabric().await
     }
 
     /// Publishes the fragment of the team that owns `service`. It comes into
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// Fails if the fabric does not accept them.
-    pub async fn tell_fabric(&self) -> Result<(), StandinError> {
+    pub async fn send_hosts_to_fabric(&self) -> Result<(), StandinError> {
         let mut addresses = Vec::new();
         for host in &self.hosts {
             addresses.push(host.published("traffic_address")?);
--- a/crates/cardamomwinch_standin/src/fabric.rs
+++ b/crates/cardamomwinch_standin/src/fabric.rs
@@ -221,7 +221,7 @@
 }
 
 async fn receive_datagrams(shared: sync::Arc<SharedFabric>, socket: UdpSocket, side: FabricSide) {
-    let mut buffer = vec![0; faults::LARGEST_DATAGRAM];
+    let mut buffer = vec![0; faults::MAX_DATAGRAM_BYTES];
     buffer[0] = side as u8;
     loop {
         // An error here belongs to an earlier send; receiving can continue.
--- a/crates/cardamomwinch_standin/src/faults.rs
+++ b/crates/cardamomwinch_standin/src/faults.rs
@@ -8,7 +8,7 @@
 
 /// The largest UDP datagram, in bytes. The fabric and the proxies must not
 /// truncate a datagram that its receiver has to refuse as too large.
-pub const LARGEST_DATAGRAM: usize = 64 * 1024;
+pub const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// How long a datagram is delayed so that later ones overtake it.
 const REORDER_DELAY: time::Duration = time::Duration::from_millis(20);
--- a/crates/cardamomwinch_standin/src/proxy.rs
+++ b/crates/cardamomwinch_standin/src/proxy.rs
@@ -269,7 +269,7 @@
     }
 
     async fn forward_datagrams(self: sync::Arc<Self>) {
-        let mut buffer = vec![0; faults::LARGEST_DATAGRAM];
+        let mut buffer = vec![0; faults::MAX_DATAGRAM_BYTES];
         loop {
             // An error here belongs to an earlier send; receiving can continue.
             let Ok((length, client)) = self.socket.recv_from(&mut buffer).await else {
@@ -306,7 +306,7 @@
     }
 
     async fn return_datagrams(self: sync::Arc<Self>, upstream: UdpSocket, client: net::SocketAddr) {
-        let mut buffer = vec![0; faults::LARGEST_DATAGRAM];
+        let mut buffer = vec![0; faults::MAX_DATAGRAM_BYTES];
         loop {
             if let Ok((length, _)) = upstream.recv_from(&mut buffer).await {
                 let datagram = &buffer[..length];
--- a/crates/cardamomwinch_state/src/backend_server.rs
+++ b/crates/cardamomwinch_state/src/backend_server.rs
@@ -54,7 +54,7 @@
 
 impl BackendEntry {
     /// Whether a new flow may be placed on the server.
-    pub fn takes_new_flows(&self) -> bool {
+    pub fn accepts_new_flows(&self) -> bool {
         self.phase == BackendPhase::Active && self.weight > Weight::ZERO
     }
 
--- a/crates/cardamomwinch_state/src/identifiers.rs
+++ b/crates/cardamomwinch_state/src/identifiers.rs
@@ -135,7 +135,7 @@
 
 impl BackendId {
     /// Derives the identifier of the backend server `name` of `service` at `address`.
-    pub fn from_role(service: ServiceId, name: &str, address: std::net::SocketAddr) -> Self {
+    pub fn from_parts(service: ServiceId, name: &str, address: std::net::SocketAddr) -> Self {
         let address = address.to_string();
         Self(hash_parts(&[
             b"backend",
--- a/crates/cardamomwinch_transport/src/datagram.rs
+++ b/crates/cardamomwinch_transport/src/datagram.rs
@@ -152,12 +152,12 @@
 /// which then wakes this one: 2.3 times the processor time if datagrams arrive one
 /// by one.
 #[derive(Debug)]
-pub struct WaitingSocket {
+pub struct BlockingSocket {
     socket: net::UdpSocket,
     timeout: Option<time::Duration>,
 }
 
-impl WaitingSocket {
+impl BlockingSocket {
     /// Opens a socket.
     ///
     /// # Errors
--- a/crates/cardamomwinch_transport/src/lib.rs
+++ b/crates/cardamomwinch_transport/src/lib.rs
@@ -36,7 +36,7 @@
 pub mod prelude {
     pub use crate::clock::{Clock, HostClock};
     pub use crate::datagram::{
-        DatagramError, DatagramOptions, DatagramSocket, ReceivedDatagram, WaitingSocket,
+        BlockingSocket, DatagramError, DatagramOptions, DatagramSocket, ReceivedDatagram,
     };
     pub use crate::decision_logger::{DecisionLogger, DecisionRecord};
     pub use crate::executor::{ExecutorThread, ThreadError};
--- a/crates/cardamomwinch_transport/tests/datagram.rs
+++ b/crates/cardamomwinch_transport/tests/datagram.rs
@@ -105,13 +105,13 @@
     };
     let taken = bind(any_port(), false).unwrap();
     let address = taken.local_address().unwrap();
-    assert!(WaitingSocket::bind(options(address)).is_err(), "taken");
+    assert!(BlockingSocket::bind(options(address)).is_err(), "taken");
     drop(taken);
-    let mut receiver = WaitingSocket::bind(options(address)).unwrap();
+    let mut receiver = BlockingSocket::bind(options(address)).unwrap();
     let short = std::time::Duration::from_millis(1);
     let mut buffer = [0; 16];
     assert_eq!(receiver.receive(&mut buffer, short).unwrap(), None);
-    let sender = WaitingSocket::bind(options(any_port())).unwrap();
+    let sender = BlockingSocket::bind(options(any_port())).unwrap();
     sender.send(b"packet", address).unwrap();
     let long = std::time::Duration::from_secs(20);
     let received = receiver.receive(&mut buffer, long).unwrap();
--- a/tests/forged_messages.rs
+++ b/tests/forged_messages.rs
@@ -75,7 +75,7 @@
     to: net::SocketAddr,
     recorded: sync::Arc<sync::Mutex<Vec<Vec<u8>>>>,
 ) {
-    let mut buffer = vec![0; cardamomwinch_standin::faults::LARGEST_DATAGRAM];
+    let mut buffer = vec![0; cardamomwinch_standin::faults::MAX_DATAGRAM_BYTES];
     loop {
         if let Ok((length, _)) = socket.recv_from(&mut buffer).await {
             let datagram = buffer[..length].to_vec();
--- a/tests/key_change.rs
+++ b/tests/key_change.rs
@@ -50,7 +50,7 @@
     deployment.hosts.remove(position);
     deployment.start_host(0, index).unwrap();
     deployment.publish_hosts().await.unwrap();
-    deployment.tell_fabric().await.unwrap();
+    deployment.send_hosts_to_fabric().await.unwrap();
     deployment.wait_until_ready(LIMIT).await.unwrap();
     deployment.wait_until_homes_agree(LIMIT).await.unwrap();
 }
--- a/tests/operating_steps.rs
+++ b/tests/operating_steps.rs
@@ -182,7 +182,7 @@
         let sessions = open_sessions(executor, &deployment, 8).await;
         deployment.start_host(0, 2).unwrap();
         deployment.publish_hosts().await.unwrap();
-        deployment.tell_fabric().await.unwrap();
+        deployment.send_hosts_to_fabric().await.unwrap();
         deployment.wait_until_ready(LIMIT).await.unwrap();
         ask_all(&deployment, &sessions).await;
         deployment.wait_until_homes_agree(LIMIT).await.unwrap();
@@ -202,7 +202,7 @@
         let mut dead = deployment.hosts.remove(0);
         dead.process.kill().unwrap();
         deployment.publish_hosts().await.unwrap();
-        deployment.tell_fabric().await.unwrap();
+        deployment.send_hosts_to_fabric().await.unwrap();
         deployment.wait_until_homes_agree(LIMIT).await.unwrap();
         ask_all(&deployment, &sessions).await;
         let reports = deployment.run_reports().await.unwrap();
--- a/tests/reused_ports.rs
+++ b/tests/reused_ports.rs
@@ -50,7 +50,12 @@
             assert!(has_received(socket).await, "nothing is sent there any more");
         }
         for client in &clients {
-            assert_eq!(client.counters().malformed, 0, "{:?}", client.strays());
+            assert_eq!(
+                client.counters().malformed,
+                0,
+                "{:?}",
+                client.unexpected_replies()
+            );
         }
         faulty
             .cut_platform(&faulty.hosts(None), CutMode::None)
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -206,7 +206,7 @@
         self.faulty.start_host(domain, self.next_host).await;
         self.next_host += 1;
         self.faulty.deployment.publish_hosts().await.unwrap();
-        self.faulty.deployment.tell_fabric().await.unwrap();
+        self.faulty.deployment.send_hosts_to_fabric().await.unwrap();
     }
 
     /// Tells `host` to stop, and starts another one in its place. Its process goes on
@@ -219,7 +219,7 @@
         self.faulty.start_host(domain, self.next_host).await;
         self.next_host += 1;
         self.faulty.deployment.publish_hosts().await.unwrap();
-        self.faulty.deployment.tell_fabric().await.unwrap();
+        self.faulty.deployment.send_hosts_to_fabric().await.unwrap();
     }
 
     async fn end_due(&mut self, until: time::Instant) {
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -92,7 +92,7 @@
         let programs = ProgramDirectory::of_this_build().unwrap();
         let none: [&str; 0] = [];
         let proxy = ChildProcess::start(programs.program("standin-proxy"), none).unwrap();
-        let deployment = Deployment::start_surroundings(plan, programs).unwrap();
+        let deployment = Deployment::start_platform_and_fabric(plan, programs).unwrap();
         let platform = deployment.platform_address;
         let mut started = Self {
             deployment,
@@ -120,7 +120,7 @@
         self.start_host(domain, index).await;
         self.deployment.publish_hosts().await.unwrap();
         self.deployment.wait_until_ready(LIMIT).await.unwrap();
-        self.deployment.tell_fabric().await.unwrap();
+        self.deployment.send_hosts_to_fabric().await.unwrap();
     }
 
     /// Starts one more host, whose way to the platform is cut as `cut` says.
@@ -207,7 +207,7 @@
         let position = self.position(name);
         let removed = self.deployment.hosts.remove(position);
         self.deployment.publish_hosts().await.unwrap();
-        self.deployment.tell_fabric().await.unwrap();
+        self.deployment.send_hosts_to_fabric().await.unwrap();
         removed.process
     }
 
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -180,7 +180,7 @@
         book.conflicting_parts += counters.conflicting_parts;
         book.malformed += counters.malformed;
         if counters.malformed > 0 {
-            println!("{}: {:?}", client.flow(), client.strays());
+            println!("{}: {:?}", client.flow(), client.unexpected_replies());
         }
         drop(book);
         clients.push(client);
