--- a/crates/cardamomwinch_coordination/examples/health_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/health_cost.rs
@@ -125,7 +125,7 @@
 
 fn main() {
     println!(
-        "| servers | domains | hosts | servers of this home | probes a second | % of a core |"
+        "| servers | domains | hosts | servers of this home | questions a second | % of a core |"
     );
     println!("|---|---|---|---|---|---|");
     let sizes = [
