--- a/crates/cardamomwinch_forwarder/src/launch.rs
+++ b/crates/cardamomwinch_forwarder/src/launch.rs
@@ -113,8 +113,8 @@
     },
 }
 
-/// The parts from which the threads are set up.
-struct HostParts {
+/// What the threads of the process share.
+struct SharedContext {
     path: path::PathBuf,
     settings: ForwarderSettings,
     store: net::SocketAddr,
@@ -146,7 +146,7 @@
     let level = log_level::level_filter(settings.log.level);
     log.install(level, clock).context(LogSnafu)?;
     let metrics = MetricsSink::install().context(MetricsSnafu)?;
-    let parts = HostParts {
+    let context = SharedContext {
         path: path.to_owned(),
         settings,
         store,
@@ -156,10 +156,10 @@
         views: ViewCell::default(),
         last_packet: LastPacket::default(),
     };
-    parts.serve(socket)
+    context.serve(socket)
 }
 
-impl HostParts {
+impl SharedContext {
     fn serve(self, socket: BlockingSocket) -> Result<StopCause, LaunchError> {
         let traffic_address = socket.local_address().context(SocketSnafu)?;
         let (sender, messages) = async_channel::bounded(CONTROL_QUEUE);
