--- a/crates/cardamomwinch_coordination/src/control/adoption/earlier_tables.rs
+++ b/crates/cardamomwinch_coordination/src/control/adoption/earlier_tables.rs
@@ -6,7 +6,7 @@
 use cardamomwinch_protocol::peer::earlier_tables::EarlierTables;
 use cardamomwinch_state::prelude::{ConfigurationVersion, Timestamp};
 
-/// The host stops asking this long after its start: by then every peer that could
+/// The host stops querying this long after its start: by then every peer that could
 /// answer has adopted the configuration in force here.
 const REQUEST_DURATION: time::Duration = time::Duration::from_secs(10);
 /// The interval between queries to a random peer.
--- a/crates/cardamomwinch_coordination/src/forwarding/engine.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/engine.rs
@@ -155,7 +155,7 @@
         self.unwatched
     }
 
-    /// Whether any server answers this host, as far as it can tell. If none does, callers
+    /// Whether any server answers this host, as far as it knows. If none does, callers
     /// are better served by hosts elsewhere.
     pub const fn reaches_servers(&self) -> bool {
         !self.server_reach.is_lost()
--- a/crates/cardamomwinch_coordination/src/forwarding/flow_lifetimes.rs
+++ b/crates/cardamomwinch_coordination/src/forwarding/flow_lifetimes.rs
@@ -2,7 +2,7 @@
 //!
 //! A flow to a server in another failure domain breaks if a domain is cut off. That costs
 //! little if callers open a flow for each request, and much if sessions last for minutes.
-//! No setting says which routes are of which kind, so it is measured when callers close
+//! No setting specifies which routes are of which kind, so it is measured when callers close
 //! their flows.
 
 use std::net;
--- a/crates/cardamomwinch_coordination/src/traffic/giving_up.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/giving_up.rs
@@ -395,7 +395,7 @@
     }
 
     /// Ends the requests of a flow that its server does not hold, or no longer holds. The
-    /// server's reply does not tell which datagram it refers to. Waiting requests have not
+    /// server's reply does not indicate which datagram it refers to. Waiting requests have not
     /// run, but requests that were sent may have run before the flow was closed.
     pub(crate) fn end_flow_requests<S: TrafficSink>(
         &mut self,
--- a/crates/cardamomwinch_coordination/src/traffic/resolve.rs
+++ b/crates/cardamomwinch_coordination/src/traffic/resolve.rs
@@ -27,7 +27,7 @@
     Searched(FlowSearch),
     /// The flow's server has an address that now belongs to another service.
     Reassigned,
-    /// No server of the service takes new flows.
+    /// No server of the service accepts new flows.
     NoBackend,
 }
 
