--- a/crates/cardamomwinch_configuration/src/flow_share.rs
+++ b/crates/cardamomwinch_configuration/src/flow_share.rs
@@ -7,7 +7,7 @@
 use snafu::Snafu;
 
 /// All new flows, in hundredths of a percent.
-const WHOLE: u64 = 10_000;
+const ALL_HUNDREDTHS: u64 = 10_000;
 
 /// A share of all new flows, in hundredths of a percent.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,7 +40,7 @@
             return Self::default();
         }
         let weight = u64::from(backend.weight.get());
-        Self(((weight * WHOLE + total / 2) / total) as u32)
+        Self(((weight * ALL_HUNDREDTHS + total / 2) / total) as u32)
     }
 }
 
--- a/crates/cardamomwinch_configuration/src/lib.rs
+++ b/crates/cardamomwinch_configuration/src/lib.rs
@@ -39,7 +39,7 @@
 mod taken;
 pub mod values;
 
-/// What users of this crate need most often.
+/// The items that most users of this crate need.
 pub mod prelude {
     pub use crate::check::{CheckError, CheckReport};
     pub use crate::compare::{ConfigurationDifference, ValueChange, compare};
--- a/crates/cardamomwinch_configuration/src/nearest.rs
+++ b/crates/cardamomwinch_configuration/src/nearest.rs
@@ -2,10 +2,10 @@
 
 /// At most this many candidates are compared, so that a large document full of
 /// unknown names is still checked quickly.
-const CANDIDATE_LIMIT: usize = 64;
+const MAX_CANDIDATES: usize = 64;
 
-/// Names with more bytes are not compared, for the same reason.
-const LENGTH_LIMIT: usize = 64;
+/// Longer names are not compared, for the same reason.
+const MAX_COMPARED_BYTES: usize = 64;
 
 /// Returns the candidate with the smallest edit distance from `found`, if that
 /// distance is at most a third of the length of `found`, or 1.
@@ -13,14 +13,14 @@
     found: &str,
     candidates: impl IntoIterator<Item = &'c str>,
 ) -> Option<&'c str> {
-    if found.len() > LENGTH_LIMIT {
+    if found.len() > MAX_COMPARED_BYTES {
         return None;
     }
     let allowed = (found.chars().count() / 3).max(1);
     candidates
         .into_iter()
-        .take(CANDIDATE_LIMIT)
-        .filter(|candidate| candidate.len() <= LENGTH_LIMIT)
+        .take(MAX_CANDIDATES)
+        .filter(|candidate| candidate.len() <= MAX_COMPARED_BYTES)
         .map(|candidate| (edit_distance(found, candidate), candidate))
         .filter(|(distance, _)| *distance <= allowed)
         .min()
--- a/crates/cardamomwinch_configuration/src/problem.rs
+++ b/crates/cardamomwinch_configuration/src/problem.rs
@@ -1,4 +1,4 @@
-//! The problems that a document can have. Each says what was found and what is
+//! The problems that a document can have. Each names what was found and what is
 //! allowed.
 
 use std::fmt;
--- a/crates/cardamomwinch_model/src/adoption/flows.rs
+++ b/crates/cardamomwinch_model/src/adoption/flows.rs
@@ -150,6 +150,8 @@
         server == ServerChoice::First && adopted && reassigned
     }
 
+    /// Returns whether a host checks that the address of a server from `source` was
+    /// not reassigned. It always does so for servers from a lookup table.
     fn is_guarded(&self, source: ServerSource) -> bool {
         let unguarded = match source {
             ServerSource::Token => AdoptionMistake::TokenUnguarded,
@@ -189,11 +191,15 @@
         sink.push(action, next);
     }
 
+    /// Returns whether `host` has ended the flows of `server` because it was
+    /// removed, which happens only with a mistake.
     fn is_forgotten(&self, state: &AdoptionState, host: HostIndex, server: ServerChoice) -> bool {
         let removed = state.hosts[host].version == LAST_VERSION && server == ServerChoice::First;
         removed && self.makes(AdoptionMistake::RemovedServerForgotten)
     }
 
+    /// Ends the flow although no planned change has ended it. This is a failure
+    /// unless a host that had pinned the server has crashed.
     fn lose_flow(&self, next: &mut AdoptionState) {
         if !next.pin_lost {
             next.fail(AdoptionProperty::FlowKeepsServer);
@@ -215,6 +221,7 @@
     }
 }
 
+/// Ends the flow and drops everything that the hosts know of it.
 fn end_flow(next: &mut AdoptionState) {
     next.flow = FlowState::Over;
     next.relayed = None;
--- a/crates/cardamomwinch_model/src/adoption/mistake.rs
+++ b/crates/cardamomwinch_model/src/adoption/mistake.rs
@@ -1,5 +1,5 @@
 //! Rules of the specification of adoption and routing that can be left out, one
-//! at a time.
+//! at a time. Their names are printed with the results of a search.
 
 use std::fmt;
 
--- a/crates/cardamomwinch_model/src/adoption/mod.rs
+++ b/crates/cardamomwinch_model/src/adoption/mod.rs
@@ -33,7 +33,7 @@
 /// A property that adoption and routing must have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AdoptionProperty {
-    /// The version in force on a host never falls while its process runs.
+    /// The version in force on a host never decreases while its process runs.
     VersionOnlyRises,
     /// A packet reaches no service but that of its flow.
     OwnServiceOnly,
@@ -163,7 +163,8 @@
 
     /// Servers refuse nothing. The properties then rely on two assumptions: the
     /// platform does not go back, and a process begins to serve another service
-    /// only after every host that is awake has adopted the change.
+    /// only after every host that is neither down nor paused has adopted the
+    /// change.
     pub const fn trusting_servers(echoes_token: bool) -> Self {
         Self {
             server_refuses: false,
@@ -330,7 +331,7 @@
             AdoptionProperty::PublishedReached => {
                 hosts.all(|host| host.acts() && host.version == state.published)
             }
-            _ => hosts.all(|host| host.is_awake() && Some(host.version) == highest),
+            _ => hosts.all(|host| host.is_running() && Some(host.version) == highest),
         }
     }
 
--- a/crates/cardamomwinch_model/src/adoption/state.rs
+++ b/crates/cardamomwinch_model/src/adoption/state.rs
@@ -35,7 +35,7 @@
     pub phase: HostPhase,
     /// The version in force.
     pub version: VersionNumber,
-    /// Whether it remembers the server of the flow.
+    /// Whether it has pinned the server of the flow.
     pub pinned: bool,
     /// Whether a request of the flow waits here for a slot of its server.
     pub waiting: bool,
@@ -44,8 +44,8 @@
 }
 
 impl HostState {
-    /// Whether it receives messages.
-    pub fn is_awake(&self) -> bool {
+    /// Whether it is neither down nor paused, so that it receives messages.
+    pub fn is_running(&self) -> bool {
         matches!(self.phase, HostPhase::Unconfirmed | HostPhase::Serving)
     }
 
@@ -101,7 +101,7 @@
     pub stops: u8,
     /// Pauses.
     pub pauses: u8,
-    /// Relapses of the platform.
+    /// Times that the platform goes back to an earlier version.
     pub relapses: u8,
     /// Cuts between the failure domains.
     pub cuts: u8,
--- a/crates/cardamomwinch_model/src/adoption/versions.rs
+++ b/crates/cardamomwinch_model/src/adoption/versions.rs
@@ -40,8 +40,8 @@
             next.budgets.cuts -= 1;
             sink.push(AdoptionAction::Cut, next);
         }
-        let mut awake = state.hosts.iter().filter(|host| host.is_awake());
-        let adopted = awake.all(|host| host.version == LAST_VERSION);
+        let mut running = state.hosts.iter().filter(|host| host.is_running());
+        let adopted = running.all(|host| host.version == LAST_VERSION);
         let served = state.hosts.iter().any(HostState::acts);
         let reassigned = self.bounds.last_change == LastChange::Reassigned;
         if reassigned && adopted && served && !state.moved {
@@ -102,12 +102,12 @@
 
     pub(crate) fn push_adoption(&self, state: &AdoptionState, sink: &mut StepSink<'_>) {
         for index in 0..HOST_COUNT {
-            if !state.hosts[index].is_awake() {
+            if !state.hosts[index].is_running() {
                 continue;
             }
             self.push_read(state, index, sink);
             for peer in 0..HOST_COUNT {
-                let reachable = state.hosts[peer].is_awake() && state.reaches(index, peer);
+                let reachable = state.hosts[peer].is_running() && state.reaches(index, peer);
                 if peer != index && reachable && !self.makes(AdoptionMistake::PeersNotAsked) {
                     self.push_pull(state, index, peer, sink);
                 }
--- a/crates/cardamomwinch_model/src/homes/leases.rs
+++ b/crates/cardamomwinch_model/src/homes/leases.rs
@@ -19,7 +19,7 @@
 }
 
 /// What a voter knows when a candidate requests a lease. The rule for granting
-/// depends on nothing else, besides the order of messages.
+/// depends only on this and on the order of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterFacts {
     /// Whether the voter may have forgotten grants, because it started recently.
@@ -109,7 +109,7 @@
                 next.up[usize::from(process)] = false;
                 // Nothing is on disk, so a new incarnation knows nothing.
                 *next.host_mut(process) = CandidateState::default();
-                orphan_dispatches(&mut next, process);
+                clear_dispatch_sender(&mut next, process);
                 if !self.makes(HomeMistake::GrantOutlivesLife) {
                     end_incarnation(&mut next, process);
                 }
@@ -328,13 +328,13 @@
             receiver.inheritance = self.inheritance_from(&holder, copied);
         }
         next.handed_over = self.bounds.lease;
-        orphan_dispatches(&mut next, host);
+        clear_dispatch_sender(&mut next, host);
         sink.push(HomeAction::GiveUp(host), next);
     }
 
-    /// Returns what the successor inherits. It may use this for one lease: the
-    /// grants of the former holder run no longer, and until they end no host but
-    /// the successor can have held and lost the shard.
+    /// Returns what the successor inherits, which is valid for one lease. The
+    /// grants of the former holder run for at most one lease, so no host but the
+    /// successor can have held and lost the shard within this time.
     fn inheritance_from(&self, holder: &CandidateState, copied: RequestRecord) -> Inheritance {
         Inheritance {
             remaining: self.holder_lease(),
@@ -382,7 +382,7 @@
 
 /// Removes `host` as the sender of its dispatches. No other host knows of them
 /// from now on, unless they were handed over.
-fn orphan_dispatches(next: &mut HomeState, host: ProcessIndex) {
+fn clear_dispatch_sender(next: &mut HomeState, host: ProcessIndex) {
     for dispatch in next.dispatches.iter_mut().flatten() {
         dispatch.sender = dispatch.sender.filter(|sender| *sender != host);
     }
@@ -405,8 +405,8 @@
     }
 }
 
-/// Drops all records of the request. After its deadline, nothing about it is
-/// decided any more.
+/// Drops all records of the request. After its deadline, no host decides anything
+/// about it.
 fn forget_request(next: &mut HomeState) {
     for host in &mut next.hosts {
         host.record = RequestRecord::Absent;
--- a/crates/cardamomwinch_model/src/homes/mistake.rs
+++ b/crates/cardamomwinch_model/src/homes/mistake.rs
@@ -1,4 +1,5 @@
-//! Rules of the specification of homes that can be left out, one at a time.
+//! Rules of the specification of homes that can be left out, one at a time. Their
+//! names are printed with the results of a search.
 
 use std::fmt;
 
--- a/crates/cardamomwinch_model/src/homes/mod.rs
+++ b/crates/cardamomwinch_model/src/homes/mod.rs
@@ -45,7 +45,8 @@
     OneDispatcher,
     /// Each copy that reaches a home is answered, or its answer is under way.
     CopyAnswered,
-    /// While a majority of voters and a candidate are up, a home can emerge.
+    /// While a majority of voters and a candidate are up, a candidate can become
+    /// home.
     HomeEmerges,
 }
 
@@ -231,8 +232,8 @@
         self.mistake == Some(mistake)
     }
 
-    /// The time from a lease request for which the candidate may act as holder.
-    /// It is shorter than the grants by the clock skew.
+    /// Returns how long a candidate may act as holder, counted from its lease
+    /// request: the duration of a grant less the clock skew.
     pub(crate) const fn holder_lease(&self) -> u8 {
         self.bounds.lease - self.bounds.skew
     }
--- a/crates/cardamomwinch_model/src/homes/requests.rs
+++ b/crates/cardamomwinch_model/src/homes/requests.rs
@@ -15,13 +15,13 @@
 pub enum CopyOutcome {
     /// Send it to the server at once.
     Dispatch,
-    /// Remember it until a slot is free.
+    /// Queue it until a slot is free.
     Queue,
-    /// Remember that it is refused, and answer "not run".
+    /// Record that it is refused, and answer "not run".
     Refuse,
-    /// Answer that the outcome is not known, and remember nothing.
+    /// Answer that the outcome is not known, and record nothing.
     OutcomeUnknown,
-    /// Answer with what is remembered, or wait for the answer that is under way.
+    /// Answer from the record, or wait for the answer that is under way.
     Repeat,
     /// Send nothing, because the deadline has passed and the caller no longer
     /// waits.
--- a/crates/cardamomwinch_model/src/homes/state.rs
+++ b/crates/cardamomwinch_model/src/homes/state.rs
@@ -61,7 +61,7 @@
     /// Whether the message that the predecessor gave up its lease has arrived. If
     /// not, it is still under way.
     pub committed: bool,
-    /// What the predecessor remembers, until that message arrives.
+    /// The record of the predecessor, until that message arrives.
     pub record: RequestRecord,
     /// Whether a host before the predecessor may have received the request.
     pub may_be_known_elsewhere: bool,
@@ -105,7 +105,7 @@
     pub sender: Option<ProcessIndex>,
     /// The number of the attempt.
     pub attempt: u8,
-    /// How long the server may still begin it if its clock is late.
+    /// How long the server may still begin it if its clock is behind.
     pub remaining: u8,
 }
 
--- a/crates/cardamomwinch_model/src/lib.rs
+++ b/crates/cardamomwinch_model/src/lib.rs
@@ -29,7 +29,7 @@
 pub mod homes;
 pub mod search;
 
-/// What users of the specifications need most often.
+/// The items that most users of the specifications need.
 pub mod prelude {
     pub use crate::adoption::{
         AdoptionBounds, AdoptionMistake, AdoptionProperty, AdoptionSpecification, LastChange,
--- a/crates/cardamomwinch_model/src/search.rs
+++ b/crates/cardamomwinch_model/src/search.rs
@@ -41,12 +41,12 @@
     fn may_rely_on(&self, property: Self::Property, action: Self::Action) -> bool;
 }
 
-/// The number of states above which a search gives up.
+/// The maximum number of states that a search visits before it gives up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StateLimit(usize);
 
 impl StateLimit {
-    /// Gives up above `count` states.
+    /// Creates a limit of `count` states.
     pub const fn new(count: usize) -> Self {
         Self(count)
     }
--- a/crates/cardamomwinch_model/tests/support/mod.rs
+++ b/crates/cardamomwinch_model/tests/support/mod.rs
@@ -451,8 +451,8 @@
         self.drive(index, event)
     }
 
-    /// Lets the server begin a request that is under way, by a clock that is late
-    /// by the skew. Returns `None` if it is too late to begin.
+    /// Lets the server begin a request that is under way. The server's clock is
+    /// behind by the skew. Returns `None` if it is too late to begin.
     pub(crate) fn begin(&mut self, position: usize) -> Option<UnderWay> {
         let dispatch = self.under_way.remove(position);
         let server_clock = self.now.before(self.limits.clock_skew);
