--- a/examples/capacity_slopes.rs
+++ b/examples/capacity_slopes.rs
@@ -1,9 +1,9 @@
-//! Measures what one host holds and spends as configuration, fleet and flows
-//! grow: each at three sizes, in a process of its own, so that the figures of
-//! `docs/CAPACITY.md` can be worked out again.
+//! Measures the memory and processor time of one host as configuration, fleet and
+//! flows grow: each at three sizes, in a separate process. The figures of
+//! `docs/CAPACITY.md` follow from the output.
 //!
 //! `cargo run --release --example capacity_slopes` prints the table;
-//! `-- --json` prints one JSON object a line besides.
+//! `-- --json` prints one JSON object per line in addition.
 #![allow(missing_docs)]
 
 use std::env;
@@ -21,27 +21,27 @@
 use serde_json::json;
 
 const SECOND: u64 = 1_000_000;
-const PAGE: u64 = 4096;
-/// Ticks of the control thread in one measured minute.
+const PAGE_BYTES: u64 = 4096;
+/// Ticks of the control thread in one minute.
 const TICKS: u64 = 600;
 const PACKETS: u32 = 200_000;
-/// Backend servers at the size to design for.
+/// Backend servers of the largest fleet that the design has to support.
 const TARGET_SERVERS: u64 = 26_000;
-/// Changes of one team's fragment that are measured: more than generations of
-/// tables are kept, so that making room for the newest is in the mean.
-const ONE_CHANGES: u64 = 20;
+/// Measured changes of one team's fragment. There are more than retained generations
+/// of lookup tables, so that the mean includes removing the oldest generation.
+const FRAGMENT_CHANGES: u64 = 20;
 
-/// What is made larger.
+/// The quantity that grows from one measurement to the next.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Subject {
     Servers,
     Hosts,
     Flows,
-    /// Published changes, each of every service, at the target's servers.
+    /// Published changes, each of every service, with `TARGET_SERVERS` servers.
     Generations,
-    /// Servers of a fleet in which one team's fragment changes.
+    /// Servers of a fleet in which the fragment of one team changes.
     OneChange,
-    /// Servers, as seen by a host that cannot become home of any.
+    /// Servers, on a host that can't become home of any.
     Unhomed,
 }
 
@@ -87,8 +87,8 @@
     }
 }
 
-/// Runs each measurement in a process of its own: memory that an earlier one
-/// gave back would hide what a later one takes.
+/// Runs each measurement in a separate process, because a later measurement would reuse
+/// memory that an earlier one freed and so appear too small.
 fn measure_all(json: bool) {
     println!(
         "{:<16}{:>10}{:>16}{:>16}{:>18}",
@@ -159,9 +159,9 @@
             format!("{} ms a change", spent.as_millis() as u64 / size)
         }
         Subject::OneChange => {
-            let changes = (1..=ONE_CHANGES).map(|change| fleet.change(&plan, 0..1, change));
+            let changes = (1..=FRAGMENT_CHANGES).map(|change| fleet.change(&plan, 0..1, change));
             let spent: time::Duration = changes.sum();
-            let each = spent.as_millis() as u64 / ONE_CHANGES;
+            let each = spent.as_millis() as u64 / FRAGMENT_CHANGES;
             format!("{each} ms a change")
         }
     };
@@ -176,7 +176,7 @@
     hint::black_box(&fleet);
 }
 
-/// Processor time of this thread, in which other programs do not count.
+/// The processor time of this thread, which other programs don't affect.
 fn thread_time() -> time::Duration {
     let spent = clock_gettime(ClockId::ThreadCPUTime);
     time::Duration::new(spent.tv_sec as u64, spent.tv_nsec as u32)
@@ -188,10 +188,10 @@
     let pages: u64 = pages
         .and_then(|pages| pages.parse().ok())
         .unwrap_or_default();
-    pages * PAGE / 1024
+    pages * PAGE_BYTES / 1024
 }
 
-/// How large the fleet is.
+/// The size of the fleet.
 struct FleetPlan {
     servers: u64,
     hosts: u64,
@@ -200,10 +200,10 @@
 const DOMAINS: u64 = 10;
 const SERVERS_PER_SERVICE: u64 = 10;
 const SERVICES_PER_TEAM: u64 = 10;
-/// So many that the flow table is the bound that is met first.
+/// Connections of each server: enough that the limit of the flow table is reached first.
 const CONNECTIONS: u64 = 100_000;
 
-/// The documents of a fleet.
+/// The configuration documents of a fleet.
 struct FleetDocuments {
     root: String,
     hosts: String,
@@ -248,14 +248,14 @@
                 address(7101),
                 address(7102)
             )
-            .expect("text takes whatever is written to it");
+            .expect("writing to a string cannot fail");
         }
         text.push_str("}}");
         text
     }
 
-    /// The fragment of a team after so many changes, of which each lowers the
-    /// weight of another server of every service.
+    /// The fragment of a team after `changes` changes. Each change lowers the weight
+    /// of another server of every service.
     fn fragment(&self, team: u64, changes: u64) -> String {
         let mut services = serde_json::Map::new();
         let first = team * SERVICES_PER_TEAM;
@@ -282,22 +282,21 @@
     }
 }
 
-/// Loopback addresses, of which the second byte tells what they are for. No
-/// datagram is ever sent to them.
+/// A loopback address whose second byte is `kind`. No datagram is ever sent to it.
 fn address(kind: u8, index: u64, port: u16) -> net::SocketAddr {
     let [.., high, low] = (index as u32).to_be_bytes();
     net::SocketAddr::from(([127, kind, high, low], port))
 }
 
-/// One host, driven through its public interface.
+/// A host that is driven through its public interface.
 struct DrivenHost {
     engine: HostEngine,
     now: Timestamp,
 }
 
 impl DrivenHost {
-    /// Starts the host and lets it settle; returns besides how long the control
-    /// thread took until so many servers were in force.
+    /// Starts the host and lets it settle. Also returns the processor time that the
+    /// control thread used until `servers` servers were in force.
     fn start(documents: &FleetDocuments, servers: u64) -> (Self, time::Duration) {
         let started = thread_time();
         let mut adoption = None;
@@ -323,7 +322,7 @@
                 adoption = Some(thread_time() - started);
             }
         }
-        let adoption = adoption.expect("a host adopts whatever its documents list");
+        let adoption = adoption.expect("a host adopts the servers in its documents");
         (host, adoption)
     }
 
@@ -350,7 +349,7 @@
 
     fn control(&mut self, event: ControlEvent) -> Vec<PlatformRequest> {
         let mut calls = Vec::new();
-        let mut asked = Vec::new();
+        let mut probed = Vec::new();
         let event = HostEvent::Control(event);
         self.engine.handle(
             self.now,
@@ -358,13 +357,13 @@
             &mut |effect: HostEffect<'_>| match effect {
                 HostEffect::Control(ControlEffect::Platform(request)) => calls.push(request),
                 HostEffect::Control(ControlEffect::ProbeLoad { backend, .. }) => {
-                    asked.push(backend);
+                    probed.push(backend);
                 }
                 _ => {}
             },
         );
-        // Servers that never answer would be judged anew in each tick.
-        for backend in asked {
+        // The health of servers that never answer would be evaluated again in each tick.
+        for backend in probed {
             let result = Ok(LoadReport {
                 busy_slots: 1,
                 connections: 100,
@@ -382,8 +381,8 @@
         self.control(ControlEvent::Tick)
     }
 
-    /// Lets these teams publish their next change; returns how long the control
-    /// thread took to bring all of them into force.
+    /// Publishes the next change of `teams` and returns the processor time that the
+    /// control thread used until all of them were in force.
     fn change(
         &mut self,
         plan: &FleetPlan,
@@ -396,15 +395,20 @@
             .collect();
         let root = plan.root(revision, texts.len() as u64);
         let started = thread_time();
-        self.learn(PlatformKey::Root, revision, root);
+        self.apply_document(PlatformKey::Root, revision, root);
         for (name, text) in texts {
-            self.learn(PlatformKey::Team(name), revision, text);
+            self.apply_document(PlatformKey::Team(name), revision, text);
         }
         self.step();
         thread_time() - started
     }
 
-    fn learn(&mut self, key: PlatformKey, revision: u64, text: String) -> Vec<PlatformRequest> {
+    fn apply_document(
+        &mut self,
+        key: PlatformKey,
+        revision: u64,
+        text: String,
+    ) -> Vec<PlatformRequest> {
         let request = PlatformRequest {
             key,
             after: None,
@@ -414,7 +418,7 @@
         self.control(ControlEvent::Platform(PlatformOutcome { request, result }))
     }
 
-    /// Processor time of the control thread with nothing happening.
+    /// Measures the processor time of the control thread of an idle host.
     fn measure_ticks(&mut self) -> String {
         let started = thread_time();
         for _ in 0..TICKS {
@@ -425,7 +429,8 @@
         format!("{share:.2} % of a core")
     }
 
-    /// Opens `count` flows and sends packets of them.
+    /// Opens `count` flows and sends packets on them; returns bytes per flow and time per
+    /// packet.
     fn measure_flows(&mut self, count: u64) -> String {
         let before = resident_kib();
         for index in 0..count {
--- a/examples/drive_one_host.rs
+++ b/examples/drive_one_host.rs
@@ -1,5 +1,5 @@
-//! Drives the whole decision logic of one host from outside: answers its calls
-//! to the platform, hands it a datagram, and prints what it decides.
+//! Drives the decision logic of one host without I/O: answers its calls to the
+//! platform, passes it a datagram, and prints the effects that it returns.
 #![allow(missing_docs)]
 
 use std::net;
--- a/examples/whole_path.rs
+++ b/examples/whole_path.rs
@@ -1,6 +1,6 @@
-//! Runs the whole path with real processes and prints what happened: the
-//! platform, the fabric, 18 backend servers, 6 entry hosts in 3 failure domains
-//! and callers of both services of the Budapest deployment.
+//! Runs the whole path with real processes and prints the outcomes: the platform,
+//! the fabric, 18 backend servers, 6 hosts in 3 failure domains, and callers of both
+//! services of the Budapest deployment.
 //!
 //! Build the programs first: `cargo build --workspace`.
 #![allow(missing_docs)]
@@ -11,8 +11,8 @@
 use cardamomwinch_standin::prelude::*;
 use serde_json::Value;
 
-const READY_LIMIT: time::Duration = time::Duration::from_secs(30);
-const RUN_LIMIT: time::Duration = time::Duration::from_secs(120);
+const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(120);
 const SESSIONS: u32 = 20;
 const REQUESTS: u32 = 10;
 
@@ -33,8 +33,8 @@
     let programs = ProgramDirectory::of_this_build()?;
     println!("starting the processes of the Budapest deployment");
     let plan = DeploymentPlan::budapest(2);
-    let deployment = Deployment::start(plan, programs.clone(), READY_LIMIT).await?;
-    deployment.wait_until_homes_agree(READY_LIMIT).await?;
+    let deployment = Deployment::start(plan, programs.clone(), READY_TIMEOUT).await?;
+    deployment.wait_until_homes_agree(READY_TIMEOUT).await?;
     let count = deployment.hosts.len();
     println!("{count} entry hosts are ready; every datagram goes to another one in turn");
     println!();
@@ -88,8 +88,8 @@
     ];
     let options = options.iter().flat_map(|(name, value)| [*name, value]);
     let mut caller = ChildProcess::start(programs.program("standin-caller"), options)?;
-    let line = caller.next_line(RUN_LIMIT).unwrap_or_default();
-    caller.wait(RUN_LIMIT)?;
+    let line = caller.next_line(CALLER_TIMEOUT).unwrap_or_default();
+    caller.wait(CALLER_TIMEOUT)?;
     Ok(serde_json::from_str(&line).unwrap_or_default())
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! cardamomwinch: a layer-4 load balancer whose entry hosts act as one without
-//! shared state.
+//! cardamomwinch: a layer-4 load balancer. Its hosts act as one towards callers
+//! without shared state.
 //!
 //! This crate re-exports the others of the workspace, so that a program that
 //! builds on the load balancer names one dependency:
@@ -24,7 +24,7 @@
 pub use cardamomwinch_state as state;
 pub use cardamomwinch_transport as transport;
 
-/// What programs that drive hosts need most often.
+/// The items that programs which embed a host use most often.
 pub mod prelude {
     pub use cardamomwinch_configuration::prelude::*;
     pub use cardamomwinch_coordination::prelude::*;
--- a/tests/administration.rs
+++ b/tests/administration.rs
@@ -1,4 +1,4 @@
-//! The administration API of running hosts, asked by `cardamomwinchctl`.
+//! The administration API of running hosts, called by `cardamomwinchctl`.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -11,12 +11,12 @@
 use serde_json::Value;
 use support::network::{self, FaultyDeployment};
 use support::sessions::SessionSet;
-use support::{LIMIT, last};
+use support::{LIMIT, pause};
 
 const SESSIONS: usize = 1;
 const SEARCH: &str = "benchmark-desk";
 
-/// What the command printed.
+/// The exit code and the output of the command.
 struct CommandOutput {
     code: Option<i32>,
     text: String,
@@ -51,9 +51,9 @@
     reply.unwrap().status
 }
 
-/// An operator asks a host how it is, whom it knows, which servers and flows
-/// it holds, and where a flow would go. What is printed agrees with what was
-/// published and with the server that in fact answered.
+/// The command prints the status of a host, its members, backend servers and flows,
+/// and where a flow would go. The output agrees with the published configuration and
+/// with the server that actually answered.
 #[test]
 fn the_command_shows_what_a_host_knows() {
     support::run(async |executor| {
@@ -81,8 +81,8 @@
     });
 }
 
-/// Every session is listed by some host, and the server that `explain` names
-/// for it is the one that answered.
+/// Checks that some host lists each session, and that `explain` names the server that
+/// answered it.
 fn check_flows(faulty: &FaultyDeployment, sessions: &SessionSet) {
     let mut listed = Vec::new();
     for host in &faulty.deployment.hosts {
@@ -103,16 +103,16 @@
     }
 }
 
-/// A host has no configuration yet: it lives, but is not ready. Once the
-/// platform answers it is. Told to stop by the command while it waits for
-/// answers, it is not ready any more, says that it is stopping, and ends.
+/// A host without a configuration is alive but not ready; it becomes ready once the
+/// platform answers. After the command has asked it to stop while it waits for answers,
+/// it is no longer ready, reports the phase `stopping`, and ends.
 #[test]
 fn a_host_is_ready_only_while_it_serves() {
     support::run(async |executor| {
         let mut plan = network::small_plan();
         plan.services[0].options = vec!["--service-ms-mean".to_owned(), "2000".to_owned()];
         let mut faulty = FaultyDeployment::start(plan).await;
-        let name = faulty.start_host_behind(0, 10, CutMode::Close).await;
+        let name = faulty.start_host_with_cut(0, 10, CutMode::Close).await;
         let admin = faulty.process(&name).address("admin_address").unwrap();
         assert_eq!(status_of(admin, "/healthz").await, 200);
         assert_ne!(status_of(admin, "/readyz").await, 200);
@@ -136,7 +136,7 @@
         .await;
         let stopped = CommandOutput::of(admin, &["--json", "stop"]).json();
         assert_eq!(stopped["accepted"], true);
-        support::eventually("the host to say that it is not ready", async || {
+        support::eventually("the host to report that it is not ready", async || {
             let ready = http::request(admin, "GET", "/readyz", "").await.ok()?;
             (ready.status != 200).then_some(())
         })
@@ -151,7 +151,7 @@
     });
 }
 
-/// Callers that always have a request in flight, until dropped.
+/// Starts callers that send one request after another until the tasks are dropped.
 fn keep_busy(executor: &TaskExecutor, faulty: &FaultyDeployment) -> Vec<async_executor::Task<()>> {
     let fabric = faulty.deployment.fabric_address("callers").unwrap();
     let service = faulty.deployment.plan.services[0].address;
@@ -166,7 +166,7 @@
                 client.open(b"", LIMIT).await.unwrap();
                 let deadline = network::REQUEST_LIFETIME;
                 drop(client.request(b"busy/", true, deadline).await.unwrap());
-                last(20).await;
+                pause(20).await;
             }
         })
     });
--- a/tests/administration_api.rs
+++ b/tests/administration_api.rs
@@ -1,5 +1,5 @@
-//! The page about the administration API against real processes, and the
-//! operators' command against the same hosts.
+//! Checks the page about the administration API and the operators' command
+//! against real processes.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,8 @@
 use serde_json::{Value, json};
 
 const LIMIT: time::Duration = time::Duration::from_secs(120);
-/// Flows go to homes by hash; so many do not all miss one host of three.
+/// The hash of a flow selects its home; it is practically impossible that none of 60
+/// flows belongs to one host of three.
 const FLOW_ATTEMPTS: usize = 60;
 
 fn run(main: impl AsyncFnOnce(&TaskExecutor)) {
@@ -31,9 +32,9 @@
     deployment
 }
 
-/// One host in each failure domain, a fragment that is refused, and an open
-/// flow that echoes its token and that the first host holds. So every list of
-/// the API has entries on that host.
+/// Starts one host in each failure domain, publishes a fragment that is refused, and
+/// opens a flow that echoes its token and whose home is the first host. So every list
+/// of the API has entries on that host.
 async fn deployment_with_flow(executor: &TaskExecutor) -> (Deployment, CallerClient) {
     let deployment = small_deployment(1).await;
     refuse_a_fragment(&deployment).await;
@@ -53,14 +54,14 @@
     panic!("the first host holds none of {FLOW_ATTEMPTS} flows");
 }
 
-/// Waits until the first host has heard of every other.
+/// Waits until the first host has received a message from every other host.
 async fn wait_until_members_are_known(deployment: &Deployment) {
     let limit = time::Instant::now() + LIMIT;
     loop {
         let members = deployment.call(0, "members", json!([])).await.unwrap();
         let members = members.as_array().unwrap();
-        let heard = members.iter().filter(|held| held["last_heard_ms"].is_u64());
-        if heard.count() == members.len() - 1 {
+        let received = members.iter().filter(|held| held["last_heard_ms"].is_u64());
+        if received.count() == members.len() - 1 {
             return;
         }
         assert!(time::Instant::now() < limit, "{members:?}");
@@ -68,8 +69,8 @@
     }
 }
 
-/// Publishes a team whose fragment has an error, and waits until every host
-/// says that it is refused.
+/// Publishes a team whose fragment has an error, and waits until every host reports
+/// it as refused.
 async fn refuse_a_fragment(deployment: &Deployment) {
     let broken = r#"{"team": "archive", "services": {}, "colour": "red"}"#;
     let revision = deployment.put("teams/archive", broken).await.unwrap();
@@ -102,7 +103,7 @@
     fs::read_to_string(root.join("docs/API.md")).unwrap()
 }
 
-/// The request and the response of each exchange on the page, in its order.
+/// The request and the response of each exchange on the page, in the order of the page.
 fn exchanges() -> Vec<(String, Value)> {
     let page = page();
     let blocks: Vec<&str> = page
@@ -120,8 +121,8 @@
         .collect()
 }
 
-/// The request of the page with what differs from run to run put in.
-fn present_request(request: &str, client: &CallerClient) -> String {
+/// The request of the page with the flow and the token of `client` inserted.
+fn request_of_run(request: &str, client: &CallerClient) -> String {
     let Ok(mut request) = serde_json::from_str::<Value>(request) else {
         return request.to_owned();
     };
@@ -138,16 +139,16 @@
     request.to_string()
 }
 
-/// Which types stand at which path. All entries of a list share one path.
+/// The JSON types at each path. All entries of a list share one path.
 type Shape = BTreeMap<String, BTreeSet<&'static str>>;
 
 fn shape(value: &Value) -> Shape {
     let mut found = Shape::new();
-    note_shape(value, "", &mut found);
+    add_shape(value, "", &mut found);
     found
 }
 
-fn note_shape(value: &Value, path: &str, found: &mut Shape) {
+fn add_shape(value: &Value, path: &str, found: &mut Shape) {
     let kind = match value {
         Value::Null => "null",
         Value::Bool(_) => "boolean",
@@ -158,15 +159,15 @@
     };
     found.entry(path.to_owned()).or_default().insert(kind);
     for entry in value.as_array().into_iter().flatten() {
-        note_shape(entry, &format!("{path}[]"), found);
+        add_shape(entry, &format!("{path}[]"), found);
     }
     for (name, entry) in value.as_object().into_iter().flatten() {
-        note_shape(entry, &format!("{path}.{name}"), found);
+        add_shape(entry, &format!("{path}.{name}"), found);
     }
 }
 
-/// Every exchange on the page is made again; its response has the fields and
-/// types of the real one, and errors the same code and text.
+/// Repeats every exchange of the page. Its response must have the fields and types of
+/// the real one, and errors the same code and text.
 #[test]
 fn each_exchange_on_the_page_is_as_a_host_answers() {
     run(async |executor| {
@@ -174,7 +175,7 @@
         let mut differing = String::new();
         let mut methods = BTreeSet::new();
         for (request, documented) in exchanges() {
-            let request = present_request(&request, &client);
+            let request = request_of_run(&request, &client);
             let (status, text) = post(&deployment, &request).await;
             let real: Value = serde_json::from_str(&text).unwrap();
             assert_eq!(status, 200);
@@ -193,7 +194,8 @@
     });
 }
 
-/// The other paths, wrong methods and oversized bodies answer as the page says.
+/// Responses to the other paths, to wrong methods and to oversized bodies are as on the
+/// page.
 #[test]
 fn paths_and_refusals_are_as_the_page_says() {
     run(async |executor| {
@@ -251,14 +253,14 @@
     std::str::from_utf8(bytes).unwrap()
 }
 
-/// The command prints what the host answers, as a table and as JSON.
+/// The command prints the answer of the host as a table and as JSON.
 #[test]
 fn the_command_prints_each_method_as_table_and_as_json() {
     run(async |executor| {
         let (deployment, client) = deployment_with_flow(executor).await;
         let flow = client.flow().to_string();
         let token = hexadecimal(&client);
-        let asked: [(&[&str], &str); 6] = [
+        let commands: [(&[&str], &str); 6] = [
             (&["status"], "phase             serving"),
             (&["members"], "REACHABILITY"),
             (&["backends"], "BACKEND SERVER"),
@@ -269,7 +271,7 @@
                 "reason            token",
             ),
         ];
-        for (words, expected) in asked {
+        for (words, expected) in commands {
             let table = ctl(&deployment, words);
             let printed = text(&table.stdout);
             assert_eq!(table.status.code(), Some(0), "{}", text(&table.stderr));
@@ -307,9 +309,9 @@
     }
 }
 
-/// `stop` by the API ends the process with exit code 0, and `readyz` is false
-/// meanwhile. Another host of the failure domain takes the shards; the last host
-/// of a failure domain has nobody to hand them to.
+/// `stop` ends the process with exit code 0, and meanwhile `/readyz` answers 503. The
+/// failure domain has two hosts, because its last host could hand its shards over to
+/// no one.
 #[test]
 fn a_stop_by_the_command_ends_the_host_with_exit_code_0() {
     run(async |_| {
@@ -332,7 +334,7 @@
             assert!(time::Instant::now() < limit, "the host does not end");
             async_io::Timer::after(time::Duration::from_millis(20)).await;
         };
-        assert!(unready, "the host said that it was ready until its end");
+        assert!(unready, "the host reported that it was ready until its end");
         assert_eq!(status.code(), Some(0));
     });
 }
--- a/tests/adoption.rs
+++ b/tests/adoption.rs
@@ -1,4 +1,5 @@
-//! A configuration, once accepted, is in force everywhere and never reverts.
+//! A configuration version that was accepted comes into force on all hosts and is
+//! never reverted.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -13,12 +14,12 @@
 use cardamomwinch_standin::runtime;
 use serde_json::{Value, json};
 use support::network::{self, FaultyDeployment};
-use support::{LIMIT, last};
+use support::{LIMIT, pause};
 
 const SEARCH: &str = "benchmark-desk";
 const ARCHIVE: &str = "docvault";
 
-/// Looks at the version of every host again and again.
+/// Polls the version of every host and records each decrease.
 struct VersionWatch {
     stop: sync::Arc<atomic::AtomicBool>,
     reverts: sync::Arc<sync::Mutex<Vec<String>>>,
@@ -59,8 +60,8 @@
     let body = json!({"jsonrpc": "2.0", "id": 1, "method": "status"}).to_string();
     let mut highest = 0;
     while !stop.load(atomic::Ordering::Relaxed) {
-        last(20).await;
-        // A host that was killed answers nothing and reverts nothing.
+        pause(20).await;
+        // A killed host doesn't answer, which is no revert.
         let Ok(reply) = http::request(admin, "POST", "/", body.clone()).await else {
             continue;
         };
@@ -96,9 +97,9 @@
     .await;
 }
 
-/// Operators switch the preset; while the news spreads, a host is killed, and
-/// another the next time. Whichever host the others were learning from, every
-/// host that lives comes to hold the new version.
+/// Guards against a new version that doesn't reach all hosts because the host from
+/// which others fetch it is killed. Operators switch the preset twice, and each time
+/// another host is killed while the version spreads.
 #[test]
 fn a_version_spreads_although_a_host_is_killed_meanwhile() {
     support::run(async |executor| {
@@ -120,9 +121,10 @@
     });
 }
 
-/// The platform is silent, late and stale, answers garbage, and goes back to
-/// the first values it ever held. Hosts keep what they accepted. When it is
-/// well again, they learn what was published meanwhile.
+/// Guards against a faulty platform that reverts a version. The platform doesn't
+/// answer, answers late, with stale values or with garbage, refuses, and goes back to
+/// its first values. Hosts keep the version that they accepted, and once the platform
+/// is healthy again they adopt what was published meanwhile.
 #[test]
 fn no_fault_of_the_platform_reverts_a_version() {
     support::run(async |executor| {
@@ -140,10 +142,10 @@
             FaultMode::Back,
         ] {
             faulty.set_platform_fault(mode, 500).await;
-            last(700).await;
+            pause(700).await;
         }
         let during = switch(&mut faulty, "maintenance").await;
-        last(700).await;
+        pause(700).await;
         faulty.set_platform_fault(FaultMode::None, 0).await;
         faulty.wait_for_version(during).await;
         wait_for_preset(&faulty, "maintenance").await;
@@ -151,14 +153,14 @@
     });
 }
 
-/// A host starts and never hears from the platform, which soon is down for
-/// all. The others hold a list that names it; it learns from them what is in
-/// force, and serves.
+/// A host starts without a connection to the platform, which then fails for all
+/// hosts. The other hosts have a host list that contains it, so it fetches the
+/// configuration in force from them and serves.
 #[test]
 fn a_cold_host_becomes_ready_from_its_peers_while_the_platform_is_down() {
     support::run(async |_| {
         let mut faulty = start().await;
-        let name = faulty.start_host_behind(0, 10, CutMode::Close).await;
+        let name = faulty.start_host_with_cut(0, 10, CutMode::Close).await;
         let all = faulty.hosts(None);
         let listed = faulty.deployment.publish_hosts().await.unwrap();
         support::eventually("the list with the new host", async || {
@@ -178,9 +180,9 @@
     });
 }
 
-/// One team publishes a broken fragment while another changes its own. The
-/// broken one is refused alone and named to operators; the team's last good
-/// one stays in force, and the other team's change comes into force.
+/// One team publishes a broken fragment while another team changes its own. Only the
+/// broken fragment is refused, and `status` names it; the last valid fragment of its
+/// team stays in force, and the change of the other team comes into force.
 #[test]
 fn a_bad_fragment_is_refused_alone_and_named() {
     support::run(async |_| {
@@ -224,9 +226,9 @@
     });
 }
 
-/// Two operators switch the preset again and again at the same time, while a
-/// domain is cut off from the platform. All hosts end on the preset that was
-/// published last, and each holds exactly one at any moment.
+/// Two operators switch the preset repeatedly at the same time, while a domain is cut
+/// off from the platform. All hosts end with the preset that was published last, and
+/// the version of no host decreases.
 #[test]
 fn after_two_operators_raced_all_hosts_hold_the_last_preset() {
     support::run(async |executor| {
--- a/tests/backend_servers.rs
+++ b/tests/backend_servers.rs
@@ -7,8 +7,8 @@
 use serde_json::Value;
 
 const LIMIT: time::Duration = time::Duration::from_secs(120);
-/// As long as the lifetime of requests in the plan: a home that has just begun
-/// knows that no earlier one can have seen a request with such a deadline.
+/// The lifetime of requests in the plan: a host that has just become home knows that
+/// no earlier home can have received a request with such a deadline.
 const DEADLINE: time::Duration = time::Duration::from_secs(5);
 
 fn run(main: impl AsyncFnOnce(&TaskExecutor)) {
@@ -35,7 +35,8 @@
     CallerClient::bind(executor, settings).await.unwrap()
 }
 
-/// Opens `count` flows, each by a new caller where one was refused.
+/// Opens `count` flows, each with its own caller; a caller whose opening is refused is
+/// replaced.
 async fn open_flows(
     executor: &TaskExecutor,
     deployment: &Deployment,
@@ -61,7 +62,7 @@
     reply.json().unwrap()
 }
 
-/// The phase of a backend server as each host reports it to operators.
+/// The phase of a backend server in the administration API of each host.
 async fn known_phases(deployment: &Deployment, index: usize) -> Vec<String> {
     let name = &deployment.backends[index].name;
     let mut phases = Vec::new();
@@ -84,12 +85,11 @@
         .sum()
 }
 
-/// An operator drains a server at the server itself, while advisers have
-/// sessions there. Three seconds later the server must not be offered a single
-/// new flow (it would shed it and the caller would lose time), and the sessions
-/// that it has must go on.
+/// An operator drains a server at the server itself, while it has sessions. Three
+/// seconds later hosts must not open a single new flow on the server (it would shed it
+/// and the caller would lose time), and its sessions must go on.
 #[test]
-fn a_draining_server_is_offered_no_new_flow_and_keeps_those_it_has() {
+fn a_server_that_reports_draining_gets_no_new_flow_and_keeps_its_sessions() {
     run(async |executor| {
         let deployment = deployment(6, &[]).await;
         let sessions = open_flows(executor, &deployment, 30).await;
@@ -119,8 +119,8 @@
     });
 }
 
-/// Guards against requests that hear nothing, or not the truth, where far more are sent than
-/// the servers can run.
+/// Guards against callers that get no reply or a false one when they send far more
+/// requests than the servers can run.
 #[test]
 fn under_overload_each_request_is_answered_or_refused_and_runs_accordingly() {
     run(async |executor| {
--- a/tests/forged_messages.rs
+++ b/tests/forged_messages.rs
@@ -1,5 +1,5 @@
-//! Forged and replayed messages change nothing, and hosts never write to the
-//! platform.
+//! Forged and replayed messages don't change a host's state, and hosts never write
+//! to the platform.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -19,12 +19,12 @@
 use cardamomwinch_standin::prelude::*;
 use cardamomwinch_standin::runtime;
 use serde_json::Value;
-use support::last;
 use support::network::{self, FaultyDeployment};
+use support::pause;
 use support::requests::RequestLoad;
 use support::sessions::SessionSet;
 
-/// Recorded messages that are waited for, and of which copies are sent.
+/// Number of messages that a test records and sends again.
 const RECORDED: usize = 50;
 const REPLAYED: &str = "cardamomwinch_peer_messages_replayed_total";
 const SESSIONS: usize = 2;
@@ -32,7 +32,7 @@
 const CALLERS: usize = 3;
 const PROGRESS: usize = 15;
 
-/// Stands before one address of a host, and keeps a copy of what passes.
+/// Forwards datagrams to one address of a host and records a copy of each.
 struct DatagramTap {
     address: net::SocketAddr,
     to: net::SocketAddr,
@@ -46,7 +46,7 @@
         let any = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
         let (socket, address) = fabric::bind_datagrams(any).await.unwrap();
         let recorded = sync::Arc::new(sync::Mutex::new(Vec::new()));
-        let task = executor.spawn(carry(socket.clone(), to, recorded.clone()));
+        let task = executor.spawn(forward(socket.clone(), to, recorded.clone()));
         Self {
             address,
             to,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Waits until enough was recorded and returns that much.
+    /// Waits for [`RECORDED`] datagrams and returns them.
     async fn recorded(&self) -> Vec<Vec<u8>> {
         support::eventually("datagrams to record", async || {
             let recorded = runtime::locked(&self.recorded);
@@ -70,7 +70,7 @@
     }
 }
 
-async fn carry(
+async fn forward(
     socket: UdpSocket,
     to: net::SocketAddr,
     recorded: sync::Arc<sync::Mutex<Vec<Vec<u8>>>>,
@@ -85,17 +85,17 @@
     }
 }
 
-/// Whether a replay of `datagram` is dropped and counted. Messages about the
-/// configuration may overtake others, so that their copies are merged instead;
-/// that changes nothing either.
+/// Whether a host drops and counts a replay of `datagram`. Messages about the
+/// configuration may arrive out of order, so their copies are merged instead, which
+/// changes nothing either.
 fn counts_as_replayed(datagram: &[u8]) -> bool {
     let keys = AuthenticationKeys::new(SecretKey::new([1; 32]), None);
     let envelope: PeerEnvelope = keys.open(PEER_CONTEXT, datagram).unwrap();
     !matches!(envelope.message, PeerMessage::Configuration(_))
 }
 
-/// The same message as `datagram`, signed with a key that no host accepts.
-fn signed_by_other(context: u8, datagram: &[u8]) -> Vec<u8> {
+/// The message in `datagram`, signed with a key that no host accepts.
+fn signed_with_other_key(context: u8, datagram: &[u8]) -> Vec<u8> {
     let keys = AuthenticationKeys::new(SecretKey::new([9; 32]), None);
     let body = &datagram[CODE_LENGTH..];
     let mut buffer = [0; CODE_LENGTH];
@@ -103,7 +103,7 @@
     [code, body].concat()
 }
 
-/// The value of a counter of a host; zero where it never counted.
+/// The value of a counter of a host; zero if the host doesn't list it yet.
 async fn metric(admin: net::SocketAddr, name: &str) -> u64 {
     let reply = http::request(admin, "GET", "/metrics", "").await.unwrap();
     assert_eq!(reply.status, 200);
@@ -120,10 +120,10 @@
     .await;
 }
 
-/// A deployment one of whose hosts is reached through taps.
+/// A deployment in which taps record the datagrams to one host.
 struct TappedDeployment {
     faulty: FaultyDeployment,
-    /// The name of that host; it is home of a server.
+    /// The name of that host, which is home of a server.
     name: String,
     admin: net::SocketAddr,
     peer: DatagramTap,
@@ -156,39 +156,39 @@
     }
 }
 
-/// What a host says of itself that no forged message may change.
-async fn beliefs(tapped: &TappedDeployment) -> Vec<Value> {
+/// The state in a host's administration API that no forged message may change.
+async fn known_state(tapped: &TappedDeployment) -> Vec<Value> {
     let (faulty, name) = (&tapped.faulty, &tapped.name);
     let status = faulty.call(name, "status").await.unwrap();
-    let mut beliefs: Vec<_> = ["version", "preset", "host_list_version", "phase"]
+    let mut state: Vec<_> = ["version", "preset", "host_list_version", "phase"]
         .iter()
         .map(|field| status[field].clone())
         .collect();
     let members = faulty.call(name, "members").await.unwrap();
     for member in members.as_array().unwrap() {
-        beliefs.push(member["host"].clone());
-        beliefs.push(member["reachability"].clone());
-        beliefs.push(member["incarnation"].clone());
+        state.push(member["host"].clone());
+        state.push(member["reachability"].clone());
+        state.push(member["incarnation"].clone());
     }
-    beliefs
+    state
 }
 
-/// Somebody who can send to a host's own addresses sends noise, and messages
-/// of the right shape that are signed with another key. The host counts them
-/// and goes on as before.
+/// Guards against a host that handles messages of an attacker who can send to its
+/// addresses. The attacker sends noise, and valid messages that are signed with another
+/// key. The host counts them and its state stays the same.
 #[test]
 fn messages_that_no_host_signed_are_counted_and_change_nothing() {
     support::run(async |executor| {
         let tapped = start_tapped(executor).await;
         let deployment = &tapped.faulty.deployment;
         let sessions = SessionSet::open(executor, deployment, SESSIONS).await;
-        let before = beliefs(&tapped).await;
+        let before = known_state(&tapped).await;
         for (tap, context) in [(&tapped.peer, PEER_CONTEXT), (&tapped.relay, RELAY_CONTEXT)] {
             for (index, recorded) in tap.recorded().await.iter().enumerate() {
-                tap.send(&signed_by_other(context, recorded)).await;
+                tap.send(&signed_with_other_key(context, recorded)).await;
                 tap.send(&vec![index as u8; 3 * index]).await;
-                // So many at once that the socket loses some would prove less.
-                last(1).await;
+                // A burst could overflow the socket, and the host wouldn't count all.
+                pause(1).await;
             }
         }
         let sent = 2 * RECORDED as u64;
@@ -200,44 +200,43 @@
         .await;
         wait_for_metric(tapped.admin, "cardamomwinch_forged_relays_total", sent).await;
         sessions.wait_for_progress(PROGRESS as u64).await;
-        assert_eq!(beliefs(&tapped).await, before);
+        assert_eq!(known_state(&tapped).await, before);
         sessions.finish().await;
     });
 }
 
-/// Somebody records what other hosts send to a host, and sends all of it
-/// again. Control messages are counted as replayed and change nothing; relayed
-/// requests do not run again.
+/// Guards against replays. An attacker records what other hosts send to a host, and
+/// sends all of it again. Control messages are counted as replayed and change nothing;
+/// relayed requests don't run again.
 #[test]
 fn replayed_messages_of_hosts_change_nothing() {
     support::run(async |executor| {
         let tapped = start_tapped(executor).await;
         let load = RequestLoad::start(executor, &tapped.faulty.deployment, CALLERS);
         load.wait_for_answers(PROGRESS).await;
-        let before = beliefs(&tapped).await;
+        let before = known_state(&tapped).await;
         let metric_before = metric(tapped.admin, REPLAYED).await;
         let mut sent = 0;
         for recorded in tapped.peer.recorded().await {
             sent += u64::from(counts_as_replayed(&recorded));
             tapped.peer.send(&recorded).await;
-            last(1).await;
+            pause(1).await;
         }
         for recorded in tapped.relay.recorded().await {
             tapped.relay.send(&recorded).await;
-            last(1).await;
+            pause(1).await;
         }
         assert!(sent > 0);
         wait_for_metric(tapped.admin, REPLAYED, metric_before + sent).await;
         load.wait_for_answers(PROGRESS).await;
-        assert_eq!(beliefs(&tapped).await, before);
+        assert_eq!(known_state(&tapped).await, before);
         let finished = load.finish().await;
         finished.check(&tapped.faulty).await;
     });
 }
 
-/// Hosts start, learn of changes, meet a platform that refuses them, and stop.
-/// Nobody may write to the platform but its operators: all that it counted are
-/// reads and watches.
+/// Hosts start, receive changes, retry while the platform refuses calls, and stop. Only
+/// operators may write to the platform: all calls that it counted are reads and watches.
 #[test]
 fn hosts_only_read_from_the_platform() {
     support::run(async |executor| {
--- a/tests/graceful_stop.rs
+++ b/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! Every planned stop is graceful: it cuts no request in flight.
+//! Every planned stop is graceful: it cuts off no request in flight.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -8,19 +8,21 @@
 use cardamomwinch_standin::prelude::*;
 use serde_json::Value;
 use support::network::{self, FaultyDeployment};
-use support::{LIMIT, last, requests};
+use support::{LIMIT, pause, requests};
 
 const CALLERS: usize = 12;
 /// How long a request runs, in milliseconds: long enough that it still runs
-/// when the host is told to stop.
+/// when the host is asked to stop.
 const SERVICE_MS: &str = "1000";
-/// How long a request runs that must not end before its host is told to stop twice.
+/// How long a request runs, in milliseconds, if it must not end before its host has
+/// been asked to stop twice.
 const LONG_SERVICE_MS: &str = "4000";
-/// The longest time between first sending and deadline.
+/// The longest time between the first sending of a request and its deadline, in
+/// milliseconds.
 const LIFETIME_MS: u64 = 6000;
 const DEADLINE: time::Duration = time::Duration::from_millis(5500);
 
-/// A request and what its caller was told.
+/// A request and the outcome that its caller saw.
 #[derive(Debug)]
 struct SentRequest {
     client: CallerClient,
@@ -37,7 +39,8 @@
     }
 }
 
-/// Prints what the hosts decided about the flows of `requests`, and when servers ran them.
+/// Prints the log lines of the hosts about the flows of `requests`, and the runs of these
+/// flows on backend servers.
 fn print_decisions(faulty: &FaultyDeployment, requests: &[&SentRequest], reports: &[Value]) {
     let flows: Vec<_> = requests
         .iter()
@@ -63,13 +66,13 @@
     plan.services[0].options = vec!["--service-ms-mean".to_owned(), service_ms.to_owned()];
     plan.limits["request_lifetime_ms"] = serde_json::json!(LIFETIME_MS);
     let faulty = FaultyDeployment::start(plan).await;
-    // A home host does not run what may have been sent before it became one:
-    // requests whose deadline is less than a lifetime after that moment.
-    last(1000).await;
+    // A home host doesn't run requests that may have been sent before it became
+    // home: those whose deadline is less than a lifetime after that time.
+    pause(1000).await;
     faulty
 }
 
-/// Opens flows and sends one request on each, and returns once as many run.
+/// Opens flows, sends one request on each, and returns once a server runs one.
 async fn send_requests(
     executor: &TaskExecutor,
     faulty: &FaultyDeployment,
@@ -117,9 +120,10 @@
     .await
 }
 
-/// Filings run when the host that waits for their answers is told to stop.
-/// Their callers get the answers all the same, or hear that the filing was not
-/// run; the process ends by itself and says that it cut nothing.
+/// Guards against a graceful stop that cuts off requests in flight. Requests run when
+/// the host that waits for their answers is asked to stop. Their callers get the
+/// answers, or a refusal if the request didn't run, and the process ends by itself with
+/// exit code 0.
 #[test]
 fn requests_in_flight_are_answered_although_their_home_host_stops() {
     support::run(async |executor| {
@@ -147,11 +151,11 @@
     });
 }
 
-/// An operator is in a hurry and asks twice. The second signal ends the host
-/// at once, which cuts the requests that it waits for; it says how many. The host
-/// is the last one of its domain, so that it cannot hand them over between the two.
+/// A second signal ends the host at once, which cuts off the requests that it waits
+/// for; the log states how many. The host is the last one of its domain, so that it
+/// can't hand them over between the two signals.
 #[test]
-fn a_second_signal_ends_the_host_at_once_and_says_what_it_cut() {
+fn a_second_signal_ends_the_host_at_once_and_logs_what_it_cut_off() {
     support::run(async |executor| {
         let mut plan = network::small_plan();
         for domain in &mut plan.domains {
@@ -163,7 +167,7 @@
         let process = faulty.process(&stopping);
         process.terminate().unwrap();
         // Two signals that are pending together count as one, so the second
-        // is sent once the first was taken.
+        // is sent after the host has handled the first.
         let stopping_line = wait_for_line(process, "stopping gracefully");
         assert!(stopping_line.is_some());
         process.terminate().unwrap();
@@ -177,11 +181,11 @@
     });
 }
 
-/// Both hosts of a failure domain are stopped, one after the other. The second
-/// has nobody in its domain to hand its homes to; it must not wait for ever, nor
-/// say that it cut something where no request is pending.
+/// Both hosts of a failure domain are stopped, one after the other. No host of the
+/// domain remains to which the second could hand its shards over; it must not wait
+/// forever, nor report that it cut off requests if none is pending.
 #[test]
-fn the_last_host_of_a_domain_stops_without_cutting_anything() {
+fn the_last_host_of_a_domain_stops_without_cutting_off_requests() {
     support::run(async |_| {
         let mut faulty = FaultyDeployment::start(network::small_plan()).await;
         for name in faulty.hosts(Some("bud-csepel")) {
@@ -190,7 +194,8 @@
     });
 }
 
-/// The next line of the log that contains `text`.
+/// Returns the next line of the log that contains `text`; `None` if the log ends or
+/// the process writes nothing for [`LIMIT`].
 fn wait_for_line(process: &ChildProcess, text: &str) -> Option<String> {
     loop {
         let line = process.next_line(LIMIT)?;
--- a/tests/key_change.rs
+++ b/tests/key_change.rs
@@ -1,5 +1,5 @@
 //! The operators' steps for a change of the signing key, with real processes:
-//! three passes over all hosts, each host replaced in turn.
+//! three passes in which all hosts are replaced one after the other.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::time;
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 const LIMIT: time::Duration = time::Duration::from_secs(120);
-/// The lifetime of requests in the plan; callers use all of it, as the page says.
+/// The lifetime of requests in the plan; callers use all of it, as the page recommends.
 const DEADLINE: time::Duration = time::Duration::from_secs(5);
 const HOSTS: usize = 3;
 
@@ -29,7 +29,8 @@
     deployment
 }
 
-/// Replaces the host `index` as the page says, with the keys of the deployment.
+/// Replaces the host `index` in the steps of the page, with the current keys of the
+/// deployment.
 async fn replace_host(deployment: &mut Deployment, index: usize) {
     let domain = deployment.plan.domains[0].name;
     let name = format!("{domain}-{index}");
@@ -46,7 +47,7 @@
         assert!(time::Instant::now() < limit, "{name} does not end");
         async_io::Timer::after(time::Duration::from_millis(50)).await;
     };
-    assert_eq!(status.code(), Some(0), "{name} cut something off");
+    assert_eq!(status.code(), Some(0), "{name} cut off requests");
     deployment.hosts.remove(position);
     deployment.start_host(0, index).unwrap();
     deployment.publish_hosts().await.unwrap();
@@ -55,7 +56,7 @@
     deployment.wait_until_homes_agree(LIMIT).await.unwrap();
 }
 
-async fn ask(client: &CallerClient, payload: &str) {
+async fn send_request(client: &CallerClient, payload: &str) {
     let outcome = client.request(payload.as_bytes(), false, DEADLINE);
     let outcome = outcome.await.unwrap();
     assert!(
@@ -64,9 +65,9 @@
     );
 }
 
-/// An operator changes the key while sessions are open. Were a host to sign with
-/// a key that another does not accept, leases would run out and sessions stall;
-/// were tokens of the old key refused too early, sessions would be reset.
+/// An operator changes the key while sessions are open. If a host signed with a key
+/// that another host doesn't accept, leases would expire and sessions would stall. If
+/// hosts refused tokens of the old key too early, sessions would be reset.
 #[test]
 fn a_key_is_changed_in_three_passes_while_sessions_go_on() {
     run(async |executor| {
@@ -93,7 +94,7 @@
             for index in 0..HOSTS {
                 replace_host(&mut deployment, index).await;
                 for (number, client) in clients.iter().enumerate() {
-                    ask(client, &format!("{pass}-{index}-{number}")).await;
+                    send_request(client, &format!("{pass}-{index}-{number}")).await;
                 }
             }
         }
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come to their hosts later than what load reports say of them.
+//! Answers that reach hosts later than a load report that already covers their end.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -8,13 +8,13 @@
 use cardamomwinch_standin::faults::CutMode;
 use cardamomwinch_standin::prelude::*;
 use support::network::{self, FaultyDeployment};
-use support::{LIMIT, last, requests};
+use support::{LIMIT, pause, requests};
 
 const CALLERS: usize = 12;
 /// How long a request runs, in milliseconds.
 const SERVICE_MS: &str = "1000";
-/// How late the fabric hands each datagram on: later than hosts expect an answer after a
-/// load report.
+/// The delay of each datagram in the fabric: longer than hosts wait for an answer
+/// after a load report.
 const FABRIC_DELAY: DatagramFaults = DatagramFaults {
     loss: 0.0,
     double: 0.0,
@@ -23,14 +23,15 @@
     reorder: 0.0,
     cut: CutMode::None,
 };
-/// The longest time between first sending and deadline.
+/// The longest time between the first sending of a request and its deadline, in
+/// milliseconds.
 const LIFETIME_MS: u64 = 6000;
 const DEADLINE: time::Duration = time::Duration::from_millis(5500);
 /// Rounds of requests, so that load reports fall between runs and answers.
 const ROUNDS: usize = 4;
 
-/// Guards against callers being told that the outcome is unknown while their answer is on
-/// a slow way, because the server says meanwhile that it has ended the request.
+/// Guards against callers that get "outcome unknown" while their answer is delayed,
+/// because a load report of the server already says that the request has ended.
 #[test]
 fn requests_whose_answers_are_slower_than_load_reports_are_answered() {
     support::run(async |executor| {
@@ -38,8 +39,8 @@
         plan.services[0].options = vec!["--service-ms-mean".to_owned(), SERVICE_MS.to_owned()];
         plan.limits["request_lifetime_ms"] = serde_json::json!(LIFETIME_MS);
         let faulty = FaultyDeployment::start(plan).await;
-        // Until then a home does not run what an earlier one may have sent.
-        last(1000).await;
+        // Until then a new home doesn't run requests that an earlier home may have sent.
+        pause(1000).await;
         faulty.set_fabric_faults(FABRIC_DELAY).await;
         let fabric = faulty.deployment.fabric_address("callers").unwrap();
         let service = faulty.deployment.plan.services[0].address;
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -1,5 +1,5 @@
-//! A backend server that is leaving gets no new flow a few seconds after that
-//! was published, and keeps the flows it has.
+//! A draining backend server gets no new flow from a few seconds after its phase was
+//! published, and keeps the flows that it has.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use support::network::{self, FaultyDeployment};
 use support::sessions::SessionSet;
-use support::{LIMIT, last};
+use support::{LIMIT, pause};
 
 const SEARCH: &str = "benchmark-desk";
 const SESSIONS: usize = 3;
@@ -29,8 +29,8 @@
     for index in 0..NEW_FLOWS {
         let mut settings = CallerSettings::new(fabric, service);
         settings.echoes_token = index % 2 == 0;
-        // Where a home host is not known yet after the pause, the opening is
-        // refused, and a caller tries again on another flow.
+        // While no home host is known after the pause, the opening is refused and
+        // the caller retries with another flow.
         let client = support::eventually("a flow to open", async || {
             let client = CallerClient::bind(executor, settings).await.unwrap();
             let opened = client.open(b"", LIMIT).await.unwrap();
@@ -41,10 +41,10 @@
     clients
 }
 
-/// A search server is published as draining while a host is paused and another
-/// is cut off from the platform. The paused host wakes with the old list.
-/// Nobody is opened on the server after a few seconds, through whichever host
-/// the opening comes; the sessions it holds go on.
+/// Guards against a host with an old server list that opens flows on a draining
+/// server. A search server is published as draining while one host is paused and
+/// another is cut off from the platform; the paused host resumes with the old list.
+/// After a few seconds no host opens a flow on the server, and its sessions go on.
 #[test]
 fn a_draining_server_gets_no_new_flow_and_keeps_its_sessions() {
     support::run(async |executor| {
@@ -64,11 +64,11 @@
         faulty.process(&paused).pause().unwrap();
         faulty.deployment.publish_team(SEARCH).await.unwrap();
         let version = faulty.deployment.publish_root().await.unwrap();
-        last(3000).await;
+        pause(3000).await;
         faulty.process(&paused).resume().unwrap();
         faulty.wait_for_version(version).await;
-        // Openings that were on their way when the hosts learned of it.
-        last(1000).await;
+        // Lets openings arrive that were in flight when the hosts received the change.
+        pause(1000).await;
         let before = report(address).await["open_flows"].as_u64().unwrap();
         assert!(before > 0);
         let clients = open_flows(executor, &faulty).await;
--- a/tests/operating_page.rs
+++ b/tests/operating_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page against the sources: metrics, reasons and exit codes.
+//! Checks the operators' page against the sources: metrics, reasons and outcomes.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::collections::BTreeSet;
@@ -15,7 +15,8 @@
     fs::read_to_string(root().join(file)).unwrap()
 }
 
-/// The text of every source file of the programs, without the stand-ins.
+/// The concatenated source files of all crates except the stand-ins, without tests and
+/// benches.
 fn sources() -> String {
     let mut directories = vec![root().join("crates"), root().join("platform")];
     let mut text = String::new();
@@ -35,7 +36,7 @@
     text
 }
 
-/// Words of lower-case letters and underscores between `quote`s.
+/// The words of lower-case letters and underscores that stand between two `quote`s.
 fn quoted(text: &str, quote: char) -> BTreeSet<String> {
     let words = text.split(quote);
     let snake = |word: &&str| {
@@ -58,7 +59,7 @@
         .collect()
 }
 
-/// The texts that an enum of the sources prints.
+/// The words in quotes in the `Display` implementation of `enumeration` in `file`.
 fn printed_by(file: &str, enumeration: &str) -> BTreeSet<String> {
     let source = read(file);
     let begin = source
--- a/tests/operating_steps.rs
+++ b/tests/operating_steps.rs
@@ -1,6 +1,6 @@
-//! Steps of the operators' page with real processes: switching a preset, draining
-//! and removing a server, adding a host, losing one, a platform that does not
-//! answer, a second signal, following a flow in the log.
+//! The steps of the operators' page with real processes: switching a preset, draining
+//! and removing a server, adding a host, losing a host, a platform that doesn't
+//! answer, a second signal, and following a flow in the log.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::time;
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 const LIMIT: time::Duration = time::Duration::from_secs(120);
-/// The lifetime of requests in the plan; callers use all of it, as the page says.
+/// The lifetime of requests in the plan; callers use all of it, as the page recommends.
 const DEADLINE: time::Duration = time::Duration::from_secs(5);
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 const SERVICE: &str = "benchmark-desk";
@@ -56,9 +56,9 @@
     sessions
 }
 
-/// Lets every session ask once. Where one is not answered, all that the hosts have
-/// logged is printed: a failure that shows once must explain itself.
-async fn ask_all(deployment: &Deployment, sessions: &[CallerClient]) {
+/// Sends one request on every session. If one isn't answered, the logs of all hosts
+/// are printed, because the failure may not occur a second time.
+async fn request_on_all(deployment: &Deployment, sessions: &[CallerClient]) {
     for session in sessions {
         let outcome = session.request(b"query", false, DEADLINE).await.unwrap();
         if !matches!(outcome, RequestOutcome::Answered { .. }) {
@@ -91,8 +91,8 @@
 }
 
 /// An operator switches to the preset in which one server drains, and back.
-/// Sessions on that server go on; new flows go elsewhere while it drains; and
-/// the way back is a higher version, not an older one.
+/// Sessions on that server go on, new flows go to other servers while it drains, and
+/// switching back creates a higher version.
 #[test]
 fn a_preset_is_switched_and_switched_back_while_sessions_go_on() {
     run(async |executor| {
@@ -104,7 +104,7 @@
         deployment.publish_team(SERVICE).await.unwrap();
         let before = switch(&mut deployment, "ordinary").await;
         let sessions = open_sessions(executor, &deployment, 12).await;
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
 
         let during = switch(&mut deployment, "deadline-peak").await;
         for position in 0..deployment.hosts.len() {
@@ -118,17 +118,17 @@
         let held = open_flows(&deployment, 0).await;
         open_sessions(executor, &deployment, 12).await;
         assert_eq!(open_flows(&deployment, 0).await, held);
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
 
         let after = switch(&mut deployment, "ordinary").await;
         assert!(before < during && during < after);
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
         let reports = deployment.run_reports().await.unwrap();
         assert!(reports.iter().all(|report| report["repeated"] == json!([])));
     });
 }
 
-/// Flows that the hosts count on `backend`, over all homes.
+/// The sum of the flows that all hosts count on `backend`.
 async fn counted_flows(deployment: &Deployment, backend: &str) -> u64 {
     let mut counted = 0;
     for position in 0..deployment.hosts.len() {
@@ -142,8 +142,8 @@
     counted
 }
 
-/// An operator takes a server away: it drains, its callers close their flows one
-/// by one, `backends` shows when none is left, and then it leaves the fragment.
+/// An operator removes a server: it drains, its callers close their flows one by one,
+/// `backends` shows when none is left, and then the server is removed from the fragment.
 #[test]
 fn a_server_is_drained_until_it_holds_no_flow_and_is_then_removed() {
     run(async |executor| {
@@ -154,7 +154,7 @@
         deployment.backends[0].definition = json!({"phase": "draining"});
         deployment.publish_team(SERVICE).await.unwrap();
         switch(&mut deployment, "ordinary").await;
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
         let limit = time::Instant::now() + LIMIT;
         while counted_flows(&deployment, &drained).await > 0 {
             assert!(time::Instant::now() < limit, "{drained} keeps flows");
@@ -169,12 +169,12 @@
         drop(removed);
         deployment.wait_until_homes_agree(LIMIT).await.unwrap();
         let later = open_sessions(executor, &deployment, 6).await;
-        ask_all(&deployment, &later).await;
+        request_on_all(&deployment, &later).await;
     });
 }
 
-/// An operator adds a host to a failure domain. It becomes ready, takes its part
-/// of the shards over, and no session notices.
+/// An operator adds a host to a failure domain. It becomes ready and takes over its
+/// part of the shards without disturbing a session.
 #[test]
 fn a_host_is_added_while_sessions_go_on() {
     run(async |executor| {
@@ -184,53 +184,56 @@
         deployment.publish_hosts().await.unwrap();
         deployment.tell_fabric().await.unwrap();
         deployment.wait_until_ready(LIMIT).await.unwrap();
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
         deployment.wait_until_homes_agree(LIMIT).await.unwrap();
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
     });
 }
 
-/// A host dies. Its successor cannot know which requests it had sent, but is sure
-/// of those whose deadline is a whole lifetime away from a moment after it took
-/// over. So callers that use the whole lifetime are answered again.
+/// A host is killed. Its successor doesn't know which requests it had sent, but a
+/// request whose deadline is a whole lifetime after the takeover can't be one of them.
+/// So callers that use the whole lifetime are answered again.
 #[test]
-fn after_a_host_died_requests_with_the_whole_lifetime_are_answered() {
+fn after_a_host_was_killed_requests_with_the_whole_lifetime_are_answered() {
     run(async |executor| {
         let mut deployment = deployment().await;
         let sessions = open_sessions(executor, &deployment, 12).await;
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
         let mut dead = deployment.hosts.remove(0);
         dead.process.kill().unwrap();
         deployment.publish_hosts().await.unwrap();
         deployment.tell_fabric().await.unwrap();
         deployment.wait_until_homes_agree(LIMIT).await.unwrap();
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
         let reports = deployment.run_reports().await.unwrap();
         assert!(reports.iter().all(|report| report["repeated"] == json!([])));
     });
 }
 
-/// The platform stands still. Hosts that watch it say so; sessions and new flows
-/// go on; and when it answers again, a change comes into force.
+/// The platform is paused. Hosts that watch it report it as unreachable; sessions and
+/// new flows go on; after it resumes, a change comes into force.
 #[test]
-fn hosts_serve_while_the_platform_is_silent() {
+fn hosts_serve_while_the_platform_does_not_answer() {
     run(async |executor| {
         let mut deployment = deployment().await;
         let sessions = open_sessions(executor, &deployment, 4).await;
         deployment.platform.pause().unwrap();
         let limit = time::Instant::now() + LIMIT;
-        let mut told = false;
-        while !told {
-            assert!(time::Instant::now() < limit, "no host misses the platform");
+        let mut reported = false;
+        while !reported {
+            assert!(
+                time::Instant::now() < limit,
+                "no host reports the platform as unreachable"
+            );
             async_io::Timer::after(POLL_INTERVAL).await;
             for position in 0..deployment.hosts.len() {
                 let status = deployment.call(position, "status", json!([])).await;
-                told |= status.unwrap()["platform"]["reachable"] == json!(false);
+                reported |= status.unwrap()["platform"]["reachable"] == json!(false);
             }
         }
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
         let later = open_sessions(executor, &deployment, 4).await;
-        ask_all(&deployment, &later).await;
+        request_on_all(&deployment, &later).await;
         deployment.platform.resume().unwrap();
         switch(&mut deployment, "ordinary").await;
         let answered = |status: &Value| status["platform"]["reachable"] == json!(true);
@@ -238,7 +241,7 @@
     });
 }
 
-/// An operator does not want to wait for a graceful stop.
+/// An operator who doesn't want to wait for a graceful stop sends a second signal.
 #[test]
 fn a_second_signal_ends_a_host_at_once_with_exit_code_1() {
     run(async |_| {
@@ -259,10 +262,10 @@
     });
 }
 
-/// An operator asks where a flow was placed: the lines of all hosts with its
-/// `flow` tell, and one of them has the event `placement`.
+/// An operator looks up where a flow was placed: of the log lines of all hosts with its
+/// `flow`, one has the event `placement`.
 #[test]
-fn the_log_tells_where_a_flow_was_placed_and_why() {
+fn the_log_shows_where_a_flow_was_placed_and_why() {
     run(async |executor| {
         let deployment = deployment().await;
         let sessions = open_sessions(executor, &deployment, 1).await;
@@ -293,14 +296,14 @@
     });
 }
 
-/// An operator sets the level to warn. The log then holds no line of a decision,
-/// but still says which document is refused.
+/// An operator sets the level to `warn`. The log then has no line about a decision,
+/// but still names a refused document.
 #[test]
 fn a_log_of_the_level_warn_holds_warnings_and_no_decisions() {
     run(async |executor| {
         let deployment = deployment_with_log(json!({"level": "warn"})).await;
         let sessions = open_sessions(executor, &deployment, 4).await;
-        ask_all(&deployment, &sessions).await;
+        request_on_all(&deployment, &sessions).await;
         deployment.put("root", "{").await.unwrap();
         let limit = time::Instant::now() + LIMIT;
         let mut refused = 0;
--- a/tests/reused_ports.rs
+++ b/tests/reused_ports.rs
@@ -1,4 +1,4 @@
-//! What reaches a port that was a host's, and who reads it.
+//! Datagrams to a port that a host no longer uses, and who receives them.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -11,19 +11,21 @@
 use cardamomwinch_standin::prelude::*;
 use support::network::{self, FaultyDeployment, HOME_LEASE_MS};
 use support::requests::RequestLoad;
-use support::{LIMIT, last};
+use support::{LIMIT, pause};
 
-/// The ports to which hosts send; the fabric hears at once of a host's end.
+/// The ports to which other hosts send. The fabric's port is left out because the
+/// fabric is notified at once when a host is removed.
 const PORTS: [&str; 2] = ["peer_address", "relay_address"];
-/// How long hosts go on sending to the host that was killed.
-const LISTENED_MS: u64 = 3_000;
+/// How long the test lets hosts send to the killed host, in milliseconds.
+const LISTEN_MS: u64 = 3_000;
 /// The service with the fewest backend servers, one in each failure domain.
 const ARCHIVE: &str = "docvault";
 /// Flows to each service: enough for each server of the smaller one to have some.
 const FLOWS: usize = 16;
 
-/// Guards against callers that take a port of a host that was killed: other hosts that do
-/// not hear of its end go on sending to it, which the caller counts as malformed replies.
+/// Guards against callers that bind a port of a killed host and receive what other
+/// hosts still send to it, because they don't know yet that it was removed. The caller
+/// would count malformed replies.
 #[test]
 fn a_caller_on_a_port_of_a_killed_host_reads_nothing_of_what_hosts_send_there() {
     support::run(async |executor| {
@@ -33,7 +35,7 @@
         let all = faulty.hosts(None);
         faulty.cut_platform(&all, CutMode::Hold).await;
         let home = faulty.home_of_service(ARCHIVE).await;
-        let killed = faulty.take_out(&home).await;
+        let killed = faulty.unpublish_host(&home).await;
         let ports = PORTS.map(|field| killed.address(field).unwrap());
         drop(killed);
         let mut clients = Vec::new();
@@ -45,9 +47,12 @@
         for client in &clients {
             open_once_decided(client).await;
         }
-        last(LISTENED_MS).await;
+        pause(LISTEN_MS).await;
         for socket in &sockets {
-            assert!(has_received(socket).await, "nothing is sent there any more");
+            assert!(
+                has_received(socket).await,
+                "nothing is sent there any longer"
+            );
         }
         for client in &clients {
             assert_eq!(client.counters().malformed, 0, "{:?}", client.strays());
@@ -59,7 +64,7 @@
     });
 }
 
-/// A caller on `port`.
+/// Binds a caller to `port`.
 async fn bind_to_port(
     executor: &TaskExecutor,
     faulty: &FaultyDeployment,
@@ -74,8 +79,8 @@
     client
 }
 
-/// Opens the flow of `client`, which may be refused only while the lease of the host
-/// that was killed has run out and nobody has taken its place.
+/// Opens the flow of `client`. It may be refused only after the lease of the killed
+/// host has expired and before another host has become home.
 async fn open_once_decided(client: &CallerClient) {
     support::eventually("the flow to be open", async || {
         match client.open(b"", LIMIT).await.unwrap() {
@@ -94,7 +99,7 @@
     .await;
 }
 
-/// Whether a datagram has come to `socket`.
+/// Whether `socket` receives a datagram within 100 ms.
 async fn has_received(socket: &UdpSocket) -> bool {
     let received = async { socket.recv_from(&mut [0; 1]).await.is_ok() };
     let timeout = async {
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,5 +1,5 @@
 //! An established session survives every planned change: it stays with its
-//! server, is never reset, and goes on getting notices.
+//! server, is never reset, and continues to receive notices.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -12,7 +12,7 @@
 
 /// Sessions of each kind to each service.
 const SESSIONS: usize = 3;
-/// Answers or notices of each session that are waited for after each change.
+/// Answers or notices that a test waits for on each session after each change.
 const PROGRESS: u64 = 5;
 const SEARCH: &str = "benchmark-desk";
 const ARCHIVE: &str = "docvault";
@@ -28,8 +28,9 @@
     (faulty, sessions)
 }
 
-/// Presets that turn the weights of all servers around.
-fn turn_weights(faulty: &mut FaultyDeployment) {
+/// Adds a preset in which the servers of each service have weights of 1 and 300 in
+/// turn.
+fn add_uneven_preset(faulty: &mut FaultyDeployment) {
     for service in [SEARCH, ARCHIVE] {
         let mut changes = serde_json::Map::new();
         for (position, backend) in faulty.deployment.backends.iter().enumerate() {
@@ -51,13 +52,14 @@
     faulty.deployment.publish_root().await.unwrap()
 }
 
-/// Guards against sessions that break while a preset turns all weights around, a server
-/// drains and a host joins, so that hosts hold different tables for a while.
+/// Guards against sessions that break while a preset changes the weights of all
+/// servers, a server drains and a host joins, so that hosts have different lookup
+/// tables for a while.
 #[test]
 fn sessions_outlive_a_preset_switch_while_a_server_drains_and_a_host_joins() {
     support::run(async |executor| {
         let (mut faulty, sessions) = start(executor).await;
-        turn_weights(&mut faulty);
+        add_uneven_preset(&mut faulty);
         for service in [SEARCH, ARCHIVE] {
             faulty.deployment.publish_team(service).await.unwrap();
         }
@@ -78,9 +80,9 @@
     });
 }
 
-/// All hosts are replaced, one by one: each is stopped gracefully and a new
-/// one joins its domain. At the end no host is left that saw the sessions
-/// open; what only the first ones knew must have been handed on.
+/// Guards against sessions that break because no remaining host received their
+/// openings. All hosts are replaced one by one: a new host joins the domain, then the
+/// old one is stopped gracefully and has to hand over what only it knows.
 #[test]
 fn sessions_outlive_the_replacement_of_all_hosts() {
     support::run(async |executor| {
@@ -97,13 +99,14 @@
     });
 }
 
-/// Two hosts of different domains stop at the same time, while operators
-/// switch the preset. Shards are handed over while the lookup tables change.
+/// Guards against sessions that break because shards are handed over while the lookup
+/// tables change: two hosts of different domains stop at the same time, during a switch
+/// of the preset.
 #[test]
 fn sessions_outlive_the_stop_of_two_hosts_during_a_preset_switch() {
     support::run(async |executor| {
         let (mut faulty, sessions) = start(executor).await;
-        turn_weights(&mut faulty);
+        add_uneven_preset(&mut faulty);
         for service in [SEARCH, ARCHIVE] {
             faulty.deployment.publish_team(service).await.unwrap();
         }
@@ -116,9 +119,10 @@
     });
 }
 
-/// A host is stopped and one is added in the same domain at the same moment,
-/// and the same happens once more. The newcomer ranks before others for some
-/// shards and is handed what the leaving one is handing over elsewhere.
+/// Guards against sessions that break because a host joins during a hand-over. A host
+/// is stopped while another joins the same domain, twice. The new host ranks before
+/// others for some shards, so it receives what the stopping host is already handing
+/// over to another host.
 #[test]
 fn sessions_outlive_a_host_that_joins_while_another_stops() {
     support::run(async |executor| {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,10 +1,10 @@
-//! A randomized soak of the product's own interface: real processes on loopback
-//! behind proxies, with faults that are drawn from a seed, come in series and
-//! overlap. Whatever happens, no request that may run once runs twice, none runs of
-//! which a caller was told that it had not, answers are whole and their caller's own,
-//! versions never fall, and all is served again once the faults are over.
+//! A randomized soak of the project's own request protocol: real processes on
+//! loopback behind proxies, with faults that are drawn from a seed, follow each other
+//! quickly and overlap. It checks that no non-idempotent request runs twice, no refused
+//! request runs, answers are complete and belong to the caller that receives them,
+//! versions never decrease, and all services answer again once the faults have ended.
 //!
-//! Further seeds by hand:
+//! To run other seeds:
 //!
 //! ```sh
 //! cargo build --release --workspace
@@ -33,36 +33,36 @@
 const PROGRESS: usize = 20;
 const SHORT_STEPS: u32 = 6;
 const LONG_STEPS: u32 = 20;
-/// The pause after a step, in milliseconds; short ones make series.
+/// The pause after a step, in milliseconds; short pauses let faults overlap.
 const PAUSE_MS: ops::Range<u64> = 0..1_500;
 /// How long a fault lasts, in milliseconds: up to four leases of a home.
 const FAULT_MS: ops::Range<u64> = 200..4_000;
-/// Hosts that are started beside the first ones have numbers from here on.
-const FIRST_ADDED: usize = 10;
+/// First index of hosts that are started during the soak.
+const FIRST_ADDED_INDEX: usize = 10;
 
 /// What a step does.
 #[derive(Debug, Clone, Copy)]
 enum SoakStep {
     /// A host is killed and replaced by another one.
     KillHost,
-    /// A host stands still for a while.
+    /// A host is paused for a while.
     PauseHost,
-    /// A host is told to stop, and replaced. What it may say at its end depends on
-    /// the other faults.
+    /// A host is asked to stop, and replaced. Its exit code isn't checked, because it
+    /// depends on the other faults.
     StopHost,
-    /// A host hears no other one.
+    /// A host receives nothing from other hosts.
     DeafHost,
-    /// No other host hears a host.
+    /// Other hosts receive nothing from a host.
     MuteHost,
     /// A failure domain is cut off from the others.
     CutDomain,
     /// A host's connections to the platform are closed and refused.
     RefusePlatform,
-    /// A host's connections to the platform go silent.
+    /// A host's connections to the platform stay open but carry nothing.
     SilencePlatform,
-    /// The platform fails in some way, for all.
+    /// The platform fails for all hosts, in a way that is drawn.
     PlatformFails,
-    /// A version of the configuration follows.
+    /// A new version of the configuration is published.
     Publish,
 }
 
@@ -87,7 +87,7 @@
     FaultMode::Broken,
     FaultMode::Refuse,
 ];
-/// How late a slow platform answers.
+/// The delay of the answers of a slow platform, in milliseconds.
 const PLATFORM_DELAY_MS: u64 = 400;
 
 /// How a fault ends.
@@ -99,12 +99,12 @@
     PlatformServes,
 }
 
-/// One run.
+/// One run of the soak.
 struct SoakRun {
     faulty: FaultyDeployment,
     random: SmallRng,
     due: Vec<(time::Instant, FaultEnd)>,
-    /// Hosts that were told to stop and may still run.
+    /// Hosts that were asked to stop and may still run.
     stopping: SortedVector<String, ChildProcess>,
     versions: SortedVector<String, u64>,
     next_host: usize,
@@ -113,14 +113,14 @@
 impl SoakRun {
     async fn start(seed: u64) -> Self {
         let faulty = FaultyDeployment::start(network::small_plan()).await;
-        faulty.make_network_poor().await;
+        faulty.make_network_unreliable().await;
         Self {
             faulty,
             random: SmallRng::seed_from_u64(seed),
             due: Vec::new(),
             stopping: SortedVector::new(),
             versions: SortedVector::new(),
-            next_host: FIRST_ADDED,
+            next_host: FIRST_ADDED_INDEX,
         }
     }
 
@@ -133,7 +133,7 @@
             println!("  {step:?} {host} {lasts} ms");
             self.begin(step, &host, time::Duration::from_millis(lasts))
                 .await;
-            support::last(self.random.random_range(PAUSE_MS)).await;
+            support::pause(self.random.random_range(PAUSE_MS)).await;
             self.end_due(time::Instant::now()).await;
             self.check_versions().await;
         }
@@ -209,12 +209,12 @@
         self.faulty.deployment.tell_fabric().await.unwrap();
     }
 
-    /// Tells `host` to stop, and starts another one in its place. Its process goes on
-    /// until it ends by itself.
+    /// Asks `host` to stop gracefully and starts another host in its place. The process
+    /// of `host` runs until it ends by itself.
     async fn stop(&mut self, host: &str) {
         self.faulty.process(host).terminate().unwrap();
         let domain = self.domain(host);
-        let stopping = self.faulty.take_out(host).await;
+        let stopping = self.faulty.unpublish_host(host).await;
         self.stopping.insert(host.to_owned(), stopping);
         self.faulty.start_host(domain, self.next_host).await;
         self.next_host += 1;
@@ -240,7 +240,7 @@
             FaultEnd::JoinPlatform(host) if hosts.contains(&host) => {
                 self.faulty.cut_platform(&[host], CutMode::None).await;
             }
-            // One that stood still when it was told to stop ends once it goes on.
+            // A host that was paused when it was asked to stop ends after it resumes.
             FaultEnd::Resume(host) => {
                 let stopping = self.stopping.get_mut(&host);
                 if let Some(process) = stopping
@@ -249,20 +249,20 @@
                     process.resume().unwrap();
                 }
             }
-            // The host is gone, and its fault with it.
+            // The host was removed, so its fault has ended.
             FaultEnd::JoinPlatform(_) => {}
             FaultEnd::Heal => self.faulty.heal().await,
             FaultEnd::PlatformServes => self.faulty.set_platform_fault(FaultMode::None, 0).await,
         }
     }
 
-    /// Fails where the version of a host fell. Hosts that stand still or are stopping
-    /// say nothing.
+    /// Fails if the version of a host has decreased. Hosts that are paused or stopping
+    /// don't answer and are skipped.
     async fn check_versions(&mut self) {
         for host in self.faulty.hosts(None) {
-            let asked = self.faulty.call(&host, "status");
+            let call = self.faulty.call(&host, "status");
             let limit = time::Instant::now() + time::Duration::from_millis(200);
-            let status = cardamomwinch_standin::runtime::until(limit, asked).await;
+            let status = cardamomwinch_standin::runtime::until(limit, call).await;
             let version = status.flatten().and_then(|one| one["version"].as_u64());
             if let Some(version) = version {
                 let before = self.versions.insert(host.clone(), version);
@@ -271,12 +271,12 @@
         }
     }
 
-    /// Fails where a host that was told to stop does not end.
+    /// Fails if a host that was asked to stop doesn't end.
     fn check_stopped(&mut self) {
         for (host, process) in self.stopping.iter_mut() {
             let ended = process.wait(support::LIMIT).unwrap();
             let code = ended.and_then(|status| status.code());
-            assert!(code.is_some(), "{host} was told to stop and does not end");
+            assert!(code.is_some(), "{host} was asked to stop and does not end");
         }
     }
 }
@@ -296,26 +296,26 @@
 }
 
 #[test]
-fn short_runs_of_the_own_interface_break_no_promise() {
+fn short_soaks_keep_all_guarantees() {
     play(1, SHORT_STEPS);
     play(2, SHORT_STEPS);
 }
 
-/// Seeds that once failed: 302 and 315 told a host to stop while it stood still, and
-/// the soak never let it go on.
+/// Seeds 302 and 315 asked a host to stop while it was paused, and the soak never
+/// resumed it.
 #[yare::parameterized(
     first_paused_and_stopped = { 302 },
     second_paused_and_stopped = { 315 },
 )]
-fn seeds_of_the_own_interface_that_once_failed(seed: u64) {
+fn seeds_that_failed_before_pass(seed: u64) {
     play(seed, LONG_STEPS);
 }
 
 /// Processes that a soak starts before its hosts: platform, fabric, proxy and nine servers.
 const SOAK_PROCESSES: usize = 12;
 
-/// Guards against hosts and servers that run on, beside whatever is tested next, after the
-/// soak that started them was killed.
+/// Guards against hosts and servers that keep running after their soak was killed and
+/// then disturb later tests.
 #[test]
 fn a_soak_that_is_killed_leaves_no_process() {
     support::run(async |_| {
@@ -330,14 +330,14 @@
         let started = started.await;
         soak.kill().unwrap();
         soak.wait().unwrap();
-        support::eventually("what the soak started to end", async || {
-            (!started.iter().any(ListedProcess::runs)).then_some(())
+        support::eventually("the processes of the soak to end", async || {
+            (!started.iter().any(ListedProcess::is_running)).then_some(())
         })
         .await;
     });
 }
 
-/// Plays the seeds of the environment, if there are any.
+/// Plays the seeds in the environment variable `SOAK_SEEDS`, if it is set.
 #[test]
 fn by_hand() {
     let Ok(seeds) = std::env::var("SOAK_SEEDS") else {
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -1,5 +1,6 @@
-//! A deployment with a fault-injecting proxy before each host's peer and relay
-//! address, each backend server, and the platform as each host sees it.
+//! A deployment with a fault-injecting proxy in front of the peer address and the
+//! relay address of each host, in front of each backend server, and between each
+//! host and the platform.
 
 use std::net;
 use std::time;
@@ -17,11 +18,12 @@
 const RELAY: &str = "relay_address";
 const TRAFFIC: &str = "traffic_address";
 
-/// Lines of a log that are printed.
-const LAST_LINES: usize = 40;
-/// The lease of a home host here, in milliseconds.
+/// Lines of the log of a failed process that are printed.
+const MAX_PRINTED_LINES: usize = 40;
+/// The lease of a home in these deployments, in milliseconds.
 pub(crate) const HOME_LEASE_MS: u64 = 1000;
-/// The longest time between a request's first sending and its deadline here.
+/// The longest time between the first sending of a request and its deadline in these
+/// deployments.
 pub(crate) const REQUEST_LIFETIME: time::Duration = time::Duration::from_millis(3000);
 
 /// A cut in one direction.
@@ -38,22 +40,22 @@
     platforms: SortedVector<String, net::SocketAddr>,
     platform: net::SocketAddr,
     cuts: Vec<NetworkCut>,
-    /// What backend servers that were removed had said of their runs last.
+    /// The last run reports of backend servers that were removed.
     retired: Vec<Value>,
 }
 
-/// Prints the end of the log of a process that did not end as it should.
+/// Prints the end of the log of a process that failed.
 fn print_last_lines(process: &ChildProcess) {
     let mut lines = Vec::new();
     while let Some(line) = process.next_line(time::Duration::from_millis(100)) {
         lines.push(line);
     }
-    for line in lines.iter().rev().take(LAST_LINES).rev() {
+    for line in lines.iter().rev().take(MAX_PRINTED_LINES).rev() {
         println!("{line}");
     }
 }
 
-/// How long a backend server that gets nothing more is left to finish.
+/// How long a backend server that receives no more requests may finish those it has.
 const RETIREMENT_PAUSE: time::Duration = time::Duration::from_millis(500);
 
 /// Three failure domains of two hosts, six and three backend servers.
@@ -66,7 +68,7 @@
         "home_lease_ms": HOME_LEASE_MS,
         "flow_hash_seed": 7,
     });
-    // A failure that shows once must explain itself: no line is left out.
+    // No log line is left out, because a failure may not occur a second time.
     plan.log = json!({"decisions_per_second": 100_000});
     plan
 }
@@ -87,7 +89,7 @@
         started
     }
 
-    /// Starts all of `plan` but the hosts; nothing is published yet.
+    /// Starts everything in `plan` except the hosts, and publishes nothing.
     pub(crate) async fn start_without_hosts(plan: DeploymentPlan) -> Self {
         let programs = ProgramDirectory::of_this_build().unwrap();
         let none: [&str; 0] = [];
@@ -110,12 +112,13 @@
         started
     }
 
-    /// Starts one more host; it is published with the next list of hosts.
+    /// Starts another host and returns its name; the next published list of hosts
+    /// contains it.
     pub(crate) async fn start_host(&mut self, domain: usize, index: usize) -> String {
-        self.start_host_behind(domain, index, CutMode::None).await
+        self.start_host_with_cut(domain, index, CutMode::None).await
     }
 
-    /// Starts one more host, publishes it, and waits until it serves.
+    /// Starts another host, publishes it, and waits until it is ready.
     pub(crate) async fn add_host(&mut self, domain: usize, index: usize) {
         self.start_host(domain, index).await;
         self.deployment.publish_hosts().await.unwrap();
@@ -123,8 +126,8 @@
         self.deployment.tell_fabric().await.unwrap();
     }
 
-    /// Starts one more host, whose way to the platform is cut as `cut` says.
-    pub(crate) async fn start_host_behind(
+    /// Starts another host whose connections to the platform are cut in the mode `cut`.
+    pub(crate) async fn start_host_with_cut(
         &mut self,
         domain: usize,
         index: usize,
@@ -149,7 +152,7 @@
         name
     }
 
-    /// Starts one more backend server; it is published with its team.
+    /// Starts another backend server; it is published with the fragment of its team.
     pub(crate) async fn start_backend(&mut self, service: usize, index: usize) {
         self.deployment.start_backend(service, index).unwrap();
         let to = self.deployment.backends.last().unwrap().address;
@@ -170,7 +173,7 @@
         self.proxy.address("control").unwrap()
     }
 
-    async fn order(&self, path: &str, order: &impl serde::Serialize) {
+    async fn send_order(&self, path: &str, order: &impl serde::Serialize) {
         let body = serde_json::to_vec(order).unwrap();
         let reply = http::request(self.proxy_control(), "PUT", path, body).await;
         assert_eq!(reply.unwrap().status, 204);
@@ -188,22 +191,22 @@
         &mut self.deployment.hosts[position].process
     }
 
-    /// The names of the hosts in `domain`, or of all where there is none.
+    /// The names of the hosts in `domain`, or of all hosts if it is `None`.
     pub(crate) fn hosts(&self, domain: Option<&str>) -> Vec<String> {
         let hosts = self.deployment.hosts.iter();
         let chosen = hosts.filter(|host| domain.is_none_or(|domain| host.domain == domain));
         chosen.map(|host| host.name.clone()).collect()
     }
 
-    /// Takes the host `name` off the published list and the fabric; its
-    /// process ends if it has not already.
+    /// Removes the host `name` from the published list and the fabric, and ends its
+    /// process if it still runs.
     pub(crate) async fn remove_host(&mut self, name: &str) {
-        self.take_out(name).await;
+        self.unpublish_host(name).await;
     }
 
-    /// Takes the host `name` off the published list and the fabric, and returns its
+    /// Removes the host `name` from the published list and the fabric, and returns its
     /// process.
-    pub(crate) async fn take_out(&mut self, name: &str) -> ChildProcess {
+    pub(crate) async fn unpublish_host(&mut self, name: &str) -> ChildProcess {
         let position = self.position(name);
         let removed = self.deployment.hosts.remove(position);
         self.deployment.publish_hosts().await.unwrap();
@@ -211,8 +214,8 @@
         removed.process
     }
 
-    /// Tells the fabric to hand nothing to the hosts `names`.
-    pub(crate) async fn spare_hosts(&self, names: &[String]) {
+    /// Makes the fabric send no datagram to the hosts `names`.
+    pub(crate) async fn exclude_from_fabric(&self, names: &[String]) {
         let hosts = self.deployment.hosts.iter();
         let others = hosts.filter(|host| !names.contains(&host.name));
         let addresses: Vec<_> = others.map(|host| host.address(TRAFFIC).unwrap()).collect();
@@ -222,9 +225,9 @@
         assert_eq!(reply.unwrap().status, 204);
     }
 
-    /// Waits until the hosts `names`, which were told to stop, say that they
-    /// are not ready, keeps the fabric from them as its own checks would, and
-    /// waits until each has ended without having cut anything.
+    /// Waits until the hosts `names`, which have been asked to stop, report that
+    /// they are not ready, removes them from the fabric as its own health checks
+    /// would, and waits until each has ended without cutting off any request.
     pub(crate) async fn wait_until_stopped(&mut self, names: &[String]) {
         for name in names {
             let admin = self.process(name).address("admin_address").unwrap();
@@ -236,7 +239,7 @@
             })
             .await;
         }
-        self.spare_hosts(names).await;
+        self.exclude_from_fabric(names).await;
         for name in names {
             let process = self.process(name);
             let ended = process.wait(LIMIT).unwrap();
@@ -248,8 +251,8 @@
         }
     }
 
-    /// Stops the hosts `names` gracefully, all at the same time, and takes
-    /// them off the published list once they have ended.
+    /// Stops the hosts `names` gracefully at the same time, and removes them from
+    /// the published list once they have ended.
     pub(crate) async fn stop_hosts(&mut self, names: &[String]) {
         for name in names {
             self.process(name).terminate().unwrap();
@@ -268,11 +271,12 @@
         assert_eq!(reply.unwrap().status, 204);
     }
 
-    /// Loses, doubles and reorders datagrams of the fabric and among hosts,
-    /// and loses and reorders those to backend servers. These run each
-    /// datagram that reaches them, so that a test sees what hosts sent; a copy
-    /// that the network made on this last way would say nothing about hosts.
-    pub(crate) async fn make_network_poor(&self) {
+    /// Loses, duplicates and reorders datagrams of the fabric and between hosts,
+    /// and loses and reorders those to backend servers. Datagrams to backend
+    /// servers are not duplicated: a server runs each datagram that it receives, so
+    /// a test could not tell a duplicate of the network from a second sending by a
+    /// host.
+    pub(crate) async fn make_network_unreliable(&self) {
         let fabric = DatagramFaults {
             loss: 0.05,
             double: 0.1,
@@ -305,12 +309,12 @@
             forward: faults,
             backward: faults,
         };
-        self.order_rules(listen, rules).await;
+        self.send_rules(listen, rules).await;
     }
 
-    /// Lets nothing through to the server behind `listen`, or everything again; what
-    /// the server says passes.
-    pub(crate) async fn hold_way_to_server(&self, listen: net::SocketAddr, held: bool) {
+    /// Holds all datagrams to the server behind `listen` if `held`, otherwise lets
+    /// them pass again. Datagrams from the server always pass.
+    pub(crate) async fn hold_path_to_server(&self, listen: net::SocketAddr, held: bool) {
         let cut = if held { CutMode::Hold } else { CutMode::None };
         let forward = DatagramFaults {
             cut,
@@ -320,17 +324,18 @@
             forward,
             ..ProxyRules::default()
         };
-        self.order_rules(listen, rules).await;
+        self.send_rules(listen, rules).await;
     }
 
-    async fn order_rules(&self, listen: net::SocketAddr, rules: ProxyRules) {
+    async fn send_rules(&self, listen: net::SocketAddr, rules: ProxyRules) {
         let listen = Some(listen);
-        self.order("/v1/rules", &RulesOrder { listen, rules }).await;
+        self.send_order("/v1/rules", &RulesOrder { listen, rules })
+            .await;
     }
 
-    /// Cuts the way from the hosts `from` to the hosts `to`; the way back
-    /// stays open. The proxies cannot tell one host's connections from
-    /// another's, so the targets take no connections from any host meanwhile.
+    /// Cuts the network from the hosts `from` to the hosts `to`; the opposite
+    /// direction stays open. The proxies can't distinguish the TCP connections of
+    /// different hosts, so the hosts `to` accept none from any host meanwhile.
     pub(crate) async fn cut(&mut self, from: &[String], to: &[String]) {
         for from in from {
             for to in to.iter().filter(|to| *to != from) {
@@ -344,8 +349,8 @@
         self.apply_cuts().await;
     }
 
-    /// Separates `domain` from all others: hosts from hosts, and hosts from
-    /// the datagrams of backend servers.
+    /// Cuts the network between `domain` and all other domains, for datagrams
+    /// between hosts and between hosts and backend servers.
     pub(crate) async fn cut_domain(&mut self, domain: &str) {
         let inside = self.hosts(Some(domain));
         let all = self.hosts(None);
@@ -366,14 +371,14 @@
                 clients: self.addresses(separated, &[TRAFFIC]),
                 close_connections: false,
             };
-            self.order("/v1/blocked", &order).await;
+            self.send_order("/v1/blocked", &order).await;
         }
     }
 
-    /// Ends all cuts among hosts and backend servers.
+    /// Ends all cuts between hosts and between hosts and backend servers.
     pub(crate) async fn heal(&mut self) {
         self.cuts.clear();
-        self.order("/v1/blocked", &BlockOrder::default()).await;
+        self.send_order("/v1/blocked", &BlockOrder::default()).await;
     }
 
     async fn apply_cuts(&self) {
@@ -386,7 +391,7 @@
                     clients: self.addresses(&from, &[PEER, RELAY]),
                     close_connections: !from.is_empty(),
                 };
-                self.order("/v1/blocked", &order).await;
+                self.send_order("/v1/blocked", &order).await;
             }
         }
     }
@@ -399,7 +404,8 @@
             .collect()
     }
 
-    /// Cuts the hosts `names` off the platform, or joins them to it again.
+    /// Cuts the hosts `names` off from the platform in the mode `cut`;
+    /// [`CutMode::None`] ends the cut.
     pub(crate) async fn cut_platform(&self, names: &[String], cut: CutMode) {
         let faults = DatagramFaults {
             cut,
@@ -411,7 +417,7 @@
         }
     }
 
-    /// Makes the platform misbehave towards all.
+    /// Makes the platform misbehave towards all hosts.
     pub(crate) async fn set_platform_fault(&self, mode: FaultMode, delay_ms: u64) {
         let body = serde_json::to_vec(&PlatformFault { mode, delay_ms }).unwrap();
         let reply = http::request(self.operator(), "POST", "/v1/fault", body).await;
@@ -428,7 +434,8 @@
         self.deployment.platform.address("operator").unwrap()
     }
 
-    /// What the host `name` answers to `method`; nothing where it is silent.
+    /// Calls `method` of the host `name`; `None` if it returns an error or doesn't
+    /// answer within five seconds.
     pub(crate) async fn call(&self, name: &str, method: &str) -> Option<Value> {
         let position = self.position(name);
         let call = self.deployment.call(position, method, json!([]));
@@ -438,7 +445,8 @@
             .ok()
     }
 
-    /// The home host of a backend server of `service`, as a host sees it.
+    /// The home host of a backend server of `service`, as the first host that knows one
+    /// reports it.
     pub(crate) async fn home_of_service(&self, service: &str) -> String {
         support::eventually("a home host", async || {
             for name in self.hosts(None) {
@@ -457,12 +465,12 @@
         .await
     }
 
-    /// Waits until all hosts hold `version`.
+    /// Waits until `version` or a later one is in force on all hosts.
     pub(crate) async fn wait_for_version(&self, version: u64) {
         self.wait_for_version_on(&self.hosts(None), version).await;
     }
 
-    /// Waits until the hosts `names` hold `version`.
+    /// Waits until `version` or a later one is in force on the hosts `names`.
     pub(crate) async fn wait_for_version_on(&self, names: &[String], version: u64) {
         for name in names {
             support::eventually("a version to be in force", async || {
@@ -473,8 +481,8 @@
         }
     }
 
-    /// What all backend servers ran, each with its name under `server`, once
-    /// no request can start any more.
+    /// The run reports of all backend servers, each with its name under `server`,
+    /// after the time in which a request could still start.
     pub(crate) async fn final_run_reports(&self) -> Vec<Value> {
         async_io::Timer::after(REQUEST_LIFETIME + time::Duration::from_secs(1)).await;
         let mut reports = self.deployment.run_reports().await.unwrap();
@@ -485,8 +493,8 @@
         reports
     }
 
-    /// Removes the backend server at `position` with its process, and keeps
-    /// what it says of its runs. Its last requests have time to end first.
+    /// Removes the backend server at `position`, ends its process and keeps its run
+    /// report. Its last requests have time to end first.
     pub(crate) async fn retire_backend(&mut self, position: usize) {
         async_io::Timer::after(RETIREMENT_PAUSE).await;
         let removed = self.deployment.backends.remove(position);
--- a/tests/support/plain_data.rs
+++ b/tests/support/plain_data.rs
@@ -1,5 +1,5 @@
-//! Callers that send data without requests and never give up, not even where
-//! their flow was reset, like a client that does not listen.
+//! Callers that send data without requests and never stop, even after their flow
+//! was reset, like a client that ignores replies.
 
 use std::net;
 use std::sync;
@@ -20,7 +20,7 @@
 
 const INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// Flows that carry data until this is dropped.
+/// Open flows whose callers send data until this is dropped.
 pub(crate) struct DataLoad {
     flows: Vec<sync::Arc<DataFlow>>,
     held: sync::Arc<atomic::AtomicBool>,
@@ -75,7 +75,7 @@
         load
     }
 
-    /// Sends nothing until `held` is set back.
+    /// While `held`, callers send nothing.
     pub(crate) fn hold(&self, held: bool) {
         self.held.store(held, atomic::Ordering::Relaxed);
     }
--- a/tests/support/process_list.rs
+++ b/tests/support/process_list.rs
@@ -1,8 +1,8 @@
-//! The processes that another one has started.
+//! The child processes of a process.
 
 use std::fs;
 
-/// A process; its start tells it from a later one with the same id.
+/// A process; its start time distinguishes it from a later one with the same id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ListedProcess {
     id: u32,
@@ -12,7 +12,7 @@
 }
 
 impl ListedProcess {
-    /// Reads what the system says of `id`; `None` where there is no such process.
+    /// Reads the process `id` from `/proc`; `None` if it doesn't exist.
     fn read(id: u32) -> Option<Self> {
         let text = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         // The name of the program stands in parentheses and may hold spaces.
@@ -26,8 +26,8 @@
         })
     }
 
-    /// Whether it still runs.
-    pub(crate) fn runs(&self) -> bool {
+    /// Whether the process is still running.
+    pub(crate) fn is_running(&self) -> bool {
         Self::read(self.id).is_some_and(|now| now.started == self.started && !now.ended)
     }
 }
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -1,5 +1,5 @@
-//! Callers that send non-idempotent requests until they are told to stop, and
-//! the book of what became of each request.
+//! Callers that send non-idempotent requests until they are stopped, and a record
+//! of the outcome of each request.
 
 use std::net;
 use std::sync;
@@ -17,26 +17,26 @@
 
 const REQUESTS_PER_FLOW: u64 = 20;
 const OPEN_WAIT: time::Duration = time::Duration::from_secs(3);
-/// The deadline of each request; shorter than the lifetime that is allowed.
+/// The deadline of each request; shorter than the allowed lifetime of a request.
 const DEADLINE: time::Duration = time::Duration::from_millis(2500);
 const PAUSE: time::Duration = time::Duration::from_millis(20);
-const LONGEST_RETRY_PAUSE: time::Duration = time::Duration::from_millis(200);
-/// A violation is listed at most so often.
-const LISTED: usize = 20;
+const MAX_RETRY_PAUSE: time::Duration = time::Duration::from_millis(200);
+/// Violations that the message of a failure lists.
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
-/// One request and what its caller was told.
+/// A request and the outcome that its caller saw.
 #[derive(Debug)]
-struct BookEntry {
+struct RequestRecord {
     service: net::SocketAddr,
     payload: String,
     outcome: RequestOutcome,
 }
 
 #[derive(Debug, Default)]
-struct RequestBook {
-    entries: Vec<BookEntry>,
+struct LoadRecords {
+    entries: Vec<RequestRecord>,
     contradictions: u64,
-    /// The requests of those, as far as callers name them.
+    /// The requests with a contradiction, as far as callers name them.
     contradicted: Vec<(FlowKey, RequestId)>,
     conflicting_parts: u64,
     malformed: u64,
@@ -46,10 +46,10 @@
 struct SharedLoad {
     stop: atomic::AtomicBool,
     held: atomic::AtomicBool,
-    book: sync::Mutex<RequestBook>,
+    records: sync::Mutex<LoadRecords>,
 }
 
-/// Running callers.
+/// Callers that send requests until [`RequestLoad::finish`].
 pub(crate) struct RequestLoad {
     shared: sync::Arc<SharedLoad>,
     tasks: Vec<Task<()>>,
@@ -57,13 +57,13 @@
 }
 
 impl RequestLoad {
-    /// Starts `callers` for each service; every second one echoes its token.
+    /// Starts `callers` callers for each service; every second one echoes its token.
     pub(crate) fn start(executor: &TaskExecutor, deployment: &Deployment, callers: usize) -> Self {
         let fabric = deployment.fabric_address("callers").unwrap();
         let shared = sync::Arc::new(SharedLoad {
             stop: atomic::AtomicBool::new(false),
             held: atomic::AtomicBool::new(false),
-            book: sync::Mutex::default(),
+            records: sync::Mutex::default(),
         });
         let services: Vec<_> = deployment
             .plan
@@ -101,8 +101,8 @@
     }
 
     fn answered(&self, service: net::SocketAddr) -> usize {
-        let book = runtime::locked(&self.shared.book);
-        let entries = book.entries.iter();
+        let records = runtime::locked(&self.shared.records);
+        let entries = records.entries.iter();
         entries
             .filter(|entry| {
                 entry.service == service && matches!(entry.outcome, RequestOutcome::Answered { .. })
@@ -110,19 +110,19 @@
             .count()
     }
 
-    /// Begins no request until `held` is set back.
+    /// While `held`, callers begin no request.
     pub(crate) fn hold(&self, held: bool) {
         self.shared.held.store(held, atomic::Ordering::Relaxed);
     }
 
-    /// Lets every request that was sent end.
+    /// Stops the callers once each request that they sent has an outcome.
     pub(crate) async fn finish(self) -> FinishedLoad {
         self.shared.stop.store(true, atomic::Ordering::Relaxed);
         for task in self.tasks {
             task.await;
         }
-        let book = std::mem::take(&mut *runtime::locked(&self.shared.book));
-        FinishedLoad { book }
+        let records = std::mem::take(&mut *runtime::locked(&self.shared.records));
+        FinishedLoad { records }
     }
 }
 
@@ -133,8 +133,8 @@
     shared: sync::Arc<SharedLoad>,
 ) {
     let mut number = 0_u64;
-    // Kept until the end: a later caller that got the same port would be the
-    // same flow and number its requests anew, which looks like second runs.
+    // Kept until the end: a later caller on the same port would have the same
+    // flow and number its requests from the start, which looks like second runs.
     let mut clients = Vec::new();
     while !shared.stop.load(atomic::Ordering::Relaxed) {
         let client = CallerClient::bind(&executor, settings).await.unwrap();
@@ -155,15 +155,17 @@
             let outcome = client.request(payload.as_bytes(), false, DEADLINE).await;
             let outcome = outcome.unwrap();
             let pause = match outcome {
-                RequestOutcome::NotRun { retry_after, .. } => retry_after.min(LONGEST_RETRY_PAUSE),
+                RequestOutcome::NotRun { retry_after, .. } => retry_after.min(MAX_RETRY_PAUSE),
                 _ => PAUSE,
             };
             let reset = matches!(outcome, RequestOutcome::Reset { .. });
-            runtime::locked(&shared.book).entries.push(BookEntry {
-                service: settings.service,
-                payload,
-                outcome,
-            });
+            runtime::locked(&shared.records)
+                .entries
+                .push(RequestRecord {
+                    service: settings.service,
+                    payload,
+                    outcome,
+                });
             if reset {
                 break;
             }
@@ -171,30 +173,31 @@
         }
         client.close().await.unwrap();
         let counters = client.counters();
-        let mut book = runtime::locked(&shared.book);
-        book.contradictions += counters.contradictions;
+        let mut records = runtime::locked(&shared.records);
+        records.contradictions += counters.contradictions;
         let contradicted = client.contradicted();
         let flow = client.flow();
-        book.contradicted
+        records
+            .contradicted
             .extend(contradicted.into_iter().map(|id| (flow, id)));
-        book.conflicting_parts += counters.conflicting_parts;
-        book.malformed += counters.malformed;
+        records.conflicting_parts += counters.conflicting_parts;
+        records.malformed += counters.malformed;
         if counters.malformed > 0 {
             println!("{}: {:?}", client.flow(), client.strays());
         }
-        drop(book);
+        drop(records);
         clients.push(client);
     }
 }
 
-/// What callers were told, to be compared with what ran.
+/// The outcomes that callers saw, to be compared with the runs on backend servers.
 pub(crate) struct FinishedLoad {
-    book: RequestBook,
+    records: LoadRecords,
 }
 
 impl FinishedLoad {
-    /// Fails where a request ran twice, ran although its caller was told that
-    /// it had not, was answered without having run, or reached another service.
+    /// Fails if a request ran twice, ran although its caller got a refusal, was
+    /// answered without having run, or reached another service.
     pub(crate) async fn check(&self, faulty: &FaultyDeployment) {
         let reports = faulty.final_run_reports().await;
         self.print_outcomes();
@@ -205,8 +208,12 @@
         for host in &faulty.deployment.hosts {
             println!("{}: {}", host.name, host.process.ready());
         }
-        print_decisions(faulty, &reports, &self.book.contradicted);
-        let listed = violations.iter().take(LISTED).cloned().collect::<Vec<_>>();
+        print_decisions(faulty, &reports, &self.records.contradicted);
+        let listed = violations
+            .iter()
+            .take(MAX_LISTED_VIOLATIONS)
+            .cloned()
+            .collect::<Vec<_>>();
         panic!("{} violations: {}", violations.len(), listed.join("; "));
     }
 
@@ -216,15 +223,15 @@
         for (payload, servers) in runs.iter().filter(|(_, servers)| servers.len() > 1) {
             violations.push(format!("{payload} ran on {servers:?}"));
         }
-        for entry in &self.book.entries {
+        for entry in &self.records.entries {
             let count = runs.get(&entry.payload).map_or(0, Vec::len);
             violations.extend(entry.violation(count));
         }
-        let book = &self.book;
+        let records = &self.records;
         for (what, count) in [
-            ("contradictions", book.contradictions),
-            ("conflicting parts", book.conflicting_parts),
-            ("malformed replies", book.malformed),
+            ("contradictions", records.contradictions),
+            ("conflicting parts", records.conflicting_parts),
+            ("malformed replies", records.malformed),
             (
                 "datagrams to a wrong service",
                 sum(reports, "wrong_service"),
@@ -240,16 +247,16 @@
 
     fn print_outcomes(&self) {
         let mut outcomes: SortedVector<String, usize> = SortedVector::new();
-        for entry in &self.book.entries {
+        for entry in &self.records.entries {
             *outcomes.get_or_insert_with(outcome_name(&entry.outcome), || 0) += 1;
         }
-        println!("{} requests: {outcomes:?}", self.book.entries.len());
+        println!("{} requests: {outcomes:?}", self.records.entries.len());
     }
 }
 
-impl BookEntry {
-    /// What is wrong with what the caller was told, where the request ran
-    /// `count` times.
+impl RequestRecord {
+    /// Describes how the outcome that the caller saw conflicts with `count` runs
+    /// of the request; `None` if it doesn't.
     fn violation(&self, count: usize) -> Option<String> {
         match &self.outcome {
             RequestOutcome::NotRun { reason, .. } if count > 0 => {
@@ -265,9 +272,8 @@
     }
 }
 
-/// Prints what the hosts logged about the first flow with a request that ran
-/// twice, and about those with contradicted requests, so that a failure can be
-/// understood.
+/// Prints the log lines of the hosts about the first flow with a request that ran
+/// twice, and about flows with contradicted requests, to explain a failure.
 fn print_decisions(
     faulty: &FaultyDeployment,
     reports: &[Value],
@@ -309,12 +315,12 @@
         RequestOutcome::Answered { .. } => "answered".to_owned(),
         RequestOutcome::NotRun { reason, .. } => format!("not run, {reason}"),
         RequestOutcome::OutcomeUnknown { .. } => "outcome unknown".to_owned(),
-        RequestOutcome::TimedOut => "nothing heard until the deadline".to_owned(),
+        RequestOutcome::TimedOut => "no reply before the deadline".to_owned(),
         RequestOutcome::Reset { reason } => format!("reset, {reason:?}"),
     }
 }
 
-/// The servers that ran each request, one entry a run.
+/// The servers that ran each request, with one entry for each run.
 fn runs_by_payload(reports: &[Value]) -> SortedVector<String, Vec<String>> {
     let mut runs = SortedVector::new();
     for report in reports {
--- a/tests/support/sessions.rs
+++ b/tests/support/sessions.rs
@@ -1,5 +1,5 @@
-//! Long sessions that must outlive every planned change: some ask again and
-//! again, some only listen to notices.
+//! Long sessions that must outlive every planned change: some send requests
+//! all the time, some only receive notices.
 
 use std::fmt;
 use std::sync;
@@ -14,7 +14,7 @@
 
 const DEADLINE: time::Duration = time::Duration::from_millis(2500);
 const PAUSE: time::Duration = time::Duration::from_millis(50);
-/// A caller that echoes its token, or not, and asks, or only listens.
+/// Callers that echo their token or not, and that send requests or only receive notices.
 const KINDS: [SessionKind; 4] = [
     SessionKind::new(true, true),
     SessionKind::new(true, false),
@@ -25,12 +25,15 @@
 #[derive(Debug, Clone, Copy)]
 struct SessionKind {
     echoes_token: bool,
-    asks: bool,
+    sends_requests: bool,
 }
 
 impl SessionKind {
-    const fn new(echoes_token: bool, asks: bool) -> Self {
-        Self { echoes_token, asks }
+    const fn new(echoes_token: bool, sends_requests: bool) -> Self {
+        Self {
+            echoes_token,
+            sends_requests,
+        }
     }
 }
 
@@ -61,7 +64,7 @@
     }
 }
 
-/// Sessions that must all go on.
+/// Sessions that must all stay with their servers.
 pub(crate) struct SessionSet {
     pub(crate) sessions: Vec<sync::Arc<OpenSession>>,
     stop: sync::Arc<atomic::AtomicBool>,
@@ -93,17 +96,17 @@
     }
 
     fn add(&mut self, executor: &TaskExecutor, session: sync::Arc<OpenSession>) {
-        if session.kind.asks {
+        if session.kind.sends_requests {
             let stop = self.stop.clone();
-            let asking = session.clone();
+            let requesting = session.clone();
             self.tasks
-                .push(executor.spawn(async move { asking.ask_until(&stop).await }));
+                .push(executor.spawn(async move { requesting.send_requests_until(&stop).await }));
         }
         self.sessions.push(session);
     }
 
-    /// Waits until each session that asks has been answered `count` more
-    /// times, and each that listens has got as many more notices.
+    /// Waits until each session that sends requests has received `count` more
+    /// answers, and each other session `count` more notices.
     pub(crate) async fn wait_for_progress(&self, count: u64) {
         let before: Vec<_> = self.sessions.iter().map(|held| held.progress()).collect();
         for (session, before) in self.sessions.iter().zip(before) {
@@ -117,7 +120,7 @@
         self.check();
     }
 
-    /// Fails where a session was reset or met another server.
+    /// Fails if a session was reset or answered by another server.
     pub(crate) fn check(&self) {
         for session in &self.sessions {
             let violations = runtime::locked(&session.violations).len();
@@ -126,15 +129,15 @@
         }
     }
 
-    /// Lets every session ask once more, those that only listened too: each
-    /// must still be with its server.
+    /// Sends one more request on every session, also on those that only received
+    /// notices: each must still be with its server.
     pub(crate) async fn finish(self) {
         self.stop.store(true, atomic::Ordering::Relaxed);
         for task in self.tasks {
             task.await;
         }
         for session in &self.sessions {
-            session.ask(LIMIT).await;
+            session.send_request(LIMIT).await;
         }
         for session in &self.sessions {
             let violations = runtime::locked(&session.violations).len();
@@ -156,7 +159,7 @@
             answers: atomic::AtomicU64::new(0),
             violations: sync::Mutex::default(),
         };
-        let server = session.ask_server(LIMIT).await;
+        let server = session.request_server_name(LIMIT).await;
         Self { server, ..session }
     }
 
@@ -166,22 +169,22 @@
     }
 
     fn progress(&self) -> u64 {
-        if self.kind.asks {
+        if self.kind.sends_requests {
             self.answers.load(atomic::Ordering::Relaxed)
         } else {
             self.client.notices().received
         }
     }
 
-    async fn ask_until(&self, stop: &atomic::AtomicBool) {
+    async fn send_requests_until(&self, stop: &atomic::AtomicBool) {
         while !stop.load(atomic::Ordering::Relaxed) {
-            self.ask(DEADLINE).await;
+            self.send_request(DEADLINE).await;
             async_io::Timer::after(PAUSE).await;
         }
     }
 
-    async fn ask(&self, wait: time::Duration) {
-        let server = self.ask_server(wait).await;
+    async fn send_request(&self, wait: time::Duration) {
+        let server = self.request_server_name(wait).await;
         if server == self.server {
             self.answers.fetch_add(1, atomic::Ordering::Relaxed);
         } else if !server.is_empty() {
@@ -190,9 +193,10 @@
         }
     }
 
-    /// Asks until an answer names the server; empty where none does in time.
-    /// A request that was refused, or lost, says nothing about the session.
-    async fn ask_server(&self, wait: time::Duration) -> String {
+    /// Sends requests until an answer names the server. Returns an empty string if
+    /// there is none within `wait`. Requests that were refused or lost are ignored:
+    /// they don't show that the session broke.
+    async fn request_server_name(&self, wait: time::Duration) -> String {
         let limit = time::Instant::now() + wait;
         while time::Instant::now() < limit {
             let outcome = self.client.request(b"who/", true, DEADLINE).await.unwrap();
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path with real processes.
+//! The whole path from callers to backend servers and back, with real processes.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::time;
@@ -30,10 +30,10 @@
         .sum()
 }
 
-/// Every packet of a flow goes to a different host. A caller sees each request
-/// answered once all the same, and each runs once, whether or not the caller
-/// echoes its token. Cause of what could go wrong: no host but the home knows
-/// where a flow was placed or which requests were sent to a server.
+/// Guards against lost, doubled or misplaced requests if each packet of a flow reaches
+/// a different host: only the home knows where a flow was placed and which requests
+/// were sent to a server. Each request must run once and be answered once, whether or
+/// not the caller echoes its token.
 #[test]
 fn each_packet_of_a_flow_goes_to_another_host_and_each_answer_comes_once() {
     run(async |executor| {
@@ -49,7 +49,7 @@
                 assert_eq!(client.open(b"", LIMIT).await.unwrap(), OpenOutcome::Opened);
                 for index in 0..12_u64 {
                     answered += 1;
-                    ask(&client, answered, index % 2 == 0).await;
+                    send_request(&client, answered, index % 2 == 0).await;
                 }
                 let counters = client.counters();
                 assert_eq!(counters.contradictions, 0);
@@ -68,7 +68,7 @@
     });
 }
 
-async fn ask(client: &CallerClient, number: u64, idempotent: bool) {
+async fn send_request(client: &CallerClient, number: u64, idempotent: bool) {
     let payload = format!("request-{number}");
     let deadline = time::Duration::from_secs(5);
     let outcome = client
--- a/tests/wrong_service.rs
+++ b/tests/wrong_service.rs
@@ -5,16 +5,16 @@
 
 use cardamomwinch_standin::faults::CutMode;
 use cardamomwinch_standin::prelude::*;
-use support::last;
 use support::network::{self, FaultyDeployment};
+use support::pause;
 use support::plain_data::DataLoad;
 use support::requests::{self, RequestLoad};
 
 const FLOWS: usize = 24;
 const CALLERS: usize = 3;
 const PROGRESS: usize = 15;
-/// Servers that get an address of another service are numbered from there.
-const NEW_NAMES: usize = 10;
+/// First index of servers that get an address of another service.
+const FIRST_NEW_INDEX: usize = 10;
 const SEARCH: usize = 0;
 const ARCHIVE: usize = 1;
 
@@ -49,12 +49,12 @@
     MovedServer { name: chosen, home }
 }
 
-/// Gives the address of `server` to `service`. Its process is replaced once
-/// every host in `reached` holds the new version. Returns that version.
+/// Moves the address of `server` to `service`. The process is replaced once the new
+/// version is in force on every host in `reached`. Returns that version.
 ///
-/// Nothing reaches the address meanwhile: hosts that hold the new version rightly send
-/// it openings of `service`, which the old process, still there, would count as
-/// those of a wrong service. What hosts send to the new process all counts.
+/// Datagrams to the address are held meanwhile: hosts with the new version rightly
+/// send it openings of `service`, which the old process would count as datagrams of a
+/// wrong service while it still runs. Everything that reaches the new process counts.
 async fn move_address(
     faulty: &mut FaultyDeployment,
     server: &str,
@@ -66,11 +66,11 @@
     let team = plan.name;
     let mut held = faulty.deployment.backends.iter();
     let position = held.position(|held| held.name == server).unwrap();
-    let index = NEW_NAMES * domains + position % domains;
+    let index = FIRST_NEW_INDEX * domains + position % domains;
     let moved = &mut faulty.deployment.backends[position];
     let (address, published, former) = (moved.address, moved.published, moved.service);
     let proxy = published.unwrap();
-    faulty.hold_way_to_server(proxy, true).await;
+    faulty.hold_path_to_server(proxy, true).await;
     let moved = &mut faulty.deployment.backends[position];
     moved.service = team;
     moved.name = format!("{team}-{index}");
@@ -86,20 +86,21 @@
     faulty.deployment.start_backend(service, index).unwrap();
     let started = faulty.deployment.backends.last_mut().unwrap();
     started.published = published;
-    faulty.hold_way_to_server(proxy, false).await;
+    faulty.hold_path_to_server(proxy, false).await;
     version
 }
 
-async fn check(faulty: &FaultyDeployment, moment: &str) {
+async fn check(faulty: &FaultyDeployment, phase: &str) {
     let reports = faulty.deployment.run_reports().await.unwrap();
-    assert_eq!(requests::sum(&reports, "wrong_service"), 0, "{moment}");
+    assert_eq!(requests::sum(&reports, "wrong_service"), 0, "{phase}");
 }
 
-/// A search server is taken out of service and its address given to the
-/// archive while a host is paused. The host wakes late, with the old list and
-/// with packets of searches in its sockets that it would send to that address.
+/// Guards against a paused host that sends packets to an address which now belongs to
+/// another service. A search server is removed and its address moved to the archive
+/// while a host is paused. The host resumes with the old server list and with packets
+/// of searches in its sockets.
 #[test]
-fn a_host_that_wakes_late_sends_nothing_to_an_address_that_was_moved() {
+fn a_host_that_resumes_late_sends_nothing_to_an_address_that_was_moved() {
     support::run(async |executor| {
         let mut faulty = FaultyDeployment::start(network::small_plan()).await;
         let data = DataLoad::open(executor, &faulty.deployment, FLOWS).await;
@@ -111,32 +112,33 @@
             let paused = server.home;
             let mut reached = faulty.hosts(None);
             reached.retain(|name| *name != paused);
-            // A thread that is stopped between a decision and the system call
-            // that follows sends that one packet when it goes on; only the
-            // server could tell. Nothing is under way when this one is stopped.
+            // A thread that is paused between a decision and the system call that
+            // sends the packet sends it after it resumes, and only the server could
+            // refuse it. So no packet is in flight when the host is paused.
             data.hold(true);
             load.hold(true);
-            last(500).await;
+            pause(500).await;
             faulty.process(&paused).pause().unwrap();
             data.hold(false);
             load.hold(false);
             let version = move_address(&mut faulty, &server.name, to, &reached).await;
-            last(1000).await;
+            pause(1000).await;
             check(&faulty, "while the host is paused").await;
             faulty.process(&paused).resume().unwrap();
             faulty.wait_for_version(version).await;
             load.wait_for_answers(PROGRESS).await;
-            check(&faulty, "after the host woke").await;
+            check(&faulty, "after the host resumed").await;
         }
         drop(data);
         load.finish().await.check(&faulty).await;
     });
 }
 
-/// A search server is taken out of service and its address given to the
-/// archive, three leases after a host was cut off from all hosts and from the
-/// platform, so that it cannot know. Callers still reach it with packets of
-/// searches whose tokens name that server.
+/// Guards against a host that was cut off and sends packets to an address which now
+/// belongs to another service. The host is cut off from all hosts and from the
+/// platform. Three leases later a search server is removed and its address moved to
+/// the archive. Callers still reach the host with packets whose tokens name that
+/// server.
 #[test]
 fn a_host_that_is_cut_off_sends_nothing_to_an_address_that_was_moved() {
     support::run(async |executor| {
@@ -153,11 +155,11 @@
         faulty.cut(&alone, &all).await;
         faulty.cut(&all, &alone).await;
         faulty.cut_platform(&alone, CutMode::Close).await;
-        // No host can tell sooner that it is cut off; operators wait as long
-        // before they use an address again.
-        last(3 * network::HOME_LEASE_MS).await;
+        // A host needs up to three leases to detect that it is cut off, so
+        // operators wait that long before they reuse an address.
+        pause(3 * network::HOME_LEASE_MS).await;
         let version = move_address(&mut faulty, &server.name, ARCHIVE, &reached).await;
-        last(2000).await;
+        pause(2000).await;
         check(&faulty, "while the host is cut off").await;
         faulty.heal().await;
         faulty.cut_platform(&alone, CutMode::None).await;
