--- a/crates/cardamomwinch_coordination/benches/bench_common/mod.rs
+++ b/crates/cardamomwinch_coordination/benches/bench_common/mod.rs
@@ -1,4 +1,4 @@
-//! A configuration, a snapshot and flows for the benchmarks.
+//! The configuration, the snapshot and the flows of the benchmarks.
 #![allow(dead_code, missing_docs)]
 
 use std::net;
@@ -43,8 +43,8 @@
     }
 }
 
-/// `servers` backend servers of the benchmarked host's domain, evenly divided
-/// over `services`.
+/// A configuration with `servers` backend servers in the domain of the benchmarked
+/// host, evenly divided among `services` services.
 pub(crate) fn configuration(services: usize, servers: usize) -> InForceConfiguration {
     let mut configuration = InForceConfiguration {
         version: ConfigurationVersion::new(1),
@@ -89,7 +89,7 @@
     }
 }
 
-/// What a host believes when `home` holds every shard.
+/// The snapshot of the benchmarked host while `home` holds the leases of all shards.
 pub(crate) fn snapshot(configuration: InForceConfiguration, home: HostId) -> RoutingSnapshot {
     let tables = LookupTables::derive(&configuration, None);
     let here = identity();
@@ -146,7 +146,7 @@
         .build_traffic(ThreadPlace::ONLY)
 }
 
-/// Opens `count` flows at their home.
+/// Opens `count` flows at their home and checks that each is pinned.
 pub(crate) fn open_flows(engine: &mut TrafficEngine, snapshot: &RoutingSnapshot, count: usize) {
     for index in 0..count {
         let datagram = CallerDatagram::open(flow(index), b"");
--- a/crates/cardamomwinch_coordination/benches/packets.rs
+++ b/crates/cardamomwinch_coordination/benches/packets.rs
@@ -1,6 +1,6 @@
 //! How long a traffic thread takes to decide about one datagram, with 10,000,
-//! 100,000 and 500,000 open flows. A run is one datagram; that of a request at
-//! its home is the request and the whole answer to it.
+//! 100,000 and 500,000 open flows. An iteration is one datagram; for a request at its
+//! home it is the request and the complete answer to it.
 #![allow(missing_docs)]
 
 mod bench_common;
@@ -15,10 +15,10 @@
 use criterion::{BenchmarkGroup, BenchmarkId, Criterion, criterion_group, criterion_main};
 
 const FLOW_COUNTS: [usize; 3] = [10_000, 100_000, 500_000];
-/// A stride that visits the flows in no order that a cache could foresee.
+/// A stride that visits the flows in an order that a cache can't predict.
 const STRIDE: usize = 7_919;
 const BATCH: u64 = 64;
-const BETWEEN_REQUESTS: time::Duration = time::Duration::from_micros(50);
+const REQUEST_INTERVAL: time::Duration = time::Duration::from_micros(50);
 const REQUESTS_PER_TICK: u64 = 2_000;
 
 fn handle(
@@ -51,8 +51,8 @@
             let mut left = iterations;
             while left > 0 {
                 let size = left.min(BATCH);
-                // A datagram from a socket is in the cache; only the tables of
-                // the engine may be out of it.
+                // A datagram that was just received is in the cache; only the tables of
+                // the engine may not be.
                 let batch: Vec<CallerDatagram<'_>> = (0..size)
                     .map(|_| {
                         position = (position + STRIDE) % datagrams.len();
@@ -134,7 +134,7 @@
         |bencher| {
             bencher.iter(|| {
                 number += 1;
-                now = now.after(BETWEEN_REQUESTS);
+                now = now.after(REQUEST_INTERVAL);
                 if number.is_multiple_of(REQUESTS_PER_TICK) {
                     handle(engine, now, snapshot, TrafficEvent::Tick);
                 }
--- a/crates/cardamomwinch_coordination/benches/tables.rs
+++ b/crates/cardamomwinch_coordination/benches/tables.rs
@@ -1,5 +1,5 @@
 //! How long it takes to derive the lookup tables of 14 and of 26,000 backend
-//! servers, and to adopt a configuration of one megabyte.
+//! servers, and to adopt a configuration of about one megabyte.
 #![allow(missing_docs)]
 
 mod bench_common;
@@ -13,7 +13,7 @@
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use serde_json::{Map, json};
 
-/// Services and backend servers.
+/// Numbers of services and of backend servers.
 const SIZES: [(usize, usize); 2] = [(1, 14), (2_500, 26_000)];
 const MEGABYTE: usize = 1_000_000;
 
@@ -37,7 +37,7 @@
     group.finish();
 }
 
-/// A fragment of about a megabyte, the largest value that the platform holds.
+/// A fragment of about a megabyte, the largest value that the platform stores.
 fn large_fragment() -> String {
     let mut services = Map::new();
     let mut length = 0;
@@ -64,7 +64,7 @@
     json!({ "team": "team", "services": services }).to_string()
 }
 
-/// A host that has only the fragment still to read.
+/// A host that has read everything except the fragment.
 fn waiting_host(sink: &mut impl HostSink) -> HostEngine {
     let mut engine = HostBuilder::new(bench_common::identity(), bench_common::keys()).build();
     engine.handle(
--- a/crates/cardamomwinch_coordination/examples/admission_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/admission_cost.rs
@@ -1,13 +1,13 @@
-//! Measures what admission by one home costs and saves, against other ways, with
-//! the real traffic engine and small models of servers. Seeded.
+//! Compares admission by one home with other policies, with the real traffic engine
+//! and simple models of servers. The random numbers come from a fixed seed.
 //!
 //! `cargo run --release -p cardamomwinch_coordination --example admission_cost`
 //!
-//! Fourteen servers of two slots serve flows that are bound to them; requests
-//! take 50 ms in the mean, with a heavy tail, and must be answered within two
-//! seconds. A wait is the time from the arrival of a request at a host to its
-//! start at the server. Waste is the share of slot time that was idle while a
-//! request waited for that very server.
+//! Fourteen servers with two slots each serve the flows that are placed on them;
+//! requests take 50 ms on average, with a heavy tail, and must be answered within two
+//! seconds. The wait is the time from the arrival of a request at a host to its start
+//! at the server. Wasted slot time is the time in which a slot was idle while a request
+//! waited for the same server.
 #![allow(missing_docs)]
 
 use std::cmp;
@@ -29,12 +29,16 @@
 const SERVERS: u16 = 14;
 const SLOTS: u32 = 2;
 const FLOWS: u16 = 1400;
+/// The mean service time. All times in this example are in microseconds.
 const MEAN_SERVICE: f64 = 50_000.0;
 const TAIL_EXPONENT: f64 = 1.8;
-const LONGEST_SERVICE: f64 = 40.0;
-const PATIENCE: u64 = 2_000_000;
+/// The longest service time, as a multiple of the mean.
+const MAX_SERVICE_FACTOR: f64 = 40.0;
+/// The time from the arrival of a request to its deadline.
+const REQUEST_TIMEOUT: u64 = 2_000_000;
+/// The time that a datagram takes between two hosts or processes.
 const HOP: u64 = 1_000;
-/// How often a home asks its servers for their load.
+/// How often a home probes the load of its servers.
 const REPORT_INTERVAL: u64 = 1_000_000;
 const TICK: u64 = 50_000;
 const DURATION: u64 = 120_000_000;
@@ -43,12 +47,12 @@
 /// Who decides whether a request goes to its server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum AdmissionPolicy {
-    /// The home, with a queue of so many requests a slot; of a thousand copies
-    /// of answers, so many are lost on the way to it.
+    /// The home, with a queue of `queue_per_slot` requests per slot; `lost` of 1,000
+    /// copies of answers don't reach it.
     Home { queue_per_slot: u32, lost: u32 },
-    /// Each host by itself, with a fixed share of each server's slots, but one at least.
+    /// Each host by itself, with a fixed share of each server's slots, at least one slot.
     FixedShare,
-    /// Nobody: every request is sent on, and the server sheds.
+    /// No host: every request is sent to its server, which sheds.
     SendAll,
 }
 
@@ -125,9 +129,9 @@
     gap: f64,
 }
 
-/// What the engine wanted, in the terms of the simulation.
+/// The effects of the engine that matter to the simulation.
 #[derive(Debug, Default)]
-struct WantedSends {
+struct EngineEffects {
     openings: Vec<BackendId>,
     sent: Vec<(BackendId, RequestId, AttemptNumber)>,
     refused: Vec<RequestId>,
@@ -174,50 +178,50 @@
         simulation
     }
 
-    /// Opens all flows before anything is measured.
+    /// Opens all flows before the measurement.
     fn open_flows(&mut self) {
         for number in 0..FLOWS {
             let datagram = CallerDatagram::open(flow(number), b"");
-            let wanted = self.drive(TrafficEvent::Fabric(FabricDatagram::Caller(datagram)));
-            let Some(backend) = wanted.openings.first().copied() else {
+            let effects = self.drive(TrafficEvent::Fabric(FabricDatagram::Caller(datagram)));
+            let Some(backend) = effects.openings.first().copied() else {
                 continue;
             };
-            // A flow is open, and has its token, once its server says so.
+            // A flow is open and has its token once its server has replied.
             let reply = BackendReply {
                 flow: flow(number),
                 backend,
                 via: HostId::from_name("muc-nord-1"),
                 kind: BackendReplyKind::Opened,
             };
-            let wanted = self.drive(TrafficEvent::Fabric(FabricDatagram::Backend(reply)));
-            self.tokens[usize::from(number)] = wanted.opened.first().copied();
+            let effects = self.drive(TrafficEvent::Fabric(FabricDatagram::Backend(reply)));
+            self.tokens[usize::from(number)] = effects.opened.first().copied();
         }
     }
 
-    fn drive(&mut self, event: TrafficEvent<'_>) -> WantedSends {
-        let mut wanted = WantedSends::default();
+    fn drive(&mut self, event: TrafficEvent<'_>) -> EngineEffects {
+        let mut effects = EngineEffects::default();
         let mut sink = |effect: TrafficEffect<'_>| match effect {
             TrafficEffect::ToBackend { datagram, .. } if datagram.kind != BackendKind::Cancel => {
                 if datagram.kind == BackendKind::Open {
-                    wanted.openings.push(datagram.backend);
+                    effects.openings.push(datagram.backend);
                 }
                 if let Some(request) = datagram.request {
-                    wanted
+                    effects
                         .sent
                         .push((datagram.backend, request.id, request.attempt));
                 }
             }
             TrafficEffect::ToCaller(reply) => match reply.kind {
-                CallerReplyKind::Opened { token } => wanted.opened.push(token),
-                CallerReplyKind::NotRun { request, .. } => wanted.refused.extend(request),
-                CallerReplyKind::OutcomeUnknown { request, .. } => wanted.unknown.push(request),
+                CallerReplyKind::Opened { token } => effects.opened.push(token),
+                CallerReplyKind::NotRun { request, .. } => effects.refused.extend(request),
+                CallerReplyKind::OutcomeUnknown { request, .. } => effects.unknown.push(request),
                 _ => {}
             },
             _ => {}
         };
         let now = Timestamp::new(self.now);
         self.engine.handle(now, &self.snapshot, event, &mut sink);
-        wanted
+        effects
     }
 
     fn schedule(&mut self, delay: u64, event: SimulationEvent) {
@@ -232,7 +236,7 @@
         while let Some(cmp::Reverse((at, _, event))) = self.queue.pop() {
             self.integrate(at);
             self.now = at;
-            if at > START + DURATION + 2 * PATIENCE {
+            if at > START + DURATION + 2 * REQUEST_TIMEOUT {
                 break;
             }
             self.handle(event);
@@ -295,7 +299,7 @@
         self.figures.offered += 1;
         let server = self.server_of(flow_number);
         match self.policy {
-            AdmissionPolicy::Home { .. } => self.ask_home(number, flow_number, server),
+            AdmissionPolicy::Home { .. } => self.send_to_home(number, flow_number, server),
             AdmissionPolicy::FixedShare => {
                 let share = (SLOTS as usize / HOSTS).max(1) as u32;
                 let held = &mut self.servers[usize::from(server)].by_host[host];
@@ -309,17 +313,17 @@
         }
     }
 
-    fn ask_home(&mut self, number: u64, flow_number: u16, server: u16) {
+    fn send_to_home(&mut self, number: u64, flow_number: u16, server: u16) {
         self.wait(number, server, true);
         let header = RequestHeader {
             id: RequestId::new(number),
             idempotent: is_idempotent(number),
-            deadline: Timestamp::new(self.now + PATIENCE),
+            deadline: Timestamp::new(self.now + REQUEST_TIMEOUT),
         };
         let token = self.tokens[usize::from(flow_number)];
         let datagram = CallerDatagram::carry(flow(flow_number), token, b"").with_request(header);
-        let wanted = self.drive(TrafficEvent::Fabric(FabricDatagram::Caller(datagram)));
-        self.carry_out(wanted);
+        let effects = self.drive(TrafficEvent::Fabric(FabricDatagram::Caller(datagram)));
+        self.apply_effects(effects);
     }
 
     fn server_of(&self, flow_number: u16) -> u16 {
@@ -330,8 +334,8 @@
         position.map_or(0, |position| position as u16)
     }
 
-    fn carry_out(&mut self, wanted: WantedSends) {
-        for (backend, request, attempt) in wanted.sent {
+    fn apply_effects(&mut self, effects: EngineEffects) {
+        for (backend, request, attempt) in effects.sent {
             let mut entries = self.entries.iter();
             let Some(position) = entries.position(|entry| entry.id == backend) else {
                 continue;
@@ -339,12 +343,12 @@
             self.wait(request.get(), position as u16, false);
             self.send(position as u16, request.get(), attempt.0);
         }
-        for request in wanted.refused {
+        for request in effects.refused {
             let server = self.server_of(self.requests[request.get() as usize].flow);
             self.wait(request.get(), server, false);
             self.settle(request.get(), |figures| figures.refused += 1);
         }
-        for request in wanted.unknown {
+        for request in effects.unknown {
             self.settle(request.get(), |figures| figures.unknown += 1);
         }
     }
@@ -406,13 +410,13 @@
         let uniform: f64 = self.random.random_range(0.0..1.0);
         let pareto = (1.0 - uniform).powf(-1.0 / TAIL_EXPONENT);
         let mean = TAIL_EXPONENT / (TAIL_EXPONENT - 1.0);
-        (MEAN_SERVICE * (pareto / mean).min(LONGEST_SERVICE)) as u64
+        (MEAN_SERVICE * (pareto / mean).min(MAX_SERVICE_FACTOR)) as u64
     }
 
     fn finish(&mut self, server: u16, request: u64, attempt: u8) {
         self.servers[usize::from(server)].busy -= 1;
         let open = self.requests[request as usize];
-        let in_time = self.now + HOP <= open.arrived + PATIENCE;
+        let in_time = self.now + HOP <= open.arrived + REQUEST_TIMEOUT;
         if in_time && !open.settled {
             let wait = open.started.unwrap_or(self.now) - open.arrived;
             self.figures.waits.push(wait);
@@ -465,8 +469,8 @@
             via: HostId::from_name("muc-nord-1"),
             kind,
         };
-        let wanted = self.drive(TrafficEvent::Fabric(FabricDatagram::Backend(reply)));
-        self.carry_out(wanted);
+        let effects = self.drive(TrafficEvent::Fabric(FabricDatagram::Backend(reply)));
+        self.apply_effects(effects);
     }
 
     fn tick(&mut self) {
@@ -498,13 +502,13 @@
                 self.snapshot.backends.insert(entry.id, view);
             }
         }
-        let wanted = self.drive(TrafficEvent::Tick);
-        self.carry_out(wanted);
+        let effects = self.drive(TrafficEvent::Tick);
+        self.apply_effects(effects);
         self.schedule(TICK, SimulationEvent::Tick);
     }
 }
 
-/// Every second request.
+/// Whether the request is idempotent; every second one is.
 fn is_idempotent(number: u64) -> bool {
     number.is_multiple_of(2)
 }
--- a/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
+++ b/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
@@ -23,16 +23,17 @@
 use rand::{Rng, SeedableRng};
 
 const TICK: time::Duration = time::Duration::from_millis(100);
-/// Each host probes so many peers a second; the answers carry digests, too.
+/// Peers that each host probes per `PROBE_INTERVAL`; the answers carry digests, too.
 const PROBES: usize = 3;
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(1000);
-/// How long a dead host is taken to be reachable.
-const DETECTION: time::Duration = time::Duration::from_millis(1000);
+/// How long a dead host is still considered reachable.
+const DETECTION_TIME: time::Duration = time::Duration::from_millis(1000);
 const LOSS: f64 = 0.01;
 /// Headers of IP and UDP, and the authentication code.
 const HEADER_BYTES: usize = 28 + 16;
 const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(1000);
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// How long the fleet runs after a change before the cost is computed.
+const RUN_DURATION: time::Duration = time::Duration::from_secs(30);
 const TEAMS: usize = 20;
 const BACKENDS_PER_TEAM: usize = 20;
 
@@ -41,9 +42,10 @@
 pub(crate) enum SpreadWay {
     /// Every host watches the platform.
     AllRead,
-    /// Readers watch; the others learn from the digests in heartbeats alone.
+    /// Readers watch; the other hosts learn of changes only from the digests in
+    /// heartbeats.
     Heartbeats,
-    /// Readers watch; who adopts something tells a few peers at once.
+    /// Readers watch; a host that adopts a change announces it to a few peers at once.
     Announced,
 }
 
@@ -61,16 +63,17 @@
     }
 }
 
-/// What is published.
+/// The change that is published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Change {
     /// A switch of the preset.
     Preset,
     /// A new fragment of one team.
     Fragment,
-    /// The same, while the first reader of every failure domain dies.
+    /// A new fragment of one team, while the first reader of every failure domain
+    /// is killed.
     ReadersKilled,
-    /// One host leaves the list.
+    /// One host is removed from the host list.
     HostList,
 }
 
@@ -94,7 +97,7 @@
     }
 }
 
-/// What one change cost.
+/// The times and messages that one change took.
 #[derive(Debug)]
 pub(crate) struct ChangeCost {
     median: time::Duration,
@@ -122,7 +125,7 @@
     }
 }
 
-/// Calls to the platform.
+/// Counts of calls to the platform.
 #[derive(Debug)]
 pub(crate) struct CallCosts {
     calm: f64,
@@ -142,7 +145,7 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum FleetEvent {
     Tick(usize),
     Probe(usize),
     Digest(usize, HostId, ConfigurationDigest),
@@ -155,7 +158,7 @@
 struct Scheduled {
     due: Timestamp,
     order: u64,
-    happening: Happening,
+    event: FleetEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -178,7 +181,7 @@
     }
 }
 
-/// Who answers.
+/// Reachability that detects a dead host after `DETECTION_TIME`.
 #[derive(Debug)]
 struct FakedReachability {
     /// When each host died.
@@ -189,7 +192,7 @@
 impl PeerReachability for FakedReachability {
     fn is_reachable(&self, now: Timestamp, host: HostId) -> bool {
         let died = self.died.get(&host);
-        !self.nobody && died.is_none_or(|died| now < died.after(DETECTION))
+        !self.nobody && died.is_none_or(|died| now < died.after(DETECTION_TIME))
     }
 }
 
@@ -203,19 +206,19 @@
 struct Platform {
     values: SortedVector<PlatformKey, PublishedText>,
     revision: u64,
-    silent: bool,
+    fails: bool,
     watches: Vec<(usize, PlatformRequest)>,
     calls: Vec<Timestamp>,
 }
 
-/// The fleet.
+/// The simulated fleet and its platform.
 #[derive(Debug)]
 pub(crate) struct FleetCosts {
     way: SpreadWay,
     domains: usize,
     engines: Vec<ConfigurationAdoption>,
     ids: Vec<HostId>,
-    places: SortedVector<HostId, usize>,
+    positions: SortedVector<HostId, usize>,
     alive: Vec<bool>,
     sent: Vec<Sent>,
     in_force: Vec<Option<Timestamp>>,
@@ -230,7 +233,7 @@
 }
 
 impl FleetCosts {
-    /// Creates a fleet that has held a first configuration for a while.
+    /// Creates a fleet in which a first configuration has been in force for five seconds.
     pub(crate) fn new(size: usize, way: SpreadWay, seed: u64) -> Result<Self, CheckReport> {
         let domains = match size {
             0..=49 => 3,
@@ -268,11 +271,11 @@
             way,
             domains,
             engines,
-            places: ids
+            positions: ids
                 .iter()
                 .copied()
                 .enumerate()
-                .map(|(place, id)| (id, place))
+                .map(|(position, id)| (id, position))
                 .collect(),
             ids,
             alive: vec![true; size],
@@ -292,17 +295,17 @@
         };
         for host in 0..size {
             let tick = fleet.random.random_range(0..100_000);
-            fleet.schedule(time::Duration::from_micros(tick), Happening::Tick(host));
+            fleet.schedule(time::Duration::from_micros(tick), FleetEvent::Tick(host));
             if way != SpreadWay::AllRead {
                 let probe = fleet.random.random_range(0..1_000_000);
-                fleet.schedule(time::Duration::from_micros(probe), Happening::Probe(host));
+                fleet.schedule(time::Duration::from_micros(probe), FleetEvent::Probe(host));
             }
         }
         fleet.run_for(time::Duration::from_secs(5));
         Ok(fleet)
     }
 
-    /// Publishes `change` and measures until it is in force everywhere.
+    /// Publishes `change` and measures when it is in force on each host.
     pub(crate) fn measure(&mut self, change: Change) -> Result<ChangeCost, CheckReport> {
         let begun = self.now;
         let calls = self.platform.calls.len();
@@ -332,7 +335,7 @@
             self.run_for(time::Duration::from_millis(6));
             self.kill_readers();
         }
-        self.run_for(LIMIT);
+        self.run_for(RUN_DURATION);
         let alive = || (0..self.ids.len()).filter(|host| self.alive[*host]);
         let mut times: Vec<time::Duration> = alive()
             .filter_map(|host| Some(self.in_force[host]?.since(begun)))
@@ -342,7 +345,7 @@
         let messages: usize = alive().map(|host| self.sent[host].messages).sum();
         let bytes: usize = alive().map(|host| self.sent[host].bytes).sum();
         Ok(ChangeCost {
-            median: times.get(count / 2).copied().unwrap_or(LIMIT),
+            median: times.get(count / 2).copied().unwrap_or(RUN_DURATION),
             last: times.last().copied().filter(|_| times.len() == count),
             messages: messages as f64 / count as f64,
             bytes: bytes as f64 / count as f64,
@@ -369,7 +372,8 @@
         }
     }
 
-    /// Counts the calls of a calm time, of an outage, and after it.
+    /// Counts the calls while the platform answers without changes for `calm`, during an
+    /// outage, and in each of the three seconds after it.
     pub(crate) fn measure_calls(
         &mut self,
         calm: time::Duration,
@@ -379,7 +383,7 @@
         let first = self.platform.calls.len();
         self.run_for(calm);
         let calm_calls = self.platform.calls.len() - first;
-        self.platform.silent = true;
+        self.platform.fails = true;
         self.platform.watches.clear();
         let begun = self.now;
         self.run_for(outage);
@@ -388,7 +392,7 @@
             self.calls_from(from, from.after(second))
         });
         let outage_calls = outage_calls.max().unwrap_or(0);
-        self.platform.silent = false;
+        self.platform.fails = false;
         let back = self.now;
         self.run_for(second * 3);
         CallCosts {
@@ -406,12 +410,12 @@
         calls.filter(|call| **call >= from && **call < end).count()
     }
 
-    fn schedule(&mut self, after: time::Duration, happening: Happening) {
+    fn schedule(&mut self, after: time::Duration, event: FleetEvent) {
         self.order += 1;
         self.queue.push(Scheduled {
             due: self.now.after(after),
             order: self.order,
-            happening,
+            event,
         });
     }
 
@@ -420,38 +424,38 @@
         while self.queue.peek().is_some_and(|next| next.due <= end) {
             if let Some(next) = self.queue.pop() {
                 self.now = next.due;
-                self.happen(next.happening);
+                self.handle(next.event);
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle(&mut self, event: FleetEvent) {
         let now = self.now;
         let mut effects = Vec::new();
-        let host = match happening {
-            Happening::Tick(host) => {
+        let host = match event {
+            FleetEvent::Tick(host) => {
                 if self.alive[host] {
-                    self.schedule(TICK, Happening::Tick(host));
+                    self.schedule(TICK, FleetEvent::Tick(host));
                     self.engines[host].tick(now, &self.reachability, &mut effects);
                 }
                 host
             }
-            Happening::Probe(host) => return self.probe(host),
-            Happening::Digest(host, sender, digest) => {
+            FleetEvent::Probe(host) => return self.probe(host),
+            FleetEvent::Digest(host, sender, digest) => {
                 if self.alive[host] {
                     self.engines[host].handle_digest(now, sender, digest, &mut effects);
                 }
                 host
             }
-            Happening::Message(host, sender, message) => {
+            FleetEvent::Message(host, sender, message) => {
                 if self.alive[host] {
                     self.engines[host].handle_message(now, sender, &message, &mut effects);
                 }
                 host
             }
-            Happening::Call(host, request) => return self.call(host, request),
-            Happening::Outcome(host, outcome) => {
+            FleetEvent::Call(host, request) => return self.call(host, request),
+            FleetEvent::Outcome(host, outcome) => {
                 if self.alive[host] {
                     let reachability = &self.reachability;
                     self.engines[host].handle_platform_outcome(
@@ -482,10 +486,13 @@
             }
             let (there, back) = (self.delay(), self.delay());
             let (own, other) = (self.engines[host].digest(), self.engines[peer].digest());
-            self.schedule(there, Happening::Digest(peer, self.ids[host], own));
-            self.schedule(there + back, Happening::Digest(host, self.ids[peer], other));
+            self.schedule(there, FleetEvent::Digest(peer, self.ids[host], own));
+            self.schedule(
+                there + back,
+                FleetEvent::Digest(host, self.ids[peer], other),
+            );
         }
-        self.schedule(PROBE_INTERVAL, Happening::Probe(host));
+        self.schedule(PROBE_INTERVAL, FleetEvent::Probe(host));
     }
 
     fn carry_out(&mut self, host: usize, effects: Vec<AdoptionEffect>) {
@@ -493,7 +500,7 @@
             match effect {
                 AdoptionEffect::Call(request) => {
                     let delay = self.delay();
-                    self.schedule(delay, Happening::Call(host, request));
+                    self.schedule(delay, FleetEvent::Call(host, request));
                 }
                 AdoptionEffect::Send {
                     host: to, message, ..
@@ -527,23 +534,25 @@
         let PeerMessage::Configuration(message) = envelope.message else {
             return;
         };
-        let (Some(to), false) = (self.places.get(&to).copied(), self.random.random_bool(LOSS))
-        else {
+        let (Some(to), false) = (
+            self.positions.get(&to).copied(),
+            self.random.random_bool(LOSS),
+        ) else {
             return;
         };
         let delay = self.delay();
         self.schedule(
             delay,
-            Happening::Message(to, self.ids[from], Box::new(message)),
+            FleetEvent::Message(to, self.ids[from], Box::new(message)),
         );
     }
 
     fn call(&mut self, host: usize, request: PlatformRequest) {
         self.platform.calls.push(self.now);
-        if self.platform.silent {
+        if self.platform.fails {
             let result = Err(PlatformFailure);
             let outcome = PlatformOutcome { request, result };
-            return self.schedule(CALL_TIMEOUT, Happening::Outcome(host, outcome));
+            return self.schedule(CALL_TIMEOUT, FleetEvent::Outcome(host, outcome));
         }
         let held = self.platform.values.get(&request.key);
         let revision = held.map_or(0, |held| held.revision);
@@ -552,7 +561,7 @@
                 request: request.clone(),
                 result: Ok(PlatformAnswer::Unchanged),
             };
-            self.schedule(request.wait, Happening::Outcome(host, outcome));
+            self.schedule(request.wait, FleetEvent::Outcome(host, outcome));
             return self.platform.watches.push((host, request));
         }
         self.answer(host, request);
@@ -568,7 +577,7 @@
         let delay = self.delay();
         self.schedule(
             delay,
-            Happening::Outcome(host, PlatformOutcome { request, result }),
+            FleetEvent::Outcome(host, PlatformOutcome { request, result }),
         );
     }
 
--- a/crates/cardamomwinch_coordination/examples/adoption_cost/main.rs
+++ b/crates/cardamomwinch_coordination/examples/adoption_cost/main.rs
@@ -1,6 +1,7 @@
-//! Measures how fast a change is in force on all hosts and what that costs, in
-//! simulated time, with the decision code of adoption alone: reachability is
-//! faked, and heartbeats carry digests to a few peers a second. Prints a table.
+//! Measures how fast a change comes into force on all hosts and how many messages and
+//! calls that takes, in simulated time and only with the adoption engines:
+//! reachability is faked, and heartbeats carry digests to a few peers per second.
+//! Prints a table.
 //!
 //! `cargo run --release -p cardamomwinch_coordination --example adoption_cost`
 //! measures 9, 100 and 400 hosts; sizes given as arguments replace these.
--- a/crates/cardamomwinch_coordination/examples/control_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/control_cost.rs
@@ -1,18 +1,17 @@
-//! Measures what control costs a host in calm, with all of it together:
-//! membership, home leases and configuration, in whole host engines that send
-//! each other sealed messages, in simulated time.
+//! Measures the messages, bytes and processor time of the control protocols per host
+//! while nothing changes: membership, home leases and configuration together, in
+//! complete host engines that send each other sealed messages, in simulated time.
 //!
 //! ```text
 //! cargo run --release -p cardamomwinch_coordination --example control_cost -- 3x3 3x32
 //! ```
 //!
-//! A size is the number of failure domains and of hosts in each; a third number
-//! is the shards of a domain, 32 where it is absent. A single size prints its row
-//! alone. Bytes are those sent:
-//! encoded, with the authentication code and 28 bytes of UDP and IP headers.
-//! Processor time is that of the thread, so that other programs of the machine
-//! do not count, and holds the coding, sealing and opening of messages, but no
-//! system calls and no traffic.
+//! A size is the number of failure domains and of hosts in each; an optional third
+//! number is the shards of a domain, by default 32. With a single size, only its row
+//! is printed. Bytes are those of sent messages: encoded, with the authentication code
+//! and 28 bytes of UDP and IP headers. Processor time is that of the thread, so that
+//! other programs on the machine don't count. It includes encoding, sealing and opening
+//! of messages, but no system calls and no traffic.
 #![allow(missing_docs)]
 
 use std::collections::VecDeque;
@@ -34,15 +33,16 @@
 const BEGIN: u64 = 1_000_000_000;
 const MILLISECOND: u64 = 1_000;
 const TICK_MILLIS: u64 = 100;
-/// Time for all to know all, and for rumours of the start to die down.
+/// Time until all hosts know each other and the rumours of the start have ended.
 const WARM_UP_MILLIS: u64 = 60_000;
 const MEASURED_MILLIS: u64 = 30_000;
 /// UDP and IP headers.
 const HEADER_BYTES: usize = 28;
-const MESSAGE_LIMIT: usize = 2 * 1024 * 1024;
-const PAGE: u64 = 4096;
+/// The size of the buffer for sealed messages.
+const MAX_MESSAGE_BYTES: usize = 2 * 1024 * 1024;
+const PAGE_BYTES: u64 = 4096;
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Debug, Clone, Copy)]
 struct FleetSize {
     domains: u64,
@@ -77,7 +77,7 @@
                  \"relay_address\": \"127.1.{high}.{low}:2\", \
                  \"peer_address\": \"127.1.{high}.{low}:3\"}}"
             )
-            .expect("text takes whatever is written to it");
+            .expect("writing to a string cannot fail");
         }
         text + "}}"
     }
@@ -90,7 +90,7 @@
     }
 }
 
-/// What one host sent since counting began.
+/// What one host has sent since the counts were reset.
 #[derive(Debug, Default, Clone, Copy)]
 struct SentCounts {
     messages: u64,
@@ -115,19 +115,19 @@
     }
 }
 
-struct Letter {
+struct SealedMessage {
     to: HostId,
     sealed: Vec<u8>,
 }
 
-/// Whole hosts, whose messages take a millisecond.
+/// Complete host engines; each message takes a millisecond.
 struct Fleet {
     now: u64,
     keys: AuthenticationKeys,
     engines: Vec<HostEngine>,
     positions: SortedVector<HostId, usize>,
     sent: Vec<SentCounts>,
-    letters: VecDeque<Letter>,
+    messages: VecDeque<SealedMessage>,
     buffer: Vec<u8>,
 }
 
@@ -156,22 +156,22 @@
             engines: identities.iter().map(build).collect(),
             positions: positions.map(|(index, held)| (held.host, index)).collect(),
             sent: vec![SentCounts::default(); identities.len()],
-            letters: VecDeque::new(),
-            buffer: vec![0; MESSAGE_LIMIT],
+            messages: VecDeque::new(),
+            buffer: vec![0; MAX_MESSAGE_BYTES],
             keys,
         };
         let (list, root) = (size.list(), size.root());
         let fragment = r#"{"team": "t", "services": {}, "presets": {}}"#;
         for host in 0..fleet.engines.len() {
             fleet.control(host, ControlEvent::Start);
-            fleet.learn(host, PlatformKey::Hosts, &list);
-            fleet.learn(host, PlatformKey::Root, &root);
-            fleet.learn(host, PlatformKey::Team("t".to_owned()), fragment);
+            fleet.apply_document(host, PlatformKey::Hosts, &list);
+            fleet.apply_document(host, PlatformKey::Root, &root);
+            fleet.apply_document(host, PlatformKey::Team("t".to_owned()), fragment);
         }
         fleet
     }
 
-    fn learn(&mut self, host: usize, key: PlatformKey, text: &str) {
+    fn apply_document(&mut self, host: usize, key: PlatformKey, text: &str) {
         let request = PlatformRequest {
             key,
             after: None,
@@ -185,7 +185,7 @@
 
     fn control(&mut self, host: usize, event: ControlEvent) {
         let now = Timestamp::new(self.now);
-        let (letters, sent) = (&mut self.letters, &mut self.sent[host]);
+        let (messages, sent) = (&mut self.messages, &mut self.sent[host]);
         let (keys, buffer) = (&self.keys, &mut self.buffer);
         let mut sink = |effect: HostEffect<'_>| {
             if let HostEffect::Control(ControlEffect::ToPeer { host, envelope, .. }) = effect {
@@ -194,7 +194,7 @@
                     .expect("the buffer holds the largest message");
                 sent.count(&envelope.message, sealed.len());
                 let sealed = sealed.to_vec();
-                letters.push_back(Letter { to: host, sealed });
+                messages.push_back(SealedMessage { to: host, sealed });
             }
         };
         self.engines[host].handle(now, HostEvent::Control(event), &mut sink);
@@ -203,7 +203,7 @@
     fn pass(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now += MILLISECOND;
-            for _ in 0..self.letters.len() {
+            for _ in 0..self.messages.len() {
                 self.deliver_next();
             }
             let phase = self.now / MILLISECOND % TICK_MILLIS;
@@ -215,11 +215,11 @@
     }
 
     fn deliver_next(&mut self) {
-        let Some(letter) = self.letters.pop_front() else {
+        let Some(message) = self.messages.pop_front() else {
             return;
         };
-        let envelope = self.keys.open(PEER_CONTEXT, &letter.sealed);
-        let position = self.positions.get(&letter.to).copied();
+        let envelope = self.keys.open(PEER_CONTEXT, &message.sealed);
+        let position = self.positions.get(&message.to).copied();
         if let (Ok(envelope), Some(host)) = (envelope, position) {
             self.control(host, ControlEvent::Peer(envelope));
         }
@@ -227,15 +227,15 @@
 
     fn reachable_share(&self) -> f64 {
         let now = Timestamp::new(self.now);
-        let (mut reached, mut asked) = (0_u64, 0_u64);
+        let (mut reached, mut checked) = (0_u64, 0_u64);
         for engine in &self.engines {
             for host in self.positions.keys() {
-                asked += 1;
+                checked += 1;
                 let own = engine.control().identity().host == *host;
                 reached += u64::from(own || engine.control().membership().is_reachable(now, *host));
             }
         }
-        reached as f64 * 100.0 / asked as f64
+        reached as f64 * 100.0 / checked as f64
     }
 
     fn held_shards(&self) -> usize {
@@ -262,7 +262,7 @@
     pages
         .and_then(|pages| pages.parse::<u64>().ok())
         .unwrap_or_default()
-        * PAGE
+        * PAGE_BYTES
 }
 
 fn measure(size: FleetSize) {
@@ -299,8 +299,8 @@
     );
 }
 
-/// Measures each size in a process of its own: memory that an earlier one gave
-/// back would hide what a later one takes.
+/// Measures each size in a separate process, because a later measurement would reuse
+/// memory that an earlier one freed and so appear too small.
 fn main() {
     let given: Vec<String> = env::args().skip(1).collect();
     let sizes: Vec<FleetSize> = given
--- a/crates/cardamomwinch_coordination/examples/flow_routing_figures.rs
+++ b/crates/cardamomwinch_coordination/examples/flow_routing_figures.rs
@@ -1,6 +1,6 @@
-//! Prints what a change of the servers costs flows without token: flows whose
-//! datagrams miss their server, relays and bytes a datagram, by how many
-//! generations of lookup tables are kept.
+//! Prints the effect of a change of the servers on flows without a token: flows whose
+//! datagrams miss their server, and relays and bytes per datagram, by the number of
+//! retained generations of lookup tables.
 
 #![allow(missing_docs, clippy::print_stdout, clippy::unwrap_used)]
 
@@ -65,7 +65,7 @@
     },
 ];
 
-/// What sending one datagram of every flow cost.
+/// The cost of sending one datagram of every flow.
 struct Round {
     missed: usize,
     reset: usize,
@@ -121,7 +121,7 @@
         fleet.assign_homes();
     }
     let first = send_all(&mut fleet, 0);
-    // The same host gets the flow again, as one that has learned.
+    // Each flow reaches the same host again, which has learned its server meanwhile.
     let again = send_all(&mut fleet, 9);
     println!(
         "| {} | {kept} | {} | {} | {} | {:.3} | {:.1} | {:.3} | {:.1} |",
--- a/crates/cardamomwinch_coordination/examples/forwarding_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/forwarding_cost.rs
@@ -1,4 +1,5 @@
-//! What forwarding costs a packet, by servers and flows.
+//! Measures the time per packet and the memory of forwarding, for several numbers of
+//! servers and services.
 //!
 //! `cargo run --release -p cardamomwinch_coordination --example forwarding_cost`
 #![allow(clippy::unwrap_used, missing_docs)]
@@ -21,10 +22,10 @@
 use cardamomwinch_coordination::forwarding::view::ForwardingView;
 use cardamomwinch_state::prelude::*;
 
-/// Flows that one of 3,200 hosts sees of 110 million.
+/// The flows of one of 3,200 hosts if there are 110 million flows in all.
 const FLOWS: u32 = 34_375;
 
-/// Remembers where the last packet went.
+/// Records the server to which the last packet was sent.
 #[derive(Default)]
 struct LastServer(Option<BackendId>);
 
--- a/crates/cardamomwinch_coordination/examples/health_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/health_cost.rs
@@ -1,5 +1,5 @@
-//! Measures what judging the health of backend servers costs the control thread
-//! of one host, and how many load probes it sends, at several sizes.
+//! Measures how much processor time the control thread of one host needs to evaluate
+//! the health of backend servers, and how many load probes it sends, at several sizes.
 //!
 //! `cargo run --release -p cardamomwinch_coordination --example health_cost`
 #![allow(missing_docs)]
@@ -15,11 +15,11 @@
 use cardamomwinch_state::prelude::*;
 
 const SECONDS: u64 = 30;
-const TICKS_A_SECOND: u64 = 10;
+const TICKS_PER_SECOND: u64 = 10;
 const SHARDS: u16 = 32;
 const START: Timestamp = Timestamp::new(1_000_000_000_000);
 
-/// A fleet of this size.
+/// The size of a fleet.
 struct FleetSize {
     servers: u32,
     domains: u32,
@@ -48,11 +48,11 @@
     DomainId::from_name(&format!("domain-{index}"))
 }
 
-/// The shards of all domains, of which the first domain's are spread evenly
-/// over its hosts; this host holds its part.
+/// The shards of all domains. Those of the first domain are spread evenly over its
+/// hosts, and the measured host holds its part.
 fn shards(size: &FleetSize) -> SortedVector<ShardId, ShardView> {
-    let hosts_a_domain = size.hosts.div_ceil(size.domains);
-    let own = u32::from(SHARDS).div_ceil(hosts_a_domain);
+    let hosts_per_domain = size.hosts.div_ceil(size.domains);
+    let own = u32::from(SHARDS).div_ceil(hosts_per_domain);
     let mut shards = SortedVector::new();
     for number in 0..size.domains {
         for index in 0..SHARDS {
@@ -80,8 +80,8 @@
     let mut spent = time::Duration::ZERO;
     let mut probed = 0;
     let mut tracked = 0;
-    for tick in 0..SECONDS * TICKS_A_SECOND {
-        let millis = tick * 1000 / TICKS_A_SECOND;
+    for tick in 0..SECONDS * TICKS_PER_SECOND {
+        let millis = tick * 1000 / TICKS_PER_SECOND;
         let now = START.after(time::Duration::from_millis(millis));
         let begun = time::Instant::now();
         table.track(now, &configuration, &shards);
--- a/crates/cardamomwinch_coordination/examples/lookup_table_figures.rs
+++ b/crates/cardamomwinch_coordination/examples/lookup_table_figures.rs
@@ -1,5 +1,6 @@
-//! Prints, for ways of filling a lookup table and numbers of servers, how long
-//! a table takes, how uneven its shares are, and what a change moves.
+//! Prints, for each algorithm that fills a lookup table and several numbers of servers,
+//! how long the fill takes, how uneven the shares are, and how many positions a change
+//! moves.
 
 #![allow(missing_docs, clippy::print_stdout)]
 
--- a/crates/cardamomwinch_coordination/examples/membership_cost.rs
+++ b/crates/cardamomwinch_coordination/examples/membership_cost.rs
@@ -1,14 +1,14 @@
-//! Measures what membership costs and how fast it finds a dead host, for
-//! several sizes of the fleet and shares of lost messages, in simulated time:
+//! Measures the messages and bytes of membership and how fast it detects a dead host,
+//! for several sizes of the fleet and shares of lost messages, in simulated time:
 //!
 //! ```text
 //! cargo run --release --example membership_cost -p cardamomwinch_coordination -- 9 100 400
 //! ```
 //!
-//! Sizes are those of encoded messages with their authentication code and
-//! 28 bytes of UDP and IP headers. Sizes may be given; the baseline of
-//! all-to-all heartbeats runs up to 100 hosts. With `cuts` before the sizes, a
-//! failure domain is cut off for a minute instead.
+//! The arguments are the numbers of hosts; without them, default sizes are measured.
+//! Bytes are those of encoded messages with their authentication code and 28 bytes of
+//! UDP and IP headers. The baseline of all-to-all heartbeats runs up to 100 hosts. With
+//! `cuts` before the sizes, a failure domain is cut off for a minute instead.
 
 #[path = "../tests/membership_network/mod.rs"]
 mod membership_network;
@@ -22,19 +22,19 @@
 use membership_network::policy::MembershipPolicy;
 use membership_network::{Network, NetworkOptions};
 
-/// The sizes measured where none are given.
+/// The sizes that are measured by default.
 const SIZES: [usize; 4] = [9, 100, 400, 3200];
-/// The largest fleet that the baseline is measured for.
-const BASELINE_LIMIT: usize = 100;
-/// The longest time that a fleet may take to know all of its hosts.
-const START_LIMIT: time::Duration = time::Duration::from_secs(240);
-/// The longest time that a dead host may take to be found.
-const DETECTION_LIMIT: time::Duration = time::Duration::from_secs(60);
-/// The longest time that both sides of a cut may take to notice it or its end.
-const CUT_LIMIT: time::Duration = time::Duration::from_secs(30);
+/// The largest fleet for which the baseline is measured.
+const MAX_BASELINE_HOSTS: usize = 100;
+/// The longest time until all hosts of a fleet know each other.
+const START_TIMEOUT: time::Duration = time::Duration::from_secs(240);
+/// The longest time until a dead host is detected.
+const DETECTION_TIMEOUT: time::Duration = time::Duration::from_secs(60);
+/// The longest time until both sides of a cut detect it or its end.
+const CUT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 const SEED: u64 = 1;
 
-/// How much is measured, by the size of the fleet.
+/// The duration and the number of crashes of a measurement, by the size of the fleet.
 struct MeasurementPlan {
     steady: time::Duration,
     crashes: usize,
@@ -77,7 +77,7 @@
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|");
     for hosts in sizes {
         for loss in [0.0, 0.05] {
-            if *hosts <= BASELINE_LIMIT {
+            if *hosts <= MAX_BASELINE_HOSTS {
                 measure::<HeartbeatPolicy>("heartbeats", *hosts, loss);
             }
             measure::<PeerMembership>("probes", *hosts, loss);
@@ -88,8 +88,8 @@
 fn measure<P: MembershipPolicy>(way: &str, hosts: usize, loss: f64) {
     let plan = MeasurementPlan::new(hosts);
     let mut network = Network::<P>::new(NetworkOptions::new(hosts, loss, SEED));
-    let known = network.run_until(START_LIMIT, Network::all_reach_all);
-    // Rumours of the start die down before anything is measured.
+    let known = network.run_until(START_TIMEOUT, Network::all_reach_all);
+    // The rumours of the start end before the measurement begins.
     network.run(time::Duration::from_secs(20));
     network.reset_traffic_counts();
     let begun = network.now;
@@ -102,18 +102,18 @@
     let mean = bytes.sum::<u64>() as f64 / seconds / hosts as f64;
     let messages: u64 = network.hosts.iter().map(|host| host.sent_messages).sum();
     let messages = messages as f64 / seconds / hosts as f64;
-    let (mut near, mut far) = (Vec::new(), Vec::new());
+    let (mut by_own_domain, mut by_all) = (Vec::new(), Vec::new());
     for round in 0..plan.crashes {
         let victim = round * 7 % hosts;
-        crash(&mut network, victim, &mut near, &mut far);
+        crash(&mut network, victim, &mut by_own_domain, &mut by_all);
     }
     let known = known.map_or("never".to_owned(), |known| {
         format!("{:.1}", known.as_secs_f64())
     });
     println!(
         "| {way} | {hosts} | {loss} | {known} | {mean:.0} | {worst:.0} | {messages:.1} | {deaths} | {cuts} | {} | {} |",
-        spread(&mut near),
-        spread(&mut far)
+        spread(&mut by_own_domain),
+        spread(&mut by_all)
     );
 }
 
@@ -132,7 +132,7 @@
 /// Cuts one failure domain off for a minute.
 fn measure_cut(hosts: usize, loss: f64) {
     let mut network = Network::<PeerMembership>::new(NetworkOptions::new(hosts, loss, SEED));
-    network.run_until(START_LIMIT, Network::all_reach_all);
+    network.run_until(START_TIMEOUT, Network::all_reach_all);
     network.run(time::Duration::from_secs(20));
     network.reset_traffic_counts();
     let begun = network.now;
@@ -142,16 +142,16 @@
     let outside = network.running();
     let outside = outside.into_iter().filter(|host| !inside.contains(host));
     let outside: Vec<usize> = outside.collect();
-    let noticed = network.run_until(CUT_LIMIT, |network| {
-        let mut near = inside.iter();
-        near.all(|host| network.none_reaches(&outside, *host))
+    let noticed = network.run_until(CUT_TIMEOUT, |network| {
+        let mut members = inside.iter();
+        members.all(|host| network.none_reaches(&outside, *host))
             && outside
                 .iter()
                 .all(|host| network.none_reaches(&inside, *host))
     });
     network.run(time::Duration::from_secs(60));
     network.cut.clear();
-    let healed = network.run_until(CUT_LIMIT, Network::all_reach_all);
+    let healed = network.run_until(CUT_TIMEOUT, Network::all_reach_all);
     network.run(time::Duration::from_secs(20));
     let seconds = network.now.since(begun).as_secs_f64();
     let bytes = network.hosts.iter().map(|host| host.sent_bytes).max();
@@ -169,29 +169,28 @@
     );
 }
 
-/// Crashes `victim`, notes when its own domain and all others have found out,
-/// and starts it again.
+/// Crashes `victim`, adds to `by_own_domain` the time until its own domain has detected it and
+/// to `by_all` the time until all hosts have, and restarts it.
 fn crash<P: MembershipPolicy>(
     network: &mut Network<P>,
     victim: usize,
-    near: &mut Vec<time::Duration>,
-    far: &mut Vec<time::Duration>,
+    by_own_domain: &mut Vec<time::Duration>,
+    by_all: &mut Vec<time::Duration>,
 ) {
     let begun = network.now;
     network.crash(victim);
-    let mates = network.in_domain(network.hosts[victim].identity.domain);
+    let own_domain = network.in_domain(network.hosts[victim].identity.domain);
     let all = network.running();
-    let found = network.run_until(DETECTION_LIMIT, |network| {
-        network.none_reaches(&mates, victim)
+    let found = network.run_until(DETECTION_TIMEOUT, |network| {
+        network.none_reaches(&own_domain, victim)
     });
-    near.push(found.unwrap_or(DETECTION_LIMIT));
-    let found = network.run_until(DETECTION_LIMIT, |network| {
+    by_own_domain.push(found.unwrap_or(DETECTION_TIMEOUT));
+    let found = network.run_until(DETECTION_TIMEOUT, |network| {
         network.none_reaches(&all, victim)
     });
-    far.push(found.map_or(DETECTION_LIMIT, |_| network.now.since(begun)));
+    by_all.push(found.map_or(DETECTION_TIMEOUT, |_| network.now.since(begun)));
     network.restart(victim);
-    // A time that is no multiple of any interval, so that crashes meet all of
-    // the phases of probes.
+    // Not a multiple of any interval, so that crashes occur in all phases of the probes.
     network.run(time::Duration::from_millis(15_137));
 }
 
--- a/crates/cardamomwinch_coordination/examples/pin_memory_figures.rs
+++ b/crates/cardamomwinch_coordination/examples/pin_memory_figures.rs
@@ -1,5 +1,5 @@
-//! Prints the memory that a pinned flow takes: the size of an entry, and what
-//! the resident memory of the process grows by for each of many.
+//! Prints the memory that a pinned flow takes: the size of an entry, and the growth of
+//! the resident memory of the process per flow.
 
 #![allow(missing_docs, clippy::print_stdout)]
 
