--- a/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
+++ b/crates/cardamomwinch_coordination/examples/adoption_cost/fleet.rs
@@ -319,7 +319,7 @@
                 .put(PlatformKey::Hosts, all.replace(&first, ""));
             self.awaited.host_list = HostListVersion::new(list.revision);
             self.alive[0] = false;
-            self.wake(&PlatformKey::Hosts);
+            self.answer_watches(&PlatformKey::Hosts);
         } else {
             if change != Change::Preset {
                 let key = PlatformKey::Team(team_name(0));
@@ -329,7 +329,7 @@
                 .platform
                 .put(PlatformKey::Root, self.platform.root("peak"));
             self.awaited.version = ConfigurationVersion::new(root.revision);
-            self.wake(&PlatformKey::Root);
+            self.answer_watches(&PlatformKey::Root);
         }
         if change == Change::ReadersKilled {
             self.run_for(time::Duration::from_millis(6));
@@ -581,7 +581,7 @@
         );
     }
 
-    fn wake(&mut self, key: &PlatformKey) {
+    fn answer_watches(&mut self, key: &PlatformKey) {
         let watches = std::mem::take(&mut self.platform.watches);
         for (host, request) in watches {
             if request.key == *key {
